--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -59,7 +59,7 @@
 
 /// The right to send one request to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Granted {
+pub struct LeaseGrant {
     /// The target.
     pub target: TargetName,
     /// Most requests that one target of the group serves well at a time:
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Allocation {
     /// It may send to a target.
-    Granted(Granted),
+    Granted(LeaseGrant),
     /// It waits; [`Allocator::woken`] tells the rest.
     Waiting,
     /// It gets none.
@@ -247,7 +247,7 @@
 }
 
 fn granted<S: Strategy>(dispatcher: &Dispatcher<S>, grant: &Grant, now: Timestamp) -> Allocation {
-    Allocation::Granted(Granted {
+    Allocation::Granted(LeaseGrant {
         target: dispatcher.target_name(grant),
         concurrency: dispatcher.concurrency(now),
         rate_limit: dispatcher.rate_limit_update(grant, now),
--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -10,7 +10,7 @@
 use metrics::counter;
 use parking_lot::Mutex;
 use spdlog::debug;
-use thymeshift_allocation::Granted;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::Group;
 use thymeshift_allocation::LeaseReport;
 use thymeshift_dispatch::Observation;
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Reply {
     Waiting,
-    Granted(Granted),
+    Granted(LeaseGrant),
     Refused(Refusal),
     Declined,
     /// To be asked for in another group, and of whom.
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -7,7 +7,7 @@
 
 use metrics::counter;
 use rand::Rng;
-use thymeshift_allocation::Granted;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::Group;
 use thymeshift_dispatch::RateShare;
 use thymeshift_dispatch::Refusal;
@@ -375,7 +375,7 @@
         self: &Arc<Self>,
         mut acquisition: Acquisition,
         group: &Group,
-        granted: &Granted,
+        granted: &LeaseGrant,
     ) -> Asked {
         let concurrency = Some(granted.concurrency);
         self.allocators.lock().0.entry(group.clone()).or_default().concurrency = concurrency;
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use thymeshift_allocation::Allocation;
-use thymeshift_allocation::Granted;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::LeaseKey;
 use thymeshift_allocation::LeaseReport;
 use thymeshift_dispatch::Decision;
@@ -146,7 +146,7 @@
         self.processes[place].answered_by(allocator);
     }
 
-    fn granted(&mut self, place: usize, number: u64, granted: &Granted) {
+    fn granted(&mut self, place: usize, number: u64, granted: &LeaseGrant) {
         let now = self.now();
         let process = &mut self.processes[place];
         let Some(asking) = process.asking.remove(&number) else {
--- a/crates/thymeshift_lab/tests/strangers.rs
+++ b/crates/thymeshift_lab/tests/strangers.rs
@@ -13,7 +13,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
-use thymeshift_allocation::Granted;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::Group;
 use thymeshift_config::Configuration;
 use thymeshift_config::Discovery;
@@ -174,7 +174,7 @@
         SourceHeartbeat { reader: vm, is_answered: true, heads, data_hall, peer_address: address };
     let messages = [
         Message::Waiting(LeaseNumber(7)),
-        Message::Granted(LeaseNumber(7), Granted { target, concurrency: 3, rate_limit: None }),
+        Message::Granted(LeaseNumber(7), LeaseGrant { target, concurrency: 3, rate_limit: None }),
         Message::Refused(LeaseNumber(8), Reason::QueueFull, Duration::from_millis(40)),
         Message::SourceHeartbeat(heartbeat),
         Message::News(heads),
--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -11,7 +11,7 @@
 use derive_more::From;
 use serde::Deserialize;
 use serde::Serialize;
-use thymeshift_allocation::Granted;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::Group;
 use thymeshift_allocation::LeaseReport;
 use thymeshift_fleet::Boot;
@@ -60,7 +60,7 @@
     /// The request waits; another answer follows.
     Waiting(LeaseNumber),
     /// A target to send to.
-    Granted(LeaseNumber, Granted),
+    Granted(LeaseNumber, LeaseGrant),
     /// No target.
     Refused(LeaseNumber, Reason, Duration),
     /// The receiver does not allocate: it is stopping, or does not know the service.
