--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -168,7 +168,7 @@
     }
 
     /// A holder named all leases that it holds: others of it are taken back.
-    pub fn keep_only<S: Strategy>(
+    pub fn release_unlisted<S: Strategy>(
         &mut self,
         holder: &B,
         held: &[u64],
--- a/crates/thymeshift_allocation/tests/books.rs
+++ b/crates/thymeshift_allocation/tests/books.rs
@@ -161,7 +161,7 @@
     books.acquire(key(1, 2), at(90));
     books.acquire(key(2, 1), at(0));
     let Books { dispatcher, allocator, .. } = &mut books;
-    allocator.keep_only(&1, &[3], dispatcher, at(120));
+    allocator.release_unlisted(&1, &[3], dispatcher, at(120));
     assert_eq!(books.in_flight(), 2, "the old one of this holder; a young one may be unheard");
     let Books { dispatcher, allocator, .. } = &mut books;
     allocator.expire(dispatcher, at(1_499));
@@ -223,7 +223,7 @@
                 }
                 Event::Held { allocator, holder, number } => {
                     let Books { dispatcher, allocator, .. } = &mut both[usize::from(allocator)];
-                    allocator.keep_only(&holder, &[u64::from(number)], dispatcher, now);
+                    allocator.release_unlisted(&holder, &[u64::from(number)], dispatcher, now);
                 }
                 Event::Pass { millis } => {
                     now = now + Duration::from_millis(u64::from(millis));
--- a/crates/thymeshift_allocation/tests/drained_order.rs
+++ b/crates/thymeshift_allocation/tests/drained_order.rs
@@ -246,7 +246,7 @@
         let request = self.request();
         let Process { counting, allocator: books, .. } = &mut self.processes[allocator];
         // Earlier leases are given back, so that there is room for new ones.
-        books.keep_only(&process, &[], counting, self.now + Duration::from_secs(1));
+        books.release_unlisted(&process, &[], counting, self.now + Duration::from_secs(1));
         let allocation = books.acquire(key, request, counting, self.now, &mut self.rng);
         if let Allocation::Granted(granted) = allocation {
             self.answers.push(Answer { process, target: granted.target });
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -181,7 +181,7 @@
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
         dispatcher.set_backed(self.told.lock().rooms.is_elsewhere(&self.group, now));
-        allocator.keep_only(&key.holder, &numbers(&acquire.held), dispatcher, now);
+        allocator.release_unlisted(&key.holder, &numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
             && !allocator.knows(key)
             && dispatcher.room(now) == 0
@@ -201,7 +201,7 @@
         {
             let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
             allocator.release(&key, &release.report, dispatcher, now);
-            allocator.keep_only(&key.holder, &numbers(&release.held), dispatcher, now);
+            allocator.release_unlisted(&key.holder, &numbers(&release.held), dispatcher, now);
         }
         self.wake_waiting(now);
     }
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -119,7 +119,7 @@
         let state = self.processes[to].state(&self.configuration, &hall, now);
         let GroupState { dispatcher, allocator } = state;
         dispatcher.set_rate_share(share);
-        allocator.keep_only(&from, held, dispatcher, now);
+        allocator.release_unlisted(&from, held, dispatcher, now);
         let allocation = allocator.acquire(key, request, dispatcher, now, &mut self.rng);
         self.send(to, from, || Event::Told { to: from, number, allocation: allocation.clone() });
         self.wake(to);
