--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -85,7 +85,7 @@
 pub enum Allocation {
     /// It may send to a target.
     Granted(LeaseGrant),
-    /// It waits; [`Allocator::woken`] tells the rest.
+    /// It waits; [`Allocator::resolve_ticket`] tells the rest.
     Waiting,
     /// It gets none.
     Refused(Refusal),
@@ -202,7 +202,7 @@
 
     /// The dispatcher woke a ticket. Returns whom to tell, if it belongs to a lease, else
     /// what was given is handed back.
-    pub fn woken<S: Strategy>(
+    pub fn resolve_ticket<S: Strategy>(
         &mut self,
         ticket: Ticket,
         woken: Result<Grant, Refusal>,
--- a/crates/thymeshift_allocation/tests/books.rs
+++ b/crates/thymeshift_allocation/tests/books.rs
@@ -97,7 +97,7 @@
                 Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            let known = self.allocator.woken(ticket, woken, &self.dispatcher, now);
+            let known = self.allocator.resolve_ticket(ticket, woken, &self.dispatcher, now);
             told.push(known.expect("every ticket belongs to a lease here"));
         }
         told
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -215,7 +215,7 @@
                 Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            match allocator.woken(ticket, woken, dispatcher, now) {
+            match allocator.resolve_ticket(ticket, woken, dispatcher, now) {
                 Ok((key, allocation)) => {
                     let number = LeaseNumber(key.number);
                     self.links.allocation.reply(&key.holder, number, reply_of(allocation));
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -324,7 +324,7 @@
                     Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                     Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
                 };
-                match allocator.woken(ticket, decided, dispatcher, now) {
+                match allocator.resolve_ticket(ticket, decided, dispatcher, now) {
                     Ok(told) => woken.push(told),
                     Err(Ok(grant)) => dispatcher.release(grant, now),
                     Err(Err(_)) => {}
