--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -231,7 +231,7 @@
     }
 
     /// Whether a lease is out or waited for.
-    pub fn knows(&self, key: &LeaseKey<B>) -> bool {
+    pub fn contains(&self, key: &LeaseKey<B>) -> bool {
         self.leases.contains_key(key)
     }
 
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -183,7 +183,7 @@
         dispatcher.set_backed(self.told.lock().rooms.is_elsewhere(&self.group, now));
         allocator.release_unlisted(&key.holder, &numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
-            && !allocator.knows(key)
+            && !allocator.contains(key)
             && dispatcher.room(now) == 0
             && let Some((other, by)) = self.told.lock().take(&self.group, now)
         {
