--- a/crates/thymeshift_allocation/src/rooms.rs
+++ b/crates/thymeshift_allocation/src/headroom.rs
@@ -23,11 +23,11 @@
 
 /// The room that other groups told of.
 #[derive(Debug, Clone, Default)]
-pub struct Rooms {
+pub struct GroupHeadroom {
     told: BTreeMap<Group, Told>,
 }
 
-impl Rooms {
+impl GroupHeadroom {
     /// A group told its room.
     pub fn learn(&mut self, group: Group, room: u32, now: Timestamp) {
         self.told.insert(group, Told { room, at: now });
--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -15,8 +15,8 @@
 //! the fleet.
 
 mod group;
+mod headroom;
 mod rank;
-mod rooms;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,8 +39,8 @@
 
 pub use group::Group;
 pub use group::Grouping;
+pub use headroom::GroupHeadroom;
 pub use rank::AllocatorRank;
-pub use rooms::Rooms;
 
 /// A lease that its holder does not name is taken back once it is this old: the answer
 /// that told of it may still have been on its way when the holder wrote.
--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use thymeshift_allocation::Group;
 use thymeshift_allocation::Grouping;
-use thymeshift_allocation::Rooms;
+use thymeshift_allocation::GroupHeadroom;
 use thymeshift_config::Target;
 use thymeshift_config::TargetState;
 use thymeshift_types::DataHallName;
@@ -88,7 +88,7 @@
 fn no_more_requests_are_sent_on_than_there_is_room_for() {
     let now = Timestamp::from_millis(5_000);
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut rooms = Rooms::default();
+    let mut rooms = GroupHeadroom::default();
     rooms.learn(group("a"), 50, now);
     rooms.learn(group("b"), 12, now);
     rooms.learn(group("c"), 4, now);
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -18,7 +18,7 @@
 use parking_lot::RwLock;
 use thymeshift_allocation::Group;
 use thymeshift_allocation::Grouping;
-use thymeshift_allocation::Rooms;
+use thymeshift_allocation::GroupHeadroom;
 use thymeshift_config::Configuration;
 use thymeshift_config::Service;
 use thymeshift_dispatch::AnyStrategy;
@@ -69,7 +69,7 @@
 /// What the groups of a service told of themselves.
 #[derive(Default)]
 struct KnownGroups {
-    rooms: Rooms,
+    rooms: GroupHeadroom,
     allocators: BTreeMap<Group, AllocatorAddress>,
 }
 
