--- a/crates/thymeshift_allocation/src/headroom.rs
+++ b/crates/thymeshift_allocation/src/headroom.rs
@@ -29,7 +29,7 @@
 
 impl GroupHeadroom {
     /// A group told its room.
-    pub fn learn(&mut self, group: Group, room: u32, now: Timestamp) {
+    pub fn record(&mut self, group: Group, room: u32, now: Timestamp) {
         self.told.insert(group, Told { room, at: now });
     }
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -248,7 +248,7 @@
     /// A group told its room.
     pub(crate) fn learn_room(&self, told: &GroupRoom) {
         let mut groups = self.told.lock();
-        groups.rooms.learn(told.group.clone(), told.room, BootClock.now());
+        groups.rooms.record(told.group.clone(), told.room, BootClock.now());
         groups.allocators.insert(told.group.clone(), told.allocator.clone());
     }
 
