--- a/crates/thymeshift_allocation/src/headroom.rs
+++ b/crates/thymeshift_allocation/src/headroom.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether another group than `own` has room.
-    pub fn is_elsewhere(&self, own: &Group, now: Timestamp) -> bool {
+    pub fn is_available_outside(&self, own: &Group, now: Timestamp) -> bool {
         self.told
             .iter()
             .any(|(group, told)| group != own && told.room > 0 && now.since(told.at) < WORTH)
