--- a/crates/thymeshift_allocation/src/headroom.rs
+++ b/crates/thymeshift_allocation/src/headroom.rs
@@ -41,7 +41,7 @@
     }
 
     /// Takes a place in another group than `own`, drawn by room.
-    pub fn take<R: Rng>(&mut self, own: &Group, now: Timestamp, rng: &mut R) -> Option<Group> {
+    pub fn reserve<R: Rng>(&mut self, own: &Group, now: Timestamp, rng: &mut R) -> Option<Group> {
         let is_usable = |group: &Group, told: &Told| group != own && now.since(told.at) < WORTH;
         let mut usable: Vec<(&Group, &mut Told)> = self
             .told
--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -94,13 +94,13 @@
     rooms.record(group("c"), 4, now);
     rooms.record(group("d"), 0, now);
     let mut taken: BTreeMap<Group, u32> = BTreeMap::new();
-    while let Some(group) = rooms.take(&group("a"), now, &mut rng) {
+    while let Some(group) = rooms.reserve(&group("a"), now, &mut rng) {
         *taken.entry(group).or_default() += 1;
     }
     assert_eq!(taken, BTreeMap::from([(group("b"), 12), (group("c"), 4)]), "not its own");
     rooms.record(group("b"), 1, now);
     let late = now + Duration::from_secs(3);
-    assert_eq!(rooms.take(&group("a"), late, &mut rng), None, "what was told has aged");
+    assert_eq!(rooms.reserve(&group("a"), late, &mut rng), None, "what was told has aged");
 }
 
 #[test]
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -76,7 +76,7 @@
 impl KnownGroups {
     /// Takes a place in another group than `own`; also returns who allocates it.
     fn take(&mut self, own: &Group, now: Timestamp) -> Option<(Group, AllocatorAddress)> {
-        let other = self.rooms.take(own, now, &mut rand::rng())?;
+        let other = self.rooms.reserve(own, now, &mut rand::rng())?;
         let allocator = self.allocators.get(&other)?.clone();
         Some((other, allocator))
     }
