--- a/crates/thymeshift_allocation/src/rank.rs
+++ b/crates/thymeshift_allocation/src/rank.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AllocatorRank {
     /// Processes that rank before it and whose heartbeats still arrive, by whatever way.
-    pub before: usize,
+    pub better_ranked: usize,
     /// Processes whose heartbeats arrive, this one included.
     pub heard: usize,
     /// Those, and the ones that fell silent without having said that they stop.
@@ -26,7 +26,7 @@
 impl AllocatorRank {
     /// The part of targets' limits that it may grant.
     pub fn rate_share(self) -> RateShare {
-        let rank_part = match self.before {
+        let rank_part = match self.better_ranked {
             0 => 1.0,
             before => 2.0 * SECOND_SHARE * (-(before as f64)).exp2(),
         };
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -236,7 +236,7 @@
         let reach = of_hall.filter(|reach| !reach.heard.is_empty());
         let reach = reach.unwrap_or_else(|| fleet.members.reach(now));
         let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
-        AllocatorRank { before: rank.before + usize::from(is_hall_silent), ..rank }
+        AllocatorRank { better_ranked: rank.better_ranked + usize::from(is_hall_silent), ..rank }
     }
 
     /// Where this process stands among those that do a task for the whole fleet.
@@ -291,7 +291,7 @@
     let own = &fleet.members.own().vm;
     let order = ranked(task, reach.heard.iter().map(|member| member.contender()));
     let before = order.iter().take_while(|vm| **vm != own).count();
-    AllocatorRank { before, heard: reach.heard.len(), known: reach.known }
+    AllocatorRank { better_ranked: before, heard: reach.heard.len(), known: reach.known }
 }
 
 /// What processes are ranked for as allocators of a group.
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -235,7 +235,7 @@
         let heard = |other: &usize| *other == place || self.hears_of(place, *other);
         let known = self.contenders();
         let rank = AllocatorRank {
-            before: (0..place.min(known)).filter(heard).count(),
+            better_ranked: (0..place.min(known)).filter(heard).count(),
             heard: (0..known).filter(heard).count(),
             known,
         };
