--- a/crates/thymeshift_allocation/src/rank.rs
+++ b/crates/thymeshift_allocation/src/rank.rs
@@ -18,7 +18,7 @@
     /// Processes that rank before it and whose heartbeats still arrive, by whatever way.
     pub better_ranked: usize,
     /// Processes whose heartbeats arrive, this one included.
-    pub heard: usize,
+    pub reachable: usize,
     /// Those, and the ones that fell silent without having said that they stop.
     pub known: usize,
 }
@@ -30,6 +30,6 @@
             0 => 1.0,
             before => 2.0 * SECOND_SHARE * (-(before as f64)).exp2(),
         };
-        RateShare::new(rank_part * self.heard as f64 / self.known.max(1) as f64)
+        RateShare::new(rank_part * self.reachable as f64 / self.known.max(1) as f64)
     }
 }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -291,7 +291,7 @@
     let own = &fleet.members.own().vm;
     let order = ranked(task, reach.heard.iter().map(|member| member.contender()));
     let before = order.iter().take_while(|vm| **vm != own).count();
-    AllocatorRank { better_ranked: before, heard: reach.heard.len(), known: reach.known }
+    AllocatorRank { better_ranked: before, reachable: reach.heard.len(), known: reach.known }
 }
 
 /// What processes are ranked for as allocators of a group.
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -236,7 +236,7 @@
         let known = self.contenders();
         let rank = AllocatorRank {
             better_ranked: (0..place.min(known)).filter(heard).count(),
-            heard: (0..known).filter(heard).count(),
+            reachable: (0..known).filter(heard).count(),
             known,
         };
         rank.rate_share()
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -338,7 +338,7 @@
             return 1.0;
         }
         let known = self.processes.len();
-        AllocatorRank { better_ranked: place, heard: known, known }.rate_share().part()
+        AllocatorRank { better_ranked: place, reachable: known, known }.rate_share().part()
     }
 
     fn answered(&mut self, place: usize, number: u64, counted: Option<Counted>) {
