--- a/crates/thymeshift_allocation/src/group.rs
+++ b/crates/thymeshift_allocation/src/group.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether a target belongs to it.
-    pub fn has(&self, target: &Target) -> bool {
+    pub fn contains(&self, target: &Target) -> bool {
         match self {
             Self::All => true,
             Self::Hall(hall) => target.data_hall == *hall,
--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -65,7 +65,7 @@
         assert_eq!(grouping.iter().count(), groups, "{note}");
         assert_eq!(grouping.is_divided(), groups > 1, "{note}");
         for target in targets.iter().filter(|target| target.state == TargetState::Serving) {
-            let holding = grouping.iter().filter(|group| group.has(target)).count();
+            let holding = grouping.iter().filter(|group| group.contains(target)).count();
             assert_eq!(holding, 1, "{note}: {} is in one group", target.name);
         }
     }
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -315,7 +315,7 @@
 
 /// The service with the targets of the group alone.
 fn part_of(service: &Service, group: &Group) -> Service {
-    let targets = service.targets.iter().filter(|target| group.has(target)).cloned().collect();
+    let targets = service.targets.iter().filter(|target| group.contains(target)).cloned().collect();
     Service { targets, ..service.clone() }
 }
 
