--- a/crates/thymeshift_allocation/src/group.rs
+++ b/crates/thymeshift_allocation/src/group.rs
@@ -74,7 +74,7 @@
 
     /// The group to which requests from `hall` go first. From a hall without targets they
     /// are spread over all groups by their sizes; `draw` decides.
-    pub fn first_for(&self, hall: &DataHallName, draw: u64) -> &Group {
+    pub fn preferred_group(&self, hall: &DataHallName, draw: u64) -> &Group {
         let own = self.groups.iter().find(|(group, _)| group.is_of_hall(hall));
         let (group, _) = own.unwrap_or_else(|| self.drawn(draw));
         group
--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -75,10 +75,10 @@
 fn a_request_goes_to_its_own_hall_or_is_spread_by_size() {
     let grouping = Grouping::of(&targets(&[10, 30], 0), |_| false);
     for draw in 0..40 {
-        assert_eq!(*grouping.first_for(&hall("b"), draw), group("b"));
+        assert_eq!(*grouping.preferred_group(&hall("b"), draw), group("b"));
     }
     let from_elsewhere = (0..4_000).filter(|draw| {
-        let first = grouping.first_for(&hall("z"), *draw);
+        let first = grouping.preferred_group(&hall("z"), *draw);
         *first == group("a")
     });
     assert_eq!(from_elsewhere.count(), 1_000, "a quarter of the targets is in a");
@@ -122,7 +122,7 @@
         let found: Vec<String> = grouping.iter().map(ToString::to_string).collect();
         assert_eq!(found, groups, "{note}");
         for draw in 0..100 {
-            let first = grouping.first_for(&hall("b"), draw);
+            let first = grouping.preferred_group(&hall("b"), draw);
             assert!(groups.contains(&first.to_string().as_str()), "{note}: {first}");
         }
     }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -170,7 +170,7 @@
         let configured = self.configured();
         let grouping = &configured.grouping;
         let draw = rand::rng().random();
-        let first = grouping.first_for(&self.own_data_hall, draw);
+        let first = grouping.preferred_group(&self.own_data_hall, draw);
         let (other, by) = match self.ask_group(shared, first, grouping.is_divided(), request).await
         {
             Asked::Redirected(other, by) => (other, by),
