--- a/crates/thymeshift_allocation/src/group.rs
+++ b/crates/thymeshift_allocation/src/group.rs
@@ -81,7 +81,7 @@
     }
 
     /// A group other than `group`, spread by their sizes; none if there is no other.
-    pub fn other_than(&self, group: &Group, draw: u64) -> Option<&Group> {
+    pub fn alternative_group(&self, group: &Group, draw: u64) -> Option<&Group> {
         let others = self.groups.iter().filter(|(other, _)| other != group).cloned().collect();
         let others = Self { groups: others };
         if others.groups.is_empty() {
--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -133,10 +133,10 @@
     let grouping = Grouping::of(&targets(&[10, 10, 30], 0), |_| false);
     let mut drawn: BTreeMap<Group, u32> = BTreeMap::new();
     for draw in 0..4_000 {
-        let other = grouping.other_than(&group("a"), draw).expect("there are two others");
+        let other = grouping.alternative_group(&group("a"), draw).expect("there are two others");
         *drawn.entry(other.clone()).or_default() += 1;
     }
     assert_eq!(drawn, BTreeMap::from([(group("b"), 1_000), (group("c"), 3_000)]));
     let single = Grouping::of(&targets(&[9], 0), |_| false);
-    assert_eq!(single.other_than(&Group::All, 1), None);
+    assert_eq!(single.alternative_group(&Group::All, 1), None);
 }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -177,7 +177,7 @@
             // Whoever allocates the group knows of no target that may be used: its data hall was
             // drained, and the news has reached it before this process.
             Asked::Refused(Refusal { reason: Reason::NoTarget, .. })
-                if let Some(other) = grouping.other_than(first, draw) =>
+                if let Some(other) = grouping.alternative_group(first, draw) =>
             {
                 return self.ask_group(shared, other, true, request).await;
             }
