--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -12,7 +12,7 @@
 use thymeshift_config::RequestRate;
 use thymeshift_dispatch::RateShare;
 use thymeshift_organisations::Counted;
-use thymeshift_organisations::Passed;
+use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
@@ -90,17 +90,17 @@
             let answered = held.answered.notified();
             let passed = held.holder.lock().pass(BootClock.now());
             match passed {
-                Passed::Admitted => return Ok(()),
-                Passed::Refused(after) => {
+                Admission::Admitted => return Ok(()),
+                Admission::Refused(after) => {
                     let name = organisation.name.as_str().to_owned();
                     counter!(metric::OVER_QUOTA, "organisation" => name).increment(1);
                     return Err(after);
                 }
-                Passed::Asked => {
+                Admission::Asked => {
                     // Should whoever asked have left, this request asks after the limit.
                     let _ = timeout(OTHERS_ANSWER_LIMIT, answered).await;
                 }
-                Passed::Ask { wanted, arrived } => {
+                Admission::Ask { wanted, arrived } => {
                     let told = self.ask(shared, organisation, limit, wanted, arrived).await;
                     let now = BootClock.now();
                     let mut holder = held.holder.lock();
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -9,7 +9,7 @@
 use rand_distr::Exp;
 use thymeshift_allocation::AllocatorRank;
 use thymeshift_organisations::Counted;
-use thymeshift_organisations::Passed;
+use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaLimit;
 use thymeshift_organisations::QuotaQuestion;
@@ -265,11 +265,11 @@
             let now = self.now();
             let passed = self.processes[place].holder.pass(now);
             match passed {
-                Passed::Asked => return,
-                Passed::Ask { wanted, arrived } => return self.ask(place, wanted, arrived),
-                Passed::Admitted | Passed::Refused(_) => {
+                Admission::Asked => return,
+                Admission::Ask { wanted, arrived } => return self.ask(place, wanted, arrived),
+                Admission::Admitted | Admission::Refused(_) => {
                     self.processes[place].waiting -= 1;
-                    self.decided(passed == Passed::Admitted);
+                    self.decided(passed == Admission::Admitted);
                 }
             }
         }
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -27,7 +27,7 @@
 
 /// What holds for a request that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passed {
+pub enum Admission {
     /// It is admitted.
     Admitted,
     /// It is beyond the limit; its caller may come back after this time.
@@ -103,25 +103,25 @@
     }
 
     /// Whether a request that has arrived may pass now.
-    pub fn pass(&mut self, now: Timestamp) -> Passed {
+    pub fn pass(&mut self, now: Timestamp) -> Admission {
         if now >= self.tokens_end {
             self.tokens = 0;
         }
         if self.tokens > 0 {
             self.tokens -= 1;
-            return Passed::Admitted;
+            return Admission::Admitted;
         }
         if self.alone_until.is_some_and(|until| now < until) {
             return self.pass_alone(now);
         }
         if let Some(refused) = self.refused.filter(|refused| now < refused.until) {
-            return Passed::Refused(now.until(refused.retry_at));
+            return Admission::Refused(now.until(refused.retry_at));
         }
         if self.asked_at.is_some_and(|at| now.since(at) < ASKED_FOR_MAX) {
-            return Passed::Asked;
+            return Admission::Asked;
         }
         self.asked_at = Some(now);
-        Passed::Ask { wanted: self.batch(now), arrived: std::mem::take(&mut self.arrived) }
+        Admission::Ask { wanted: self.batch(now), arrived: std::mem::take(&mut self.arrived) }
     }
 
     /// The counter answered.
@@ -164,10 +164,10 @@
         self.demand.per_s(now)
     }
 
-    fn pass_alone(&mut self, now: Timestamp) -> Passed {
+    fn pass_alone(&mut self, now: Timestamp) -> Admission {
         match self.own.take(1, now) {
-            0 => Passed::Refused(self.own.time_to(1.0)),
-            _ => Passed::Admitted,
+            0 => Admission::Refused(self.own.time_to(1.0)),
+            _ => Admission::Admitted,
         }
     }
 
--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -32,7 +32,7 @@
 pub use counter::QuotaQuestion;
 pub use counter::TOKENS_VALID_FOR;
 pub use holder::BATCH_FOR;
-pub use holder::Passed;
+pub use holder::Admission;
 pub use holder::QuotaHolder;
 pub use key_ring::KeyRing;
 pub use limit::QuotaLimit;
