--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -96,7 +96,7 @@
                     counter!(metric::OVER_QUOTA, "organisation" => name).increment(1);
                     return Err(after);
                 }
-                Admission::Asked => {
+                Admission::AnswerPending => {
                     // Should whoever asked have left, this request asks after the limit.
                     let _ = timeout(OTHERS_ANSWER_LIMIT, answered).await;
                 }
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -265,7 +265,7 @@
             let now = self.now();
             let passed = self.processes[place].holder.pass(now);
             match passed {
-                Admission::Asked => return,
+                Admission::AnswerPending => return,
                 Admission::Ask { wanted, arrived } => return self.ask(place, wanted, arrived),
                 Admission::Admitted | Admission::Refused(_) => {
                     self.processes[place].waiting -= 1;
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -40,7 +40,7 @@
         arrived: u32,
     },
     /// Another request has asked, and waits for the answer.
-    Asked,
+    AnswerPending,
 }
 
 /// The counter had no tokens.
@@ -118,7 +118,7 @@
             return Admission::Refused(now.until(refused.retry_at));
         }
         if self.asked_at.is_some_and(|at| now.since(at) < ASKED_FOR_MAX) {
-            return Admission::Asked;
+            return Admission::AnswerPending;
         }
         self.asked_at = Some(now);
         Admission::Ask { wanted: self.batch(now), arrived: std::mem::take(&mut self.arrived) }
