--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -16,7 +16,7 @@
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::QuotaQuestion;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_telemetry::metric;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
@@ -252,7 +252,7 @@
         counter.set_limit(limit, now);
         counter.set_share(share.part(), now);
         let question =
-            QuotaQuestion { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
+            TokenRequest { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
         let answer = counter.ask(asker, question, now);
         QuotaGrant {
             tokens: answer.tokens,
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -12,7 +12,7 @@
 use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::QuotaQuestion;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_types::Timestamp;
 
 use crate::replay::events::Events;
@@ -214,7 +214,7 @@
                 self.arrives(place);
             }
             Event::Asked { from, to, number, wanted, arrived } => {
-                let asked = QuotaQuestion { number, wanted, arrived };
+                let asked = TokenRequest { number, wanted, arrived };
                 let counted = self.count(from, to, asked);
                 self.send(to, from, || Event::Answered { to: from, number, counted });
             }
@@ -287,7 +287,7 @@
             return self.pass_waiting(place);
         };
         if asked_place == place {
-            let asked = QuotaQuestion { number, wanted, arrived };
+            let asked = TokenRequest { number, wanted, arrived };
             let counted = self.count(place, place, asked);
             return self.hear(place, counted);
         }
@@ -315,7 +315,7 @@
         }
     }
 
-    fn count(&mut self, from: usize, to: usize, asked: QuotaQuestion) -> Option<Counted> {
+    fn count(&mut self, from: usize, to: usize, asked: TokenRequest) -> Option<Counted> {
         // The second counts once it has noticed that the first is gone, or does not answer it.
         let first_gone_ms = if self.is_killed { KILLED_MS.start } else { u64::MAX };
         let is_first_gone = self.now_ms >= first_gone_ms.saturating_add(NOTICED_MS);
--- a/crates/thymeshift_organisations/src/counter.rs
+++ b/crates/thymeshift_organisations/src/counter.rs
@@ -44,7 +44,7 @@
 
 /// What a process asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct QuotaQuestion {
+pub struct TokenRequest {
     /// Counted by the process.
     pub number: u64,
     /// Tokens wanted.
@@ -132,7 +132,7 @@
     }
 
     /// A process wants tokens. A question that arrives twice is answered twice and counted once.
-    pub fn ask(&mut self, holder: &H, asked: QuotaQuestion, now: Timestamp) -> Counted {
+    pub fn ask(&mut self, holder: &H, asked: TokenRequest, now: Timestamp) -> Counted {
         let new = || Holder { demand: Demand::new(DEMAND_MEMORY, now), last: None, own_part: 0.0 };
         let known = self.holders.entry(holder.clone()).or_insert_with(new);
         if let Some((_, counted)) = known.last.filter(|(number, _)| *number == asked.number) {
--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -29,7 +29,7 @@
 
 pub use counter::Counted;
 pub use counter::QuotaCounter;
-pub use counter::QuotaQuestion;
+pub use counter::TokenRequest;
 pub use counter::TOKENS_VALID_FOR;
 pub use holder::BATCH_FOR;
 pub use holder::Admission;
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -10,7 +10,7 @@
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::QuotaQuestion;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_organisations::TOKENS_VALID_FOR;
 use thymeshift_types::KeyDigest;
 use thymeshift_types::Timestamp;
@@ -18,8 +18,8 @@
 const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 10.0, burst: 10.0 };
 const START: Timestamp = Timestamp::from_millis(1_000);
 
-fn question(number: u64, wanted: u32) -> QuotaQuestion {
-    QuotaQuestion { number, wanted, arrived: wanted }
+fn question(number: u64, wanted: u32) -> TokenRequest {
+    TokenRequest { number, wanted, arrived: wanted }
 }
 
 fn later(seconds: u64) -> Timestamp {
