--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -11,7 +11,7 @@
 use thymeshift_config::Organisation;
 use thymeshift_config::RequestRate;
 use thymeshift_dispatch::RateShare;
-use thymeshift_organisations::Counted;
+use thymeshift_organisations::TokenGrant;
 use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
@@ -298,8 +298,8 @@
     format!("count {name}")
 }
 
-fn counted(told: QuotaGrant) -> Counted {
-    Counted {
+fn counted(told: QuotaGrant) -> TokenGrant {
+    TokenGrant {
         tokens: told.tokens,
         retry_after: Duration::from_millis(told.retry_after_ms.into()),
         own_rate_per_s: told.own_rate_per_s,
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -8,7 +8,7 @@
 use rand_distr::Distribution;
 use rand_distr::Exp;
 use thymeshift_allocation::AllocatorRank;
-use thymeshift_organisations::Counted;
+use thymeshift_organisations::TokenGrant;
 use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaLimit;
@@ -61,7 +61,7 @@
 enum Event {
     Arrives { caller: usize },
     Asked { from: usize, to: usize, number: u64, wanted: u32, arrived: u32 },
-    Answered { to: usize, number: u64, counted: Option<Counted> },
+    Answered { to: usize, number: u64, counted: Option<TokenGrant> },
     AsksAgain { at: usize, number: u64 },
     TimedOut { at: usize, number: u64 },
     Tells { from: usize },
@@ -315,7 +315,7 @@
         }
     }
 
-    fn count(&mut self, from: usize, to: usize, asked: TokenRequest) -> Option<Counted> {
+    fn count(&mut self, from: usize, to: usize, asked: TokenRequest) -> Option<TokenGrant> {
         // The second counts once it has noticed that the first is gone, or does not answer it.
         let first_gone_ms = if self.is_killed { KILLED_MS.start } else { u64::MAX };
         let is_first_gone = self.now_ms >= first_gone_ms.saturating_add(NOTICED_MS);
@@ -341,7 +341,7 @@
         AllocatorRank { better_ranked: place, reachable: known, known }.rate_share().part()
     }
 
-    fn answered(&mut self, place: usize, number: u64, counted: Option<Counted>) {
+    fn answered(&mut self, place: usize, number: u64, counted: Option<TokenGrant>) {
         let is_open =
             self.processes[place].question.as_ref().is_some_and(|one| one.number == number);
         if is_open {
@@ -350,7 +350,7 @@
         }
     }
 
-    fn hear(&mut self, place: usize, counted: Option<Counted>) {
+    fn hear(&mut self, place: usize, counted: Option<TokenGrant>) {
         let now = self.now();
         let holder = &mut self.processes[place].holder;
         match counted {
--- a/crates/thymeshift_organisations/src/counter.rs
+++ b/crates/thymeshift_organisations/src/counter.rs
@@ -55,7 +55,7 @@
 
 /// What a counter answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Counted {
+pub struct TokenGrant {
     /// Tokens handed out.
     pub tokens: u32,
     /// When there are tokens again, if there was none.
@@ -70,7 +70,7 @@
 struct Holder {
     demand: Demand,
     /// Its last question, and the answer.
-    last: Option<(u64, Counted)>,
+    last: Option<(u64, TokenGrant)>,
     /// The part of the limit that it was told to be its own.
     own_part: f64,
 }
@@ -132,7 +132,7 @@
     }
 
     /// A process wants tokens. A question that arrives twice is answered twice and counted once.
-    pub fn ask(&mut self, holder: &H, asked: TokenRequest, now: Timestamp) -> Counted {
+    pub fn ask(&mut self, holder: &H, asked: TokenRequest, now: Timestamp) -> TokenGrant {
         let new = || Holder { demand: Demand::new(DEMAND_MEMORY, now), last: None, own_part: 0.0 };
         let known = self.holders.entry(holder.clone()).or_insert_with(new);
         if let Some((_, counted)) = known.last.filter(|(number, _)| *number == asked.number) {
@@ -152,7 +152,7 @@
         counted
     }
 
-    fn hand_out(&mut self, wanted: u32, holder_per_s: f64, now: Timestamp) -> Counted {
+    fn hand_out(&mut self, wanted: u32, holder_per_s: f64, now: Timestamp) -> TokenGrant {
         if now.since(self.looked_at) >= PARTS_EVERY {
             self.look(now);
         }
@@ -162,7 +162,7 @@
         }
         let share = holder_per_s / self.demand_per_s.max(holder_per_s).max(f64::MIN_POSITIVE);
         let knows_demand = now.since(self.began_at) >= DEMAND_MEMORY;
-        Counted {
+        TokenGrant {
             tokens,
             retry_after: if tokens == 0 { self.retry_after(now) } else { Duration::ZERO },
             own_rate_per_s: knows_demand.then_some(self.limit.rate_per_s * share),
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -4,7 +4,7 @@
 
 use thymeshift_types::Timestamp;
 
-use crate::Counted;
+use crate::TokenGrant;
 use crate::TOKENS_VALID_FOR;
 use crate::demand::Demand;
 use crate::limit::QuotaLimit;
@@ -125,7 +125,7 @@
     }
 
     /// The counter answered.
-    pub fn counted(&mut self, counted: &Counted, now: Timestamp) {
+    pub fn counted(&mut self, counted: &TokenGrant, now: Timestamp) {
         self.asked_at = None;
         self.alone_until = None;
         if let Some(rate_per_s) = counted.own_rate_per_s {
--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -27,7 +27,7 @@
 mod limit;
 mod token_bucket;
 
-pub use counter::Counted;
+pub use counter::TokenGrant;
 pub use counter::QuotaCounter;
 pub use counter::TokenRequest;
 pub use counter::TOKENS_VALID_FOR;
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use thymeshift_config::Configuration;
-use thymeshift_organisations::Counted;
+use thymeshift_organisations::TokenGrant;
 use thymeshift_organisations::KeyRing;
 use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
@@ -47,7 +47,7 @@
 #[test]
 fn tokens_lapse_and_what_did_not_run_is_given_back() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
-    let counted = Counted { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
+    let counted = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
     holder.counted(&counted, START);
     assert_eq!(holder.pass(START), Admission::Admitted);
     holder.give_back(START);
@@ -80,7 +80,7 @@
     ];
     for Case { note, own_rate_per_s, admitted } in cases {
         let mut holder = QuotaHolder::new(LIMIT, 100, START);
-        let counted = Counted { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
+        let counted = TokenGrant { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
         holder.counted(&counted, START);
         let mut count = 0;
         for tenth in 0..100 {
