--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -85,7 +85,7 @@
             return Ok(());
         };
         let held = self.held(shared, &organisation.name, limit);
-        held.holder.lock().arrived(BootClock.now());
+        held.holder.lock().record_arrival(BootClock.now());
         loop {
             let answered = held.answered.notified();
             let passed = held.holder.lock().pass(BootClock.now());
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -234,7 +234,7 @@
                 let limit = self.limit();
                 let process = &mut self.processes[place];
                 process.holder.set_limit(limit, now);
-                process.holder.arrived(now);
+                process.holder.record_arrival(now);
                 process.waiting += 1;
                 return self.pass_waiting(place);
             }
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -97,7 +97,7 @@
     }
 
     /// A request arrives; to be told once for each.
-    pub fn arrived(&mut self, now: Timestamp) {
+    pub fn record_arrival(&mut self, now: Timestamp) {
         self.demand.add(1, now);
         self.arrived = self.arrived.saturating_add(1);
     }
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -61,7 +61,7 @@
 #[test]
 fn one_question_at_a_time_is_asked_and_another_after_its_asker_has_left() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
-    holder.arrived(START);
+    holder.record_arrival(START);
     assert_eq!(holder.pass(START), Admission::Ask { wanted: 1, arrived: 1 });
     assert_eq!(holder.pass(START), Admission::AnswerPending);
     assert!(matches!(holder.pass(later(1)), Admission::Ask { .. }));
