--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -88,7 +88,7 @@
         held.holder.lock().record_arrival(BootClock.now());
         loop {
             let answered = held.answered.notified();
-            let passed = held.holder.lock().pass(BootClock.now());
+            let passed = held.holder.lock().admit(BootClock.now());
             match passed {
                 Admission::Admitted => return Ok(()),
                 Admission::Refused(after) => {
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -263,7 +263,7 @@
     fn pass_waiting(&mut self, place: usize) {
         while self.processes[place].waiting > 0 {
             let now = self.now();
-            let passed = self.processes[place].holder.pass(now);
+            let passed = self.processes[place].holder.admit(now);
             match passed {
                 Admission::AnswerPending => return,
                 Admission::Ask { wanted, arrived } => return self.ask(place, wanted, arrived),
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether a request that has arrived may pass now.
-    pub fn pass(&mut self, now: Timestamp) -> Admission {
+    pub fn admit(&mut self, now: Timestamp) -> Admission {
         if now >= self.tokens_end {
             self.tokens = 0;
         }
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -49,11 +49,11 @@
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
     let counted = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
     holder.counted(&counted, START);
-    assert_eq!(holder.pass(START), Admission::Admitted);
+    assert_eq!(holder.admit(START), Admission::Admitted);
     holder.give_back(START);
     assert_eq!(holder.tokens(START), 2);
     let late = START + TOKENS_VALID_FOR;
-    assert!(matches!(holder.pass(late), Admission::Ask { .. }));
+    assert!(matches!(holder.admit(late), Admission::Ask { .. }));
     holder.give_back(late);
     assert_eq!(holder.tokens(late), 0);
 }
@@ -62,9 +62,9 @@
 fn one_question_at_a_time_is_asked_and_another_after_its_asker_has_left() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
     holder.record_arrival(START);
-    assert_eq!(holder.pass(START), Admission::Ask { wanted: 1, arrived: 1 });
-    assert_eq!(holder.pass(START), Admission::AnswerPending);
-    assert!(matches!(holder.pass(later(1)), Admission::Ask { .. }));
+    assert_eq!(holder.admit(START), Admission::Ask { wanted: 1, arrived: 1 });
+    assert_eq!(holder.admit(START), Admission::AnswerPending);
+    assert!(matches!(holder.admit(later(1)), Admission::Ask { .. }));
 }
 
 #[test]
@@ -86,7 +86,7 @@
         for tenth in 0..100 {
             let now = later(1) + Duration::from_millis(100 * tenth);
             holder.unanswered(now);
-            count += usize::from(holder.pass(now) == Admission::Admitted);
+            count += usize::from(holder.admit(now) == Admission::Admitted);
         }
         assert!(admitted.contains(&count), "{note}: {count}");
     }
