--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -105,7 +105,7 @@
                     let now = BootClock.now();
                     let mut holder = held.holder.lock();
                     match told {
-                        Some(told) => holder.counted(&counted(told), now),
+                        Some(told) => holder.apply_grant(&counted(told), now),
                         None => holder.unanswered(now),
                     }
                     drop(holder);
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -354,7 +354,7 @@
         let now = self.now();
         let holder = &mut self.processes[place].holder;
         match counted {
-            Some(counted) => holder.counted(&counted, now),
+            Some(counted) => holder.apply_grant(&counted, now),
             None => holder.unanswered(now),
         }
         self.pass_waiting(place);
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -125,7 +125,7 @@
     }
 
     /// The counter answered.
-    pub fn counted(&mut self, counted: &TokenGrant, now: Timestamp) {
+    pub fn apply_grant(&mut self, counted: &TokenGrant, now: Timestamp) {
         self.asked_at = None;
         self.alone_until = None;
         if let Some(rate_per_s) = counted.own_rate_per_s {
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -48,7 +48,7 @@
 fn tokens_lapse_and_what_did_not_run_is_given_back() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
     let counted = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
-    holder.counted(&counted, START);
+    holder.apply_grant(&counted, START);
     assert_eq!(holder.admit(START), Admission::Admitted);
     holder.give_back(START);
     assert_eq!(holder.tokens(START), 2);
@@ -81,7 +81,7 @@
     for Case { note, own_rate_per_s, admitted } in cases {
         let mut holder = QuotaHolder::new(LIMIT, 100, START);
         let counted = TokenGrant { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
-        holder.counted(&counted, START);
+        holder.apply_grant(&counted, START);
         let mut count = 0;
         for tenth in 0..100 {
             let now = later(1) + Duration::from_millis(100 * tenth);
