--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -106,7 +106,7 @@
                     let mut holder = held.holder.lock();
                     match told {
                         Some(told) => holder.apply_grant(&counted(told), now),
-                        None => holder.unanswered(now),
+                        None => holder.start_fallback(now),
                     }
                     drop(holder);
                     held.answered.notify_waiters();
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -283,7 +283,7 @@
         let first = (0..2).find(|place| passed_over[*place] <= self.now_ms);
         let Some(asked_place) = first else {
             let now = self.now();
-            self.processes[place].holder.unanswered(now);
+            self.processes[place].holder.start_fallback(now);
             return self.pass_waiting(place);
         };
         if asked_place == place {
@@ -355,7 +355,7 @@
         let holder = &mut self.processes[place].holder;
         match counted {
             Some(counted) => holder.apply_grant(&counted, now),
-            None => holder.unanswered(now),
+            None => holder.start_fallback(now),
         }
         self.pass_waiting(place);
     }
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -142,7 +142,7 @@
     }
 
     /// No counter answered.
-    pub fn unanswered(&mut self, now: Timestamp) {
+    pub fn start_fallback(&mut self, now: Timestamp) {
         self.asked_at = None;
         self.alone_until = Some(now + ALONE_FOR);
     }
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -85,7 +85,7 @@
         let mut count = 0;
         for tenth in 0..100 {
             let now = later(1) + Duration::from_millis(100 * tenth);
-            holder.unanswered(now);
+            holder.start_fallback(now);
             count += usize::from(holder.admit(now) == Admission::Admitted);
         }
         assert!(admitted.contains(&count), "{note}: {count}");
