--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -148,7 +148,7 @@
     }
 
     /// A request that was admitted has provably not run.
-    pub fn give_back(&mut self, now: Timestamp) {
+    pub fn return_token(&mut self, now: Timestamp) {
         if now < self.tokens_end {
             self.tokens += 1;
         }
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -50,11 +50,11 @@
     let counted = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
     holder.apply_grant(&counted, START);
     assert_eq!(holder.admit(START), Admission::Admitted);
-    holder.give_back(START);
+    holder.return_token(START);
     assert_eq!(holder.tokens(START), 2);
     let late = START + TOKENS_VALID_FOR;
     assert!(matches!(holder.admit(late), Admission::Ask { .. }));
-    holder.give_back(late);
+    holder.return_token(late);
     assert_eq!(holder.tokens(late), 0);
 }
 
