--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -253,7 +253,7 @@
         counter.set_share(share.part(), now);
         let question =
             TokenRequest { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
-        let answer = counter.ask(asker, question, now);
+        let answer = counter.grant_tokens(asker, question, now);
         QuotaGrant {
             tokens: answer.tokens,
             retry_after_ms: answer.retry_after.as_millis() as u32,
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -328,7 +328,7 @@
         let counter = counter.get_or_insert_with(|| QuotaCounter::new(limit, now));
         counter.set_limit(limit, now);
         counter.set_share(share, now);
-        Some(counter.ask(&from, asked, now))
+        Some(counter.grant_tokens(&from, asked, now))
     }
 
     /// The part of the limit that a counter may hand out. The first one is heard of through the
--- a/crates/thymeshift_organisations/src/counter.rs
+++ b/crates/thymeshift_organisations/src/counter.rs
@@ -132,7 +132,7 @@
     }
 
     /// A process wants tokens. A question that arrives twice is answered twice and counted once.
-    pub fn ask(&mut self, holder: &H, asked: TokenRequest, now: Timestamp) -> TokenGrant {
+    pub fn grant_tokens(&mut self, holder: &H, asked: TokenRequest, now: Timestamp) -> TokenGrant {
         let new = || Holder { demand: Demand::new(DEMAND_MEMORY, now), last: None, own_part: 0.0 };
         let known = self.holders.entry(holder.clone()).or_insert_with(new);
         if let Some((_, counted)) = known.last.filter(|(number, _)| *number == asked.number) {
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -29,9 +29,9 @@
 #[test]
 fn a_counter_that_begins_has_hardly_any_tokens_and_then_those_of_its_rate() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    assert_eq!(counter.ask(&"a", question(1, 100), START).tokens, 2);
-    assert_eq!(counter.ask(&"a", question(2, 100), later(100)).tokens, 10);
-    let refused = counter.ask(&"a", question(3, 1), later(100));
+    assert_eq!(counter.grant_tokens(&"a", question(1, 100), START).tokens, 2);
+    assert_eq!(counter.grant_tokens(&"a", question(2, 100), later(100)).tokens, 10);
+    let refused = counter.grant_tokens(&"a", question(3, 1), later(100));
     assert_eq!(refused.tokens, 0);
     assert!(refused.retry_after >= Duration::from_millis(100), "{refused:?}");
 }
@@ -39,9 +39,9 @@
 #[test]
 fn a_question_that_arrives_twice_is_counted_once() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    let first = counter.ask(&"a", question(7, 4), later(10));
-    assert_eq!(counter.ask(&"a", question(7, 4), later(10)), first);
-    assert_eq!(counter.ask(&"b", question(7, 10), later(10)).tokens, 10 - first.tokens);
+    let first = counter.grant_tokens(&"a", question(7, 4), later(10));
+    assert_eq!(counter.grant_tokens(&"a", question(7, 4), later(10)), first);
+    assert_eq!(counter.grant_tokens(&"b", question(7, 10), later(10)).tokens, 10 - first.tokens);
 }
 
 #[test]
@@ -95,9 +95,9 @@
 #[test]
 fn a_young_counter_tells_no_part_because_it_does_not_know_the_demand_of_others() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    assert_eq!(counter.ask(&"a", question(1, 1), later(1)).own_rate_per_s, None);
-    let _ = counter.ask(&"b", question(1, 1), later(6));
-    let told = counter.ask(&"a", question(2, 1), later(6)).own_rate_per_s.expect("a part");
+    assert_eq!(counter.grant_tokens(&"a", question(1, 1), later(1)).own_rate_per_s, None);
+    let _ = counter.grant_tokens(&"b", question(1, 1), later(6));
+    let told = counter.grant_tokens(&"a", question(2, 1), later(6)).own_rate_per_s.expect("a part");
     assert!(told < LIMIT.rate_per_s, "{told}");
 }
 
