--- a/crates/thymeshift_organisations/src/counter.rs
+++ b/crates/thymeshift_organisations/src/counter.rs
@@ -18,7 +18,7 @@
 
 /// How long tokens may be used after they were handed out: longer than a batch lasts, and so short
 /// that what a lost counter handed out adds at most a tenth to a window of five seconds.
-pub const TOKENS_VALID_FOR: Duration = Duration::from_millis(500);
+pub const TOKEN_TTL: Duration = Duration::from_millis(500);
 /// Tokens with which a counter begins, as seconds of the rate: another one may have handed out
 /// all until this moment.
 const FRESH_LEVEL_S: f64 = 0.25;
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -5,7 +5,7 @@
 use thymeshift_types::Timestamp;
 
 use crate::TokenGrant;
-use crate::TOKENS_VALID_FOR;
+use crate::TOKEN_TTL;
 use crate::demand::Demand;
 use crate::limit::QuotaLimit;
 use crate::token_bucket::TokenBucket;
@@ -133,7 +133,7 @@
         }
         if counted.tokens > 0 {
             self.tokens = counted.tokens;
-            self.tokens_end = now + TOKENS_VALID_FOR;
+            self.tokens_end = now + TOKEN_TTL;
             self.refused = None;
         } else {
             let until = now + REFUSED_FOR.min(counted.retry_after);
--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! What must hold is that too many are never admitted, whatever each process believes:
 //!
-//! * Tokens lapse after [`TOKENS_VALID_FOR`], so that what was handed out before a counter was lost
+//! * Tokens lapse after [`TOKEN_TTL`], so that what was handed out before a counter was lost
 //!   is soon spent or void.
 //! * A counter that begins has hardly any tokens: another one may just have handed out all.
 //! * A process that reaches no counter admits what it was told to be its part: the limit divided
@@ -30,7 +30,7 @@
 pub use counter::TokenGrant;
 pub use counter::QuotaCounter;
 pub use counter::TokenRequest;
-pub use counter::TOKENS_VALID_FOR;
+pub use counter::TOKEN_TTL;
 pub use holder::BATCH_FOR;
 pub use holder::Admission;
 pub use holder::QuotaHolder;
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -11,7 +11,7 @@
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
 use thymeshift_organisations::TokenRequest;
-use thymeshift_organisations::TOKENS_VALID_FOR;
+use thymeshift_organisations::TOKEN_TTL;
 use thymeshift_types::KeyDigest;
 use thymeshift_types::Timestamp;
 
@@ -52,7 +52,7 @@
     assert_eq!(holder.admit(START), Admission::Admitted);
     holder.return_token(START);
     assert_eq!(holder.tokens(START), 2);
-    let late = START + TOKENS_VALID_FOR;
+    let late = START + TOKEN_TTL;
     assert!(matches!(holder.admit(late), Admission::Ask { .. }));
     holder.return_token(late);
     assert_eq!(holder.tokens(late), 0);
