--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -11,7 +11,7 @@
 use crate::token_bucket::TokenBucket;
 
 /// A process asks for as many tokens as it needs for this long.
-pub const BATCH_FOR: Duration = Duration::from_millis(200);
+pub const BATCH_DURATION: Duration = Duration::from_millis(200);
 /// Most tokens asked for at a time.
 const BATCH_MAX: u32 = 1_000;
 /// Over how long the demand is measured that the batch follows.
@@ -172,7 +172,7 @@
     }
 
     fn batch(&self, now: Timestamp) -> u32 {
-        let expected = self.demand.per_s(now) * BATCH_FOR.as_secs_f64();
+        let expected = self.demand.per_s(now) * BATCH_DURATION.as_secs_f64();
         (expected.ceil() as u32).clamp(1, BATCH_MAX)
     }
 
--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! One process counts an organisation's requests; every process ranks the same members for it, so
 //! that no agreement is needed. The others hold *tokens* of it, one for each request that they
-//! admit. They ask for a few at a time, as many as arrived lately in [`BATCH_FOR`], so that the
+//! admit. They ask for a few at a time, as many as arrived lately in [`BATCH_DURATION`], so that the
 //! messages follow the requests and never exceed them.
 //!
 //! What must hold is that too many are never admitted, whatever each process believes:
@@ -31,7 +31,7 @@
 pub use counter::QuotaCounter;
 pub use counter::TokenRequest;
 pub use counter::TOKEN_TTL;
-pub use holder::BATCH_FOR;
+pub use holder::BATCH_DURATION;
 pub use holder::Admission;
 pub use holder::QuotaHolder;
 pub use key_ring::KeyRing;
