--- a/crates/thymeshift_entry/src/organisations/identity.rs
+++ b/crates/thymeshift_entry/src/organisations/identity.rs
@@ -28,7 +28,7 @@
     keys: &KeyRing,
     kind: &Kind,
 ) -> Result<Option<Identity>, UnknownKey> {
-    if keys.is_open() {
+    if keys.allows_anonymous() {
         return Ok(None);
     }
     let digest = D::take_key(headers);
--- a/crates/thymeshift_organisations/src/key_ring.rs
+++ b/crates/thymeshift_organisations/src/key_ring.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether requests need no key: there are no organisations.
-    pub fn is_open(&self) -> bool {
+    pub fn allows_anonymous(&self) -> bool {
         self.organisations.is_empty()
     }
 
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -120,7 +120,7 @@
         assert_eq!(holder.name.as_str(), format!("o-{name}"));
         assert!(keys.holder(&digest(100_000)).is_none());
     }
-    assert!(KeyRing::new(Arc::default()).is_open());
+    assert!(KeyRing::new(Arc::default()).allows_anonymous());
 }
 
 #[test]
