--- a/crates/thymeshift_entry/src/organisations/identity.rs
+++ b/crates/thymeshift_entry/src/organisations/identity.rs
@@ -36,7 +36,7 @@
         return Ok(None);
     }
     let digest = digest.ok_or(UnknownKey)?;
-    let organisation = keys.holder(&digest).ok_or(UnknownKey)?.clone();
+    let organisation = keys.owner(&digest).ok_or(UnknownKey)?.clone();
     Ok(Some(Identity { organisation, digest }))
 }
 
@@ -47,7 +47,7 @@
 
     /// Whether the key still belongs to the organisation.
     pub(crate) fn holds(&self, keys: &KeyRing) -> bool {
-        keys.holder(&self.digest).is_some_and(|holder| holder.name == self.organisation.name)
+        keys.owner(&self.digest).is_some_and(|holder| holder.name == self.organisation.name)
     }
 }
 
--- a/crates/thymeshift_organisations/src/key_ring.rs
+++ b/crates/thymeshift_organisations/src/key_ring.rs
@@ -29,7 +29,7 @@
     }
 
     /// The organisation that holds a key.
-    pub fn holder(&self, digest: &KeyDigest) -> Option<&Organisation> {
+    pub fn owner(&self, digest: &KeyDigest) -> Option<&Organisation> {
         self.organisations.get(*self.holders.get(digest)?)
     }
 
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -116,9 +116,9 @@
         let configuration = Configuration::parse(&text).expect("a configuration");
         let keys = KeyRing::new(configuration.organisations);
         let name = u32::try_from(name).expect("a number");
-        let holder = keys.holder(&digest(name * 1_000 + 999)).expect("its holder");
+        let holder = keys.owner(&digest(name * 1_000 + 999)).expect("its holder");
         assert_eq!(holder.name.as_str(), format!("o-{name}"));
-        assert!(keys.holder(&digest(100_000)).is_none());
+        assert!(keys.owner(&digest(100_000)).is_none());
     }
     assert!(KeyRing::new(Arc::default()).allows_anonymous());
 }
