--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -22,7 +22,7 @@
 use parking_lot::Mutex;
 use spdlog::error;
 use thymeshift_config::Repeat;
-use thymeshift_pipeline::Delivery;
+use thymeshift_pipeline::RequestMatch;
 use thymeshift_pipeline::Pipeline;
 use thymeshift_telemetry::metric;
 use thymeshift_wire::Dialect;
@@ -186,9 +186,9 @@
     fn delivered(&self, parts: &Parts) -> Option<Begun> {
         let state = &mut *self.state.lock();
         match state.pipeline.delivered(parts) {
-            Delivery::Fresh => None,
-            Delivery::Named => state.begun.pop_front(),
-            Delivery::Other => {
+            RequestMatch::Fresh => None,
+            RequestMatch::Named => state.begun.pop_front(),
+            RequestMatch::Other => {
                 state.begun.clear();
                 None
             }
--- a/crates/thymeshift_pipeline/src/lib.rs
+++ b/crates/thymeshift_pipeline/src/lib.rs
@@ -19,5 +19,5 @@
 mod head;
 mod pipeline;
 
-pub use pipeline::Delivery;
+pub use pipeline::RequestMatch;
 pub use pipeline::Pipeline;
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -15,7 +15,7 @@
 
 /// What is known of a request that hyper has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Delivery {
+pub enum RequestMatch {
     /// It was not named before.
     Fresh,
     /// It is the first of those that were named.
@@ -70,19 +70,19 @@
     }
 
     /// hyper has read a request.
-    pub fn delivered(&mut self, parts: &Parts) -> Delivery {
+    pub fn delivered(&mut self, parts: &Parts) -> RequestMatch {
         if let Some(named) = self.named.pop_front() {
             if is_same(&named, parts) {
-                return Delivery::Named;
+                return RequestMatch::Named;
             }
             self.named.clear();
             self.end();
-            return Delivery::Other;
+            return RequestMatch::Other;
         }
         if !self.is_over {
             self.pass(parts);
         }
-        Delivery::Fresh
+        RequestMatch::Fresh
     }
 
     /// Names the next request behind the one under way, if its work may begin.
