--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -186,7 +186,7 @@
     fn delivered(&self, parts: &Parts) -> Option<Begun> {
         let state = &mut *self.state.lock();
         match state.pipeline.delivered(parts) {
-            RequestMatch::Fresh => None,
+            RequestMatch::NotYielded => None,
             RequestMatch::Named => state.begun.pop_front(),
             RequestMatch::Other => {
                 state.begun.clear();
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestMatch {
     /// It was not named before.
-    Fresh,
+    NotYielded,
     /// It is the first of those that were named.
     Named,
     /// It is another one than the first that was named: nothing that was begun may be used.
@@ -82,7 +82,7 @@
         if !self.is_over {
             self.pass(parts);
         }
-        RequestMatch::Fresh
+        RequestMatch::NotYielded
     }
 
     /// Names the next request behind the one under way, if its work may begin.
