--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -187,7 +187,7 @@
         let state = &mut *self.state.lock();
         match state.pipeline.delivered(parts) {
             RequestMatch::NotYielded => None,
-            RequestMatch::Named => state.begun.pop_front(),
+            RequestMatch::Yielded => state.begun.pop_front(),
             RequestMatch::Other => {
                 state.begun.clear();
                 None
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -19,7 +19,7 @@
     /// It was not named before.
     NotYielded,
     /// It is the first of those that were named.
-    Named,
+    Yielded,
     /// It is another one than the first that was named: nothing that was begun may be used.
     Other,
 }
@@ -73,7 +73,7 @@
     pub fn delivered(&mut self, parts: &Parts) -> RequestMatch {
         if let Some(named) = self.named.pop_front() {
             if is_same(&named, parts) {
-                return RequestMatch::Named;
+                return RequestMatch::Yielded;
             }
             self.named.clear();
             self.end();
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -50,13 +50,13 @@
     assert!(named(&mut pipeline).is_empty());
     assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2", "/3"]);
-    assert_eq!(pipeline.delivered(&get_parts("/2")), RequestMatch::Named);
+    assert_eq!(pipeline.delivered(&get_parts("/2")), RequestMatch::Yielded);
     pipeline.arrived(&get("/4").as_bytes()[..10]);
     assert!(named(&mut pipeline).is_empty());
     pipeline.arrived(&get("/4").as_bytes()[10..]);
     assert_eq!(named(&mut pipeline), ["/4"]);
-    assert_eq!(pipeline.delivered(&get_parts("/3")), RequestMatch::Named);
-    assert_eq!(pipeline.delivered(&get_parts("/4")), RequestMatch::Named);
+    assert_eq!(pipeline.delivered(&get_parts("/3")), RequestMatch::Yielded);
+    assert_eq!(pipeline.delivered(&get_parts("/4")), RequestMatch::Yielded);
     assert!(!pipeline.has_more());
 }
 
@@ -239,7 +239,7 @@
             // hyper reads the next request once it is there, now and then.
             if read < row.sent.len() && arrived >= ends[read] && (size.is_multiple_of(3) || rest.is_empty()) {
                 let delivery = pipeline.delivered(&row.sent[read].parts(read));
-                let expected = if read < next_named { RequestMatch::Named } else { RequestMatch::NotYielded };
+                let expected = if read < next_named { RequestMatch::Yielded } else { RequestMatch::NotYielded };
                 if delivery != expected {
                     return false;
                 }
