--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -188,7 +188,7 @@
         match state.pipeline.delivered(parts) {
             RequestMatch::NotYielded => None,
             RequestMatch::Yielded => state.begun.pop_front(),
-            RequestMatch::Other => {
+            RequestMatch::Mismatch => {
                 state.begun.clear();
                 None
             }
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -21,7 +21,7 @@
     /// It is the first of those that were named.
     Yielded,
     /// It is another one than the first that was named: nothing that was begun may be used.
-    Other,
+    Mismatch,
 }
 
 /// The bytes of one connection, as far as they are needed to find the requests in it.
@@ -77,7 +77,7 @@
             }
             self.named.clear();
             self.end();
-            return RequestMatch::Other;
+            return RequestMatch::Mismatch;
         }
         if !self.is_over {
             self.pass(parts);
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -66,7 +66,7 @@
     pipeline.arrived(format!("{}{}", get("/1"), get("/2")).as_bytes());
     assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2"]);
-    assert_eq!(pipeline.delivered(&get_parts("/other")), RequestMatch::Other);
+    assert_eq!(pipeline.delivered(&get_parts("/other")), RequestMatch::Mismatch);
     assert!(pipeline.is_over());
 }
 
