--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -133,7 +133,7 @@
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(length) => {
                     let bytes = &buffer.initialize_unfilled()[..length];
-                    self.state.lock().pipeline.arrived(bytes);
+                    self.state.lock().pipeline.push_bytes(bytes);
                     buffer.advance(length);
                     self.arrived.notify_one();
                     return Poll::Ready(Ok(()));
@@ -233,7 +233,7 @@
             }
             Ok(length) => {
                 let state = &mut *self.state.lock();
-                state.pipeline.arrived(&bytes[..length]);
+                state.pipeline.push_bytes(&bytes[..length]);
                 state.taken.extend_from_slice(&bytes[..length]);
                 Ok(())
             }
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -55,7 +55,7 @@
     }
 
     /// Bytes came from the caller, in their order.
-    pub fn arrived(&mut self, bytes: &[u8]) {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         if self.is_over {
             return;
         }
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -46,14 +46,14 @@
 #[test]
 fn what_stands_behind_a_request_is_named_once_that_one_is_read() {
     let mut pipeline = Pipeline::new(BYTES_MAX);
-    pipeline.arrived(format!("{}{}{}", get("/1"), get("/2"), get("/3")).as_bytes());
+    pipeline.push_bytes(format!("{}{}{}", get("/1"), get("/2"), get("/3")).as_bytes());
     assert!(named(&mut pipeline).is_empty());
     assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2", "/3"]);
     assert_eq!(pipeline.delivered(&get_parts("/2")), RequestMatch::Yielded);
-    pipeline.arrived(&get("/4").as_bytes()[..10]);
+    pipeline.push_bytes(&get("/4").as_bytes()[..10]);
     assert!(named(&mut pipeline).is_empty());
-    pipeline.arrived(&get("/4").as_bytes()[10..]);
+    pipeline.push_bytes(&get("/4").as_bytes()[10..]);
     assert_eq!(named(&mut pipeline), ["/4"]);
     assert_eq!(pipeline.delivered(&get_parts("/3")), RequestMatch::Yielded);
     assert_eq!(pipeline.delivered(&get_parts("/4")), RequestMatch::Yielded);
@@ -63,7 +63,7 @@
 #[test]
 fn another_request_than_the_one_named_ends_it() {
     let mut pipeline = Pipeline::new(BYTES_MAX);
-    pipeline.arrived(format!("{}{}", get("/1"), get("/2")).as_bytes());
+    pipeline.push_bytes(format!("{}{}", get("/1"), get("/2")).as_bytes());
     assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2"]);
     assert_eq!(pipeline.delivered(&get_parts("/other")), RequestMatch::Mismatch);
@@ -130,7 +130,7 @@
     ];
     for Case { note, behind, named: expected } in cases {
         let mut pipeline = Pipeline::new(BYTES_MAX);
-        pipeline.arrived(format!("{}{behind}", get("/1")).as_bytes());
+        pipeline.push_bytes(format!("{}{behind}", get("/1")).as_bytes());
         assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded, "{note}");
         assert_eq!(named(&mut pipeline), expected, "{note}");
     }
@@ -142,20 +142,20 @@
     let body = get("/in");
     let length = body.len().to_string();
     let head = format!("POST /p HTTP/1.1\r\nhost: a\r\ncontent-length: {length}\r\n\r\n");
-    pipeline.arrived(format!("{head}{}", &body[..20]).as_bytes());
+    pipeline.push_bytes(format!("{head}{}", &body[..20]).as_bytes());
     let post = parts(Method::POST, "/p", &[("host", "a"), ("content-length", &length)]);
     assert_eq!(pipeline.delivered(&post), RequestMatch::NotYielded);
     assert!(named(&mut pipeline).is_empty());
-    pipeline.arrived(format!("{}{}", &body[20..], get("/2")).as_bytes());
+    pipeline.push_bytes(format!("{}{}", &body[20..], get("/2")).as_bytes());
     assert_eq!(named(&mut pipeline), ["/2"]);
 }
 
 #[test]
 fn more_bytes_than_allowed_end_it() {
     let mut pipeline = Pipeline::new(1_000);
-    pipeline.arrived(get("/1").as_bytes());
+    pipeline.push_bytes(get("/1").as_bytes());
     assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
-    pipeline.arrived(&vec![b'x'; 1_001]);
+    pipeline.push_bytes(&vec![b'x'; 1_001]);
     assert!(pipeline.is_over());
     assert!(named(&mut pipeline).is_empty());
 }
@@ -233,7 +233,7 @@
         }
         while !rest.is_empty() || read < row.sent.len() {
             let size = usize::from(*cuts.next().unwrap_or(&50)).max(1).min(rest.len());
-            pipeline.arrived(&rest[..size]);
+            pipeline.push_bytes(&rest[..size]);
             rest = &rest[size..];
             let arrived = whole.len() - rest.len();
             // hyper reads the next request once it is there, now and then.
