--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -185,7 +185,7 @@
     /// The work on a request that was begun early.
     fn delivered(&self, parts: &Parts) -> Option<Begun> {
         let state = &mut *self.state.lock();
-        match state.pipeline.delivered(parts) {
+        match state.pipeline.match_request(parts) {
             RequestMatch::NotYielded => None,
             RequestMatch::Yielded => state.begun.pop_front(),
             RequestMatch::Mismatch => {
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -70,7 +70,7 @@
     }
 
     /// hyper has read a request.
-    pub fn delivered(&mut self, parts: &Parts) -> RequestMatch {
+    pub fn match_request(&mut self, parts: &Parts) -> RequestMatch {
         if let Some(named) = self.named.pop_front() {
             if is_same(&named, parts) {
                 return RequestMatch::Yielded;
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -48,15 +48,15 @@
     let mut pipeline = Pipeline::new(BYTES_MAX);
     pipeline.push_bytes(format!("{}{}{}", get("/1"), get("/2"), get("/3")).as_bytes());
     assert!(named(&mut pipeline).is_empty());
-    assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
+    assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2", "/3"]);
-    assert_eq!(pipeline.delivered(&get_parts("/2")), RequestMatch::Yielded);
+    assert_eq!(pipeline.match_request(&get_parts("/2")), RequestMatch::Yielded);
     pipeline.push_bytes(&get("/4").as_bytes()[..10]);
     assert!(named(&mut pipeline).is_empty());
     pipeline.push_bytes(&get("/4").as_bytes()[10..]);
     assert_eq!(named(&mut pipeline), ["/4"]);
-    assert_eq!(pipeline.delivered(&get_parts("/3")), RequestMatch::Yielded);
-    assert_eq!(pipeline.delivered(&get_parts("/4")), RequestMatch::Yielded);
+    assert_eq!(pipeline.match_request(&get_parts("/3")), RequestMatch::Yielded);
+    assert_eq!(pipeline.match_request(&get_parts("/4")), RequestMatch::Yielded);
     assert!(!pipeline.has_more());
 }
 
@@ -64,9 +64,9 @@
 fn another_request_than_the_one_named_ends_it() {
     let mut pipeline = Pipeline::new(BYTES_MAX);
     pipeline.push_bytes(format!("{}{}", get("/1"), get("/2")).as_bytes());
-    assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
+    assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2"]);
-    assert_eq!(pipeline.delivered(&get_parts("/other")), RequestMatch::Mismatch);
+    assert_eq!(pipeline.match_request(&get_parts("/other")), RequestMatch::Mismatch);
     assert!(pipeline.is_over());
 }
 
@@ -131,7 +131,7 @@
     for Case { note, behind, named: expected } in cases {
         let mut pipeline = Pipeline::new(BYTES_MAX);
         pipeline.push_bytes(format!("{}{behind}", get("/1")).as_bytes());
-        assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded, "{note}");
+        assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded, "{note}");
         assert_eq!(named(&mut pipeline), expected, "{note}");
     }
 }
@@ -144,7 +144,7 @@
     let head = format!("POST /p HTTP/1.1\r\nhost: a\r\ncontent-length: {length}\r\n\r\n");
     pipeline.push_bytes(format!("{head}{}", &body[..20]).as_bytes());
     let post = parts(Method::POST, "/p", &[("host", "a"), ("content-length", &length)]);
-    assert_eq!(pipeline.delivered(&post), RequestMatch::NotYielded);
+    assert_eq!(pipeline.match_request(&post), RequestMatch::NotYielded);
     assert!(named(&mut pipeline).is_empty());
     pipeline.push_bytes(format!("{}{}", &body[20..], get("/2")).as_bytes());
     assert_eq!(named(&mut pipeline), ["/2"]);
@@ -154,7 +154,7 @@
 fn more_bytes_than_allowed_end_it() {
     let mut pipeline = Pipeline::new(1_000);
     pipeline.push_bytes(get("/1").as_bytes());
-    assert_eq!(pipeline.delivered(&get_parts("/1")), RequestMatch::NotYielded);
+    assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
     pipeline.push_bytes(&vec![b'x'; 1_001]);
     assert!(pipeline.is_over());
     assert!(named(&mut pipeline).is_empty());
@@ -238,7 +238,7 @@
             let arrived = whole.len() - rest.len();
             // hyper reads the next request once it is there, now and then.
             if read < row.sent.len() && arrived >= ends[read] && (size.is_multiple_of(3) || rest.is_empty()) {
-                let delivery = pipeline.delivered(&row.sent[read].parts(read));
+                let delivery = pipeline.match_request(&row.sent[read].parts(read));
                 let expected = if read < next_named { RequestMatch::Yielded } else { RequestMatch::NotYielded };
                 if delivery != expected {
                     return false;
