--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -253,7 +253,7 @@
         if is_full {
             return None;
         }
-        state.pipeline.next(|parts| {
+        state.pipeline.next_request(|parts| {
             let kind = routing.kind_of(&Head::new(parts));
             parts.method.is_safe() && kind.is_some_and(|kind| kind.kind.repeat == Repeat::Safe)
         })
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -86,7 +86,7 @@
     }
 
     /// Names the next request behind the one under way, if its work may begin.
-    pub fn next(&mut self, may_begin: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
+    pub fn next_request(&mut self, may_begin: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
         if self.is_over || self.is_held || self.body_left > 0 || self.unread.is_empty() {
             return None;
         }
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -37,7 +37,7 @@
 /// The paths of all requests that are named now.
 fn named(pipeline: &mut Pipeline) -> Vec<String> {
     let mut paths = Vec::new();
-    while let Some(parts) = pipeline.next(is_get) {
+    while let Some(parts) = pipeline.next_request(is_get) {
         paths.push(parts.uri.to_string());
     }
     paths
@@ -246,7 +246,7 @@
                 read += 1;
                 next_named = next_named.max(read);
             }
-            while let Some(found) = pipeline.next(is_get) {
+            while let Some(found) = pipeline.next_request(is_get) {
                 let is_expected = found.uri.path() == format!("/{next_named}")
                     && next_named < row.sent.len()
                     && row.sent[next_named..=next_named].iter().all(|sent| !sent.is_post)
