--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -248,7 +248,7 @@
         let routing = shared.routing()?;
         let ahead_max = routing.configuration.limits.requests_ahead_max;
         let state = &mut *self.state.lock();
-        let is_full = state.pipeline.named() as u64 >= ahead_max
+        let is_full = state.pipeline.pending_count() as u64 >= ahead_max
             || shared.figures.requests_ahead.load(Ordering::Relaxed) >= AHEAD_IN_PROCESS_MAX;
         if is_full {
             return None;
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -110,7 +110,7 @@
     }
 
     /// Requests that were named, and that hyper has not read.
-    pub fn named(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.named.len()
     }
 
