--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -218,7 +218,7 @@
 
     fn may_take(&self) -> bool {
         let state = self.state.lock();
-        !state.pipeline.is_over() && state.taken.len() + READ_BYTES <= BYTES_AHEAD_MAX
+        !state.pipeline.is_stopped() && state.taken.len() + READ_BYTES <= BYTES_AHEAD_MAX
     }
 
     /// Takes what has arrived; an error means that the caller has left.
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -37,7 +37,7 @@
     /// Whether the next request is to be read by hyper first.
     is_held: bool,
     /// Whether nothing more is followed.
-    is_over: bool,
+    is_stopped: bool,
 }
 
 impl Pipeline {
@@ -50,13 +50,13 @@
             body_left: 0,
             named: VecDeque::new(),
             is_held: true,
-            is_over: false,
+            is_stopped: false,
         }
     }
 
     /// Bytes came from the caller, in their order.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
-        if self.is_over {
+        if self.is_stopped {
             return;
         }
         let body = usize::try_from(self.body_left).unwrap_or(usize::MAX).min(bytes.len());
@@ -79,7 +79,7 @@
             self.end();
             return RequestMatch::Mismatch;
         }
-        if !self.is_over {
+        if !self.is_stopped {
             self.pass(parts);
         }
         RequestMatch::NotYielded
@@ -87,7 +87,7 @@
 
     /// Names the next request behind the one under way, if its work may begin.
     pub fn next_request(&mut self, may_begin: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
-        if self.is_over || self.is_held || self.body_left > 0 || self.unread.is_empty() {
+        if self.is_stopped || self.is_held || self.body_left > 0 || self.unread.is_empty() {
             return None;
         }
         let head = match read(&self.unread) {
@@ -120,8 +120,8 @@
     }
 
     /// Whether nothing more is followed.
-    pub fn is_over(&self) -> bool {
-        self.is_over
+    pub fn is_stopped(&self) -> bool {
+        self.is_stopped
     }
 
     /// Goes on behind a request that was not named.
@@ -141,7 +141,7 @@
     }
 
     fn end(&mut self) {
-        self.is_over = true;
+        self.is_stopped = true;
         self.unread = BytesMut::new();
     }
 }
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -67,7 +67,7 @@
     assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
     assert_eq!(named(&mut pipeline), ["/2"]);
     assert_eq!(pipeline.match_request(&get_parts("/other")), RequestMatch::Mismatch);
-    assert!(pipeline.is_over());
+    assert!(pipeline.is_stopped());
 }
 
 #[test]
@@ -156,7 +156,7 @@
     pipeline.push_bytes(get("/1").as_bytes());
     assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
     pipeline.push_bytes(&vec![b'x'; 1_001]);
-    assert!(pipeline.is_over());
+    assert!(pipeline.is_stopped());
     assert!(named(&mut pipeline).is_empty());
 }
 
