--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -297,7 +297,7 @@
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let expected = "processors as a number such as 0.2 or 4, from 0.001 to 1000";
         let (text, is_quoted) = scalar(node, path, expected, mistakes)?;
-        let capacity = text.parse().ok().and_then(Self::of_processors);
+        let capacity = text.parse().ok().and_then(Self::from_processors);
         match capacity {
             Some(capacity) if !is_quoted => Some(capacity),
             _ => refuse(node, path, expected, mistakes),
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -65,7 +65,7 @@
         control_address: address(number),
         datagram_address: Some(address(number)),
         data_hall: hall(number, halls),
-        capacity: Capacity::of_processors(processors).expect("a capacity"),
+        capacity: Capacity::from_processors(processors).expect("a capacity"),
         phase: Phase::Serving,
         revision: None,
     }
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -220,7 +220,7 @@
 
 #[test]
 fn large_vms_go_first_and_equal_ones_share() {
-    let share = |processors| Capacity::of_processors(processors).expect("a capacity");
+    let share = |processors| Capacity::from_processors(processors).expect("a capacity");
     let members: Vec<(VmName, Capacity)> = (0..36)
         .map(|number| (vm(number), if number < 2 { share(0.5) } else { share(0.1) }))
         .collect();
--- a/crates/thymeshift_types/src/capacity.rs
+++ b/crates/thymeshift_types/src/capacity.rs
@@ -18,7 +18,7 @@
 
 impl Capacity {
     /// That of `processors`, if it lies between a thousandth and a thousand.
-    pub fn of_processors(processors: f64) -> Option<Self> {
+    pub fn from_processors(processors: f64) -> Option<Self> {
         let milli = (processors * MILLI).round();
         (LEAST_MILLI..=MOST_MILLI).contains(&milli).then_some(Self(milli as u32))
     }
