--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -7,8 +7,8 @@
 
 use metrics::counter;
 use rand::Rng;
-use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::Group;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_dispatch::RateShare;
 use thymeshift_dispatch::Refusal;
 use thymeshift_dispatch::Request;
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -8,10 +8,10 @@
 use rand_distr::Distribution;
 use rand_distr::Exp;
 use thymeshift_allocation::AllocatorRank;
-use thymeshift_organisations::TokenGrant;
 use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaLimit;
+use thymeshift_organisations::TokenGrant;
 use thymeshift_organisations::TokenRequest;
 use thymeshift_types::Timestamp;
 
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -4,8 +4,8 @@
 
 use thymeshift_types::Timestamp;
 
-use crate::TokenGrant;
 use crate::TOKEN_TTL;
+use crate::TokenGrant;
 use crate::demand::Demand;
 use crate::limit::QuotaLimit;
 use crate::token_bucket::TokenBucket;
--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -27,12 +27,12 @@
 mod limit;
 mod token_bucket;
 
-pub use counter::TokenGrant;
 pub use counter::QuotaCounter;
-pub use counter::TokenRequest;
 pub use counter::TOKEN_TTL;
-pub use holder::BATCH_DURATION;
+pub use counter::TokenGrant;
+pub use counter::TokenRequest;
 pub use holder::Admission;
+pub use holder::BATCH_DURATION;
 pub use holder::QuotaHolder;
 pub use key_ring::KeyRing;
 pub use limit::QuotaLimit;
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use thymeshift_config::Configuration;
-use thymeshift_organisations::TokenGrant;
-use thymeshift_organisations::KeyRing;
 use thymeshift_organisations::Admission;
+use thymeshift_organisations::KeyRing;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::TokenRequest;
 use thymeshift_organisations::TOKEN_TTL;
+use thymeshift_organisations::TokenGrant;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_types::KeyDigest;
 use thymeshift_types::Timestamp;
 
--- a/crates/thymeshift_pipeline/src/lib.rs
+++ b/crates/thymeshift_pipeline/src/lib.rs
@@ -19,5 +19,5 @@
 mod head;
 mod pipeline;
 
-pub use pipeline::RequestMatch;
 pub use pipeline::Pipeline;
+pub use pipeline::RequestMatch;
--- a/crates/thymeshift_pipeline/tests/rows.rs
+++ b/crates/thymeshift_pipeline/tests/rows.rs
@@ -9,8 +9,8 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 use quickcheck::quickcheck;
-use thymeshift_pipeline::RequestMatch;
 use thymeshift_pipeline::Pipeline;
+use thymeshift_pipeline::RequestMatch;
 
 const BYTES_MAX: usize = 16 * 1_024;
 
