--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ColdPaces {
     /// For the process that allocates the target.
-    pub(crate) allocating: Duration,
+    pub(crate) fleet: Duration,
     /// For each process of a fleet in which nobody allocates.
     pub(crate) own: Duration,
     /// For a process that decides alone while others may allocate.
@@ -49,7 +49,7 @@
         let left = bound.saturating_sub(allocators).max(rate / ALONE_LEAST_PART);
         let vms = entry_vms_max.max(1);
         Some(Self {
-            allocating: between(rate, 1),
+            fleet: between(rate, 1),
             own: between(bound, vms),
             alone: between(left, vms),
         })
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -80,7 +80,7 @@
         };
         let waited = now.since(self.granted_at);
         match bound {
-            Bound::Best(..) => waited < paces.allocating,
+            Bound::Best(..) => waited < paces.fleet,
             Bound::Learnt => waited.min(now.since(self.cold_start.since())) < paces.own,
             Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.alone,
         }
