--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -36,7 +36,7 @@
     /// For each process of a fleet in which nobody allocates.
     pub(crate) own: Duration,
     /// For a process that decides alone while others may allocate.
-    pub(crate) alone: Duration,
+    pub(crate) fallback: Duration,
 }
 
 impl ColdPaces {
@@ -51,7 +51,7 @@
         Some(Self {
             fleet: between(rate, 1),
             own: between(bound, vms),
-            alone: between(left, vms),
+            fallback: between(left, vms),
         })
     }
 }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -82,7 +82,7 @@
         match bound {
             Bound::Best(..) => waited < paces.fleet,
             Bound::Learnt => waited.min(now.since(self.cold_start.since())) < paces.own,
-            Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.alone,
+            Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.fallback,
         }
     }
 
