--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -61,7 +61,7 @@
     pause: PauseDetector,
     view: View,
     /// Whether others have room for what finds no target here.
-    is_backed: bool,
+    can_overflow: bool,
 }
 
 impl Dispatcher<AnyStrategy> {
@@ -95,14 +95,14 @@
             ejection: Ejection::default(),
             pause: PauseDetector::new(now, PAUSE_GAP_MAX),
             view: View::Own,
-            is_backed: false,
+            can_overflow: false,
         }
     }
 
     /// Says whether requests that find no target here may go elsewhere: then any number of
     /// targets may be set aside.
     pub fn set_backed(&mut self, is_backed: bool) {
-        self.is_backed = is_backed;
+        self.can_overflow = is_backed;
     }
 
     /// Says whose requests the counts hold from now on.
