--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -267,7 +267,7 @@
         State::Granted(grant) => {
             if let Some(observation) = observation {
                 // A mark that a target is leaving is passed on by whoever saw it.
-                let _ = dispatcher.learn(&grant, observation, now);
+                let _ = dispatcher.record_attempt(&grant, observation, now);
             }
             dispatcher.release(grant, now);
         }
--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -29,7 +29,7 @@
 impl<S: Strategy> Dispatcher<S> {
     /// Learns from an attempt, at most once for each grant. If the target said that it is
     /// leaving and that is news, returns the mark to pass on to other VMs.
-    pub fn learn(
+    pub fn record_attempt(
         &mut self,
         grant: &Grant,
         observation: Observation,
@@ -171,7 +171,7 @@
         self.table.set_fleet_share(share);
     }
 
-    /// Takes in a report that no request carried (a probe's). As [`Dispatcher::learn`],
+    /// Takes in a report that no request carried (a probe's). As [`Dispatcher::record_attempt`],
     /// returns a mark that is news.
     pub fn learn_probe(
         &mut self,
--- a/crates/thymeshift_dispatch/src/lib.rs
+++ b/crates/thymeshift_dispatch/src/lib.rs
@@ -7,7 +7,7 @@
 //! 1. ask it with [`Dispatcher::request`]; it answers [`Decision::Send`],
 //!    [`Decision::Wait`] or [`Decision::Refuse`];
 //! 2. before the first byte is sent, ask [`Dispatcher::may_send`] again;
-//! 3. tell it with [`Dispatcher::learn`] what was seen and with [`Dispatcher::release`]
+//! 3. tell it with [`Dispatcher::record_attempt`] what was seen and with [`Dispatcher::release`]
 //!    that the target is done with the request;
 //! 4. after each release take the waiting requests that may go now from
 //!    [`Dispatcher::next_wake`].
--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -38,7 +38,7 @@
 fn refuses(dispatcher: &mut TestDispatcher, index: usize, wait: Duration, now: Timestamp) {
     let grant = dispatcher.grant_at(&name(index), None, now).expect("a grant");
     dispatcher.back_off(&grant, wait, now);
-    dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
+    dispatcher.record_attempt(&grant, Observation::ShedWithBackoff(None), now);
     dispatcher.release(grant, now);
 }
 
@@ -107,7 +107,7 @@
     let mut dispatcher = service(2);
     let slow = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
     refuses(&mut dispatcher, 0, BACKOFF, at(2));
-    dispatcher.learn(&slow, Observation::Answered(None), at(50));
+    dispatcher.record_attempt(&slow, Observation::Answered(None), at(50));
     dispatcher.release(slow, at(50));
     assert!(!is_used(&mut dispatcher, 0, at(2_900)));
 }
@@ -221,9 +221,9 @@
         let grant = sent(dispatcher, request(1, now + ms(900)), now, rng);
         if dispatcher.target_name(&grant) == name(0) {
             trials += 1;
-            dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
+            dispatcher.record_attempt(&grant, Observation::ShedWithBackoff(None), now);
         } else {
-            dispatcher.learn(&grant, Observation::Answered(None), now);
+            dispatcher.record_attempt(&grant, Observation::Answered(None), now);
         }
         dispatcher.release(grant, now);
     }
@@ -238,7 +238,7 @@
     let trials = trials_in_a_second(&mut dispatcher, 0, &mut rng);
     assert!((5..=13).contains(&trials), "{trials} trials");
     let grant = dispatcher.grant_at(&name(0), None, at(1_200)).expect("a grant");
-    dispatcher.learn(&grant, Observation::Answered(None), at(1_210));
+    dispatcher.record_attempt(&grant, Observation::Answered(None), at(1_210));
     dispatcher.release(grant, at(1_210));
     assert!(is_used(&mut dispatcher, 0, at(1_211)), "one answer ends the streak");
 }
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -49,7 +49,7 @@
     for grant in grants {
         let others = dispatcher.in_flight(grant.target()) - 1;
         let observation = Observation::Answered(Some(report(others, 0)));
-        let _ = dispatcher.learn(&grant, observation, now + taken);
+        let _ = dispatcher.record_attempt(&grant, observation, now + taken);
         dispatcher.release(grant, now + taken);
     }
 }
@@ -127,7 +127,7 @@
         for (_, target, grant) in running.extract_if(.., |(end, ..)| *end <= now) {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now);
+            let _ = dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
             assert!(target < targets);
         }
@@ -212,7 +212,7 @@
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1 + foreign;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now + ms(taken));
+            let _ = dispatcher.record_attempt(&grant, observation, now + ms(taken));
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -315,7 +315,7 @@
             let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(taken_ms);
             let report = LoadReport { pace_percent: before_percent, ..report(0, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(Some(report)), now);
             dispatcher.release(grant, now);
             // Old news when the next request comes.
             now = now + ms(200);
@@ -372,7 +372,7 @@
         for _ in 0..10 {
             let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(200);
-            let _ = dispatcher.learn(&grant, Observation::Answered(None), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
         }
         for _ in 0..20 {
@@ -410,7 +410,7 @@
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now + ms(taken));
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(Some(report)), now + ms(taken));
             dispatcher.release(grant, now + ms(taken));
         }
     }
--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -44,7 +44,7 @@
             let wanted = request(1, at(100_000));
             let grant = sent(&mut dispatcher, wanted, at(step * 200), &mut rng);
             let answered = thymeshift_dispatch::Observation::Answered(Some(support::report(0, 0)));
-            dispatcher.learn(&grant, answered, at(step * 200 + 200));
+            dispatcher.record_attempt(&grant, answered, at(step * 200 + 200));
             dispatcher.release(grant, at(step * 200 + 200));
         }
         let now = at(10_000) + ms(1);
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -50,7 +50,7 @@
             played.sent_on += 1;
         } else if let Decision::Send(grant) = dispatcher.request(at_once, now, rng) {
             *played.tried.entry(dispatcher.target_name(&grant)).or_default() += 1;
-            dispatcher.learn(&grant, observation, now);
+            dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
         }
     }
@@ -96,7 +96,7 @@
         let now = at(2_500 + step * 5);
         let at_once = Request { queue_max: 0, ..request(1, at(9_000)) };
         if let Decision::Send(grant) = dispatcher.request(at_once, now, &mut rng) {
-            dispatcher.learn(&grant, Observation::Answered(None), now);
+            dispatcher.record_attempt(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
             used += 1;
         }
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -103,7 +103,7 @@
         let now: Timestamp = at(now_ms);
         for (_, target, grant) in running.extract_if(.., |(ends_ms, ..)| *ends_ms <= now_ms) {
             let answer = Observation::Answered(Some(told(target, now_ms)));
-            let _ = fleet.dispatcher.learn(&grant, answer, now);
+            let _ = fleet.dispatcher.record_attempt(&grant, answer, now);
             fleet.dispatcher.release(grant, now);
         }
         if now_ms % 15 == 0 {
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -73,7 +73,7 @@
             learn: |dispatcher| {
                 for step in 0..20 {
                     let Some(grant) = dispatcher.grant_at(&name(0), None, at(step)) else { break };
-                    dispatcher.learn(&grant, Observation::Failed(None), at(step));
+                    dispatcher.record_attempt(&grant, Observation::Failed(None), at(step));
                     dispatcher.release(grant, at(step));
                 }
             },
@@ -82,7 +82,7 @@
             believed: "that it cannot be reached",
             learn: |dispatcher| {
                 let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
-                dispatcher.learn(&grant, Observation::Unreachable, at(1));
+                dispatcher.record_attempt(&grant, Observation::Unreachable, at(1));
                 dispatcher.release(grant, at(1));
             },
         },
@@ -137,8 +137,8 @@
     let before = first(&dispatcher, 11);
     for grant in grants {
         assert!(!dispatcher.may_send(&grant, at(9_000), at(12)), "a choice of the earlier start");
-        dispatcher.learn(&grant, Observation::Broken, at(12));
-        dispatcher.learn(&grant, Observation::Unreachable, at(12));
+        dispatcher.record_attempt(&grant, Observation::Broken, at(12));
+        dispatcher.record_attempt(&grant, Observation::Unreachable, at(12));
         dispatcher.release(grant, at(13));
     }
     assert!(
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -52,7 +52,7 @@
         let target = dispatcher.target_name(&grant).to_string();
         let (observation, taken) = answer(&target);
         now = now + ms(taken);
-        dispatcher.learn(&grant, observation, now);
+        dispatcher.record_attempt(&grant, observation, now);
         dispatcher.release(grant, now);
         *counts.entry(target).or_default() += 1;
     }
@@ -80,7 +80,7 @@
         }
         Source::Answer => {
             let grant = sent(dispatcher, request(1, at(100)), at(0), &mut rng());
-            let mark = dispatcher.learn(&grant, Observation::Answered(Some(draining)), at(1));
+            let mark = dispatcher.record_attempt(&grant, Observation::Answered(Some(draining)), at(1));
             assert_eq!(mark.expect("news to pass on").target, name(0));
             dispatcher.release(grant, at(1));
         }
@@ -226,7 +226,7 @@
             held.push(grant);
         }
         let grant = held.remove(0);
-        dispatcher.learn(&grant, idle(), now);
+        dispatcher.record_attempt(&grant, idle(), now);
         dispatcher.release(grant, now);
     }
     assert_eq!(dispatcher.dump(now).targets[0].limit.floor() as u64, 10);
@@ -234,13 +234,13 @@
     // Its queue grows: the limit falls to 1.
     for grant in held {
         now = now + ms(500);
-        dispatcher.learn(&grant, Observation::Answered(Some(report(1, 9))), now);
+        dispatcher.record_attempt(&grant, Observation::Answered(Some(report(1, 9))), now);
         dispatcher.release(grant, now);
     }
     for _ in 0..40 {
         now = now + ms(500);
         let grant = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
-        dispatcher.learn(&grant, Observation::Answered(Some(report(1, 9))), now);
+        dispatcher.record_attempt(&grant, Observation::Answered(Some(report(1, 9))), now);
         dispatcher.release(grant, now);
     }
     assert_eq!(dispatcher.dump(now).targets[0].limit.floor() as u64, 1);
@@ -302,7 +302,7 @@
     dispatcher.update(&two, &two.services[0], &hall(), at(2));
     assert_eq!(dispatcher.dump(at(2)).targets.len(), 3, "t1 has a new place");
     for grant in grants.drain(..) {
-        dispatcher.learn(&grant, idle(), at(3));
+        dispatcher.record_attempt(&grant, idle(), at(3));
         dispatcher.release(grant, at(3));
     }
     dispatcher.update(&one, &one.services[0], &hall(), at(4));
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -105,7 +105,7 @@
         }
         let grant = self.grant.as_ref()?;
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.learn(grant, observation, now)
+        self.service.own.lock().dispatcher.record_attempt(grant, observation, now)
     }
 }
 
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -88,7 +88,7 @@
         now: Timestamp,
     ) -> (Observation, Option<Duration>) {
         let Some(backoff) = *answer else {
-            let _ = own.learn(grant, Observation::Answered(None), now);
+            let _ = own.record_attempt(grant, Observation::Answered(None), now);
             return (Observation::Answered(None), None);
         };
         if self.policy != BackoffPolicy::Unread {
@@ -98,7 +98,7 @@
             BackoffPolicy::NamedAndSpaced => Observation::ShedWithBackoff(None),
             _ => Observation::Shed(None),
         };
-        let _ = own.learn(grant, observation, now);
+        let _ = own.record_attempt(grant, observation, now);
         (observation, (self.policy == BackoffPolicy::ForAll).then_some(backoff))
     }
 
