--- a/crates/thymeshift_allocation/tests/drained_order.rs
+++ b/crates/thymeshift_allocation/tests/drained_order.rs
@@ -263,7 +263,7 @@
             self.answers.remove(place);
         }
         let process = &mut self.processes[answer.process];
-        let granted = process.dispatcher.grant_at(&answer.target, None, self.now);
+        let granted = process.dispatcher.grant_target(&answer.target, None, self.now);
         process.granted.extend(granted);
     }
 
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -117,7 +117,7 @@
 
     /// The right to send to the target called `name`, which another process chose knowing
     /// `limit` of it. None if it is not known here, or may not receive new work.
-    pub fn grant_at(
+    pub fn grant_target(
         &mut self,
         name: &TargetName,
         limit: Option<RateLimitUpdate>,
--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -36,7 +36,7 @@
 
 /// A target refuses a request that is sent now, and asks for a backoff.
 fn refuses(dispatcher: &mut TestDispatcher, index: usize, wait: Duration, now: Timestamp) {
-    let grant = dispatcher.grant_at(&name(index), None, now).expect("a grant");
+    let grant = dispatcher.grant_target(&name(index), None, now).expect("a grant");
     dispatcher.back_off(&grant, wait, now);
     dispatcher.record_attempt(&grant, Observation::ShedWithBackoff(None), now);
     dispatcher.release(grant, now);
@@ -74,7 +74,7 @@
             let mut dispatcher = service(2);
             dispatcher.set_view(view);
             let grants: Vec<_> = (0..asked.len())
-                .map(|_| dispatcher.grant_at(&name(0), None, at(0)).expect("a grant"))
+                .map(|_| dispatcher.grant_target(&name(0), None, at(0)).expect("a grant"))
                 .collect();
             for (grant, (at_s, wait_s)) in grants.into_iter().zip(asked) {
                 dispatcher.back_off(&grant, Duration::from_secs_f64(*wait_s), moment(*at_s));
@@ -83,7 +83,7 @@
             let note = format!("{asked:?}, {view}");
             assert!(!is_used(&mut dispatcher, 0, moment(ends_s - 0.001)), "{note}: too soon");
             assert!(
-                dispatcher.grant_at(&name(0), None, moment(ends_s - 0.001)).is_none(),
+                dispatcher.grant_target(&name(0), None, moment(ends_s - 0.001)).is_none(),
                 "{note}"
             );
             assert!(is_used(&mut dispatcher, 0, moment(ends_s + 0.2)), "{note}: not used again");
@@ -94,7 +94,7 @@
 #[test]
 fn a_grant_in_hand_is_void_once_its_target_asks_for_a_backoff() {
     let mut dispatcher = service(2);
-    let held = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let held = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
     assert!(dispatcher.may_send(&held, at(900), at(1)));
     refuses(&mut dispatcher, 0, BACKOFF, at(2));
     assert!(!dispatcher.may_send(&held, at(900), at(3)));
@@ -105,7 +105,7 @@
 #[test]
 fn an_answer_in_between_does_not_end_a_backoff() {
     let mut dispatcher = service(2);
-    let slow = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let slow = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
     refuses(&mut dispatcher, 0, BACKOFF, at(2));
     dispatcher.record_attempt(&slow, Observation::Answered(None), at(50));
     dispatcher.release(slow, at(50));
@@ -237,7 +237,7 @@
     let mut rng = rng();
     let trials = trials_in_a_second(&mut dispatcher, 0, &mut rng);
     assert!((5..=13).contains(&trials), "{trials} trials");
-    let grant = dispatcher.grant_at(&name(0), None, at(1_200)).expect("a grant");
+    let grant = dispatcher.grant_target(&name(0), None, at(1_200)).expect("a grant");
     dispatcher.record_attempt(&grant, Observation::Answered(None), at(1_210));
     dispatcher.release(grant, at(1_210));
     assert!(is_used(&mut dispatcher, 0, at(1_211)), "one answer ends the streak");
@@ -260,7 +260,7 @@
         Case {
             name: "that it leaves",
             say: |dispatcher| {
-                let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
                 assert!(dispatcher.mark_granted_leaving(&grant).is_some());
                 dispatcher.release(grant, at(0));
             },
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -493,10 +493,10 @@
 #[test]
 fn a_grant_at_a_named_target_is_refused_once_it_is_leaving() {
     let mut dispatcher = fleet_dispatcher(2, 2);
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_some());
+    assert!(dispatcher.grant_target(&name(0), None, at(0)).is_some());
     assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_none());
-    assert!(dispatcher.grant_at(&name(9), None, at(0)).is_none(), "unknown here");
+    assert!(dispatcher.grant_target(&name(0), None, at(0)).is_none());
+    assert!(dispatcher.grant_target(&name(9), None, at(0)).is_none(), "unknown here");
 }
 
 #[test]
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -48,7 +48,7 @@
 
 /// A target states a limit, or none, on the answer to a request that is sent and answered now.
 fn states(dispatcher: &mut TestDispatcher, index: usize, limit: Option<RequestRate>, moment: u64) {
-    let grant = dispatcher.grant_at(&name(index), None, at(moment)).expect("a grant");
+    let grant = dispatcher.grant_target(&name(index), None, at(moment)).expect("a grant");
     dispatcher.learn_rate_limit(&grant, limit, at(moment + 1));
     dispatcher.release(grant, at(moment + 1));
 }
@@ -155,7 +155,7 @@
         ];
         all.shuffle(&mut SmallRng::seed_from_u64(seed));
         let mut dispatcher = fleet(1);
-        let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+        let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
         for told in &all {
             dispatcher.merge_rate_limit(&grant, told, at(2_000));
         }
@@ -170,11 +170,11 @@
 #[test]
 fn an_answer_ends_the_need_only_if_its_request_was_sent_after_it_was_named() {
     let mut dispatcher = fleet(1);
-    let early = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let early = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
     states(&mut dispatcher, 0, Some(rate(2.0)), 10);
     assert!(!dispatcher.learn_rate_limit(&early, None, at(200)), "it may have answered before");
     assert_eq!(limit(&dispatcher, 200), Some(2.0));
-    let late = dispatcher.grant_at(&name(0), None, at(210)).expect("a grant");
+    let late = dispatcher.grant_target(&name(0), None, at(210)).expect("a grant");
     assert!(dispatcher.learn_rate_limit(&late, None, at(300)));
     assert_eq!(limit(&dispatcher, 300), None);
 }
@@ -182,14 +182,14 @@
 #[test]
 fn a_choice_made_without_the_limit_is_void() {
     let mut dispatcher = fleet(1);
-    let unaware = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let unaware = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
     assert!(dispatcher.may_send(&unaware, at(900), at(1)));
     states(&mut dispatcher, 0, Some(rate(2.0)), 10);
     assert!(!dispatcher.may_send(&unaware, at(900), at(20)), "the limit is newer than the choice");
     let limit = RateLimitUpdate { per_1000_s: Some(2_000), age: Duration::ZERO };
-    let aware = dispatcher.grant_at(&name(0), Some(limit), at(30)).expect("a grant");
+    let aware = dispatcher.grant_target(&name(0), Some(limit), at(30)).expect("a grant");
     assert!(dispatcher.may_send(&aware, at(900), at(31)));
-    let unaware = dispatcher.grant_at(&name(0), None, at(40)).expect("a grant");
+    let unaware = dispatcher.grant_target(&name(0), None, at(40)).expect("a grant");
     assert!(!dispatcher.is_within_limit(&unaware), "whoever chose did not know of it");
 }
 
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -57,7 +57,7 @@
         Case {
             believed: "that it asked for a backoff",
             learn: |dispatcher| {
-                let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
                 dispatcher.back_off(&grant, Duration::from_mins(1), at(0));
                 dispatcher.release(grant, at(0));
             },
@@ -72,7 +72,7 @@
             believed: "that it fails",
             learn: |dispatcher| {
                 for step in 0..20 {
-                    let Some(grant) = dispatcher.grant_at(&name(0), None, at(step)) else { break };
+                    let Some(grant) = dispatcher.grant_target(&name(0), None, at(step)) else { break };
                     dispatcher.record_attempt(&grant, Observation::Failed(None), at(step));
                     dispatcher.release(grant, at(step));
                 }
@@ -81,7 +81,7 @@
         Case {
             believed: "that it cannot be reached",
             learn: |dispatcher| {
-                let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
                 dispatcher.record_attempt(&grant, Observation::Unreachable, at(1));
                 dispatcher.release(grant, at(1));
             },
@@ -102,7 +102,7 @@
             believed: "that requests are at work there",
             learn: |dispatcher| {
                 // Never released: their target ended, and who asked is not heard of again.
-                let _unreleased = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let _unreleased = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
             },
         },
     ];
@@ -131,7 +131,7 @@
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     let grants: Vec<_> =
-        (0..4).filter_map(|step| dispatcher.grant_at(&name(0), None, at(step))).collect();
+        (0..4).filter_map(|step| dispatcher.grant_target(&name(0), None, at(step))).collect();
     assert!(!grants.is_empty());
     apply(&mut dispatcher, &restarted(&base, 2, None), 10);
     let before = first(&dispatcher, 11);
@@ -176,7 +176,7 @@
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     for (step, incarnation) in [(100, 2), (400, 3), (900, 4)] {
-        let held = dispatcher.grant_at(&name(0), None, at(step)).expect("a grant");
+        let held = dispatcher.grant_target(&name(0), None, at(step)).expect("a grant");
         apply(&mut dispatcher, &restarted(&base, incarnation, None), step + 1);
         assert_eq!(first(&dispatcher, step + 2).incarnation, Incarnation::new(incarnation));
         dispatcher.release(held, at(step + 3));
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -382,7 +382,7 @@
         let now = BootClock.now();
         let mut own = self.own.lock();
         let dispatcher = &mut own.dispatcher;
-        let Some(grant) = dispatcher.grant_at(&granted.target, granted.rate_limit, now) else {
+        let Some(grant) = dispatcher.grant_target(&granted.target, granted.rate_limit, now) else {
             let index = dispatcher.index_of(&granted.target);
             let leaving = index.and_then(|index| dispatcher.leaving_incarnation(index));
             let is_stale = leaving.is_some() || dispatcher.is_backing_off(&granted.target, now);
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -152,7 +152,7 @@
         let Some(asking) = process.asking.remove(&number) else {
             return;
         };
-        let granted_here = process.own.grant_at(&granted.target, granted.rate_limit, now);
+        let granted_here = process.own.grant_target(&granted.target, granted.rate_limit, now);
         let mut report = LeaseReport::default();
         if let Some(grant) = granted_here {
             if process.own.is_within_limit(&grant) {
