--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes a release. Only gaps while requests wait say how fast the service drains.
-    pub(crate) fn released(&mut self, now: Timestamp, is_busy: bool) {
+    pub(crate) fn record_release(&mut self, now: Timestamp, is_busy: bool) {
         if let Some(last) = self.last_release
             && is_busy
         {
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -250,7 +250,7 @@
     #[expect(clippy::needless_pass_by_value, reason = "a grant is given back once")]
     pub fn release(&mut self, grant: Grant, now: Timestamp) {
         self.table.get_mut(grant.target).release(&grant);
-        self.admission.released(now, !self.queue.is_empty());
+        self.admission.record_release(now, !self.queue.is_empty());
     }
 
     /// The next waiting request that may go or whose time is over. Ask until there is
