--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -57,7 +57,7 @@
 
     /// When a refused caller should come back: once what is ahead has drained, spread.
     pub(crate) fn retry_after(&self, ahead: usize, rng: &mut impl Rng) -> Duration {
-        spread_retry_after(self.expected_wait(ahead), rng)
+        jittered_retry_after(self.expected_wait(ahead), rng)
     }
 }
 
@@ -68,7 +68,7 @@
     wait + RETURN_SPREAD_MAX.min(wait).mul_f64(rng.random::<f64>())
 }
 
-pub(crate) fn spread_retry_after(wait: Duration, rng: &mut impl Rng) -> Duration {
+pub(crate) fn jittered_retry_after(wait: Duration, rng: &mut impl Rng) -> Duration {
     let base = wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
     base.mul_f64(1.0 + RETRY_AFTER_SPREAD * rng.random::<f64>())
 }
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -38,7 +38,7 @@
 use crate::View;
 use crate::Wake;
 use crate::admission::Admission;
-use crate::admission::spread_retry_after;
+use crate::admission::jittered_retry_after;
 use crate::admission::spread_return;
 use crate::queue::Queue;
 use crate::request::EXCLUDED_MAX;
@@ -381,7 +381,7 @@
             return None;
         }
         let wait = wait.unwrap_or(Duration::ZERO);
-        Some(Refusal { reason: Reason::RateLimited, retry_after: spread_retry_after(wait, rng) })
+        Some(Refusal { reason: Reason::RateLimited, retry_after: jittered_retry_after(wait, rng) })
     }
 
     /// Waiting requests that go before this one.
