--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -64,7 +64,7 @@
 /// When a refused caller should come back, if it would be served after `wait`; spread.
 /// When a caller should come back for a target that may be used again after `wait`: not sooner, and
 /// not all at once.
-pub(crate) fn spread_return(wait: Duration, rng: &mut impl Rng) -> Duration {
+pub(crate) fn jittered_return_delay(wait: Duration, rng: &mut impl Rng) -> Duration {
     wait + RETURN_SPREAD_MAX.min(wait).mul_f64(rng.random::<f64>())
 }
 
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -39,7 +39,7 @@
 use crate::Wake;
 use crate::admission::Admission;
 use crate::admission::jittered_retry_after;
-use crate::admission::spread_return;
+use crate::admission::jittered_return_delay;
 use crate::queue::Queue;
 use crate::request::EXCLUDED_MAX;
 use crate::table::Table;
@@ -342,7 +342,7 @@
     ) -> Option<Refusal> {
         let until = self.table.all_backing_off_until(now)?;
         let is_in_time = until <= request.wait_until;
-        let retry_after = spread_return(now.until(until), rng);
+        let retry_after = jittered_return_delay(now.until(until), rng);
         (!is_in_time).then_some(Refusal { reason: Reason::BackingOff, retry_after })
     }
 
