--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -25,7 +25,7 @@
 
 impl Backoff {
     /// The target asks for a backoff from `now` on. A shorter one does not end a longer one.
-    pub(crate) fn ask(&mut self, wait: Duration, now: Timestamp) {
+    pub(crate) fn extend(&mut self, wait: Duration, now: Timestamp) {
         self.until = self.until.max(Some(now + wait));
     }
 
--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -139,14 +139,14 @@
     pub fn back_off(&mut self, grant: &Grant, wait: Duration, now: Timestamp) {
         let target = self.table.get_mut(grant.target);
         if target.incarnation == grant.incarnation {
-            target.backoff.ask(wait, now);
+            target.backoff.extend(wait, now);
         }
     }
 
     /// A target asked this process for a backoff when it was probed.
     pub fn back_off_probed(&mut self, name: &TargetName, wait: Duration, now: Timestamp) {
         if let Some(index) = self.table.find(name) {
-            self.table.get_mut(index).backoff.ask(wait, now);
+            self.table.get_mut(index).backoff.extend(wait, now);
         }
     }
 
