--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -46,7 +46,7 @@
 }
 
 impl RefusalStreak {
-    pub(crate) fn refused(&mut self) {
+    pub(crate) fn record_refusal(&mut self) {
         self.refusals = self.refusals.saturating_add(1);
     }
 
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -287,7 +287,7 @@
     }
 
     pub(crate) fn refused_with_backoff(&mut self) {
-        self.refusals.refused();
+        self.refusals.record_refusal();
     }
 
     pub(crate) fn failed(&mut self, settings: &EjectionSettings, has_room: bool, now: Timestamp) {
