--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -50,7 +50,7 @@
         self.refusals = self.refusals.saturating_add(1);
     }
 
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.refusals = 0;
     }
 
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -283,7 +283,7 @@
 
     /// It ran a request.
     pub(crate) fn answered(&mut self) {
-        self.refusals.answered();
+        self.refusals.reset();
     }
 
     pub(crate) fn refused_with_backoff(&mut self) {
