--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -56,7 +56,7 @@
 
     /// The most requests in flight that the streak allows a target that got its last one at
     /// `granted_at`; none if there is no streak.
-    pub(crate) fn room(self, granted_at: Timestamp, now: Timestamp) -> Option<u32> {
+    pub(crate) fn in_flight_max(self, granted_at: Timestamp, now: Timestamp) -> Option<u32> {
         let is_due = now.since(granted_at) >= TRIAL_INTERVAL;
         (self.refusals >= STREAK_MIN).then_some(u32::from(is_due))
     }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -100,7 +100,7 @@
                 self.left_by_others(best, now)
             }
         };
-        let most = self.refusals.room(self.granted_at, now).map_or(most, |room| room.min(most));
+        let most = self.refusals.in_flight_max(self.granted_at, now).map_or(most, |room| room.min(most));
         let most = most.saturating_sub(self.in_flight);
         if self.is_rate_limited() { most.min(1) } else { most }
     }
