--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -30,7 +30,7 @@
 
 /// Least time between two requests to one cold target, by who decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ColdPaces {
+pub(crate) struct ColdIntervals {
     /// For the process that allocates the target.
     pub(crate) fleet: Duration,
     /// For each process of a fleet in which nobody allocates.
@@ -39,7 +39,7 @@
     pub(crate) fallback: Duration,
 }
 
-impl ColdPaces {
+impl ColdIntervals {
     /// The paces of a service among up to `entry_vms_max` processes; none if it does not say what
     /// a cold target bears.
     pub(crate) fn of(service: &Service, entry_vms_max: u64) -> Option<Self> {
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -18,7 +18,7 @@
 use crate::Usability;
 use crate::backoff::Backoff;
 use crate::backoff::RefusalStreak;
-use crate::cold_start::ColdPaces;
+use crate::cold_start::ColdIntervals;
 use crate::cold_start::ColdStart;
 use crate::ejection::Ejection;
 use crate::grant::Grant;
@@ -39,7 +39,7 @@
     pub(crate) slots: u32,
     pub(crate) connection_share: u32,
     /// None if a cold target gets as many requests as a warm one.
-    pub(crate) cold_paces: Option<ColdPaces>,
+    pub(crate) cold_paces: Option<ColdIntervals>,
     /// How long a target is taken to be cold that does not tell.
     pub(crate) cold_ramp: Duration,
 }
