--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -42,7 +42,7 @@
 impl ColdIntervals {
     /// The paces of a service among up to `entry_vms_max` processes; none if it does not say what
     /// a cold target bears.
-    pub(crate) fn of(service: &Service, entry_vms_max: u64) -> Option<Self> {
+    pub(crate) fn for_service(service: &Service, entry_vms_max: u64) -> Option<Self> {
         let rate = service.cold_requests_per_s?.in_1000_s();
         let bound = service.cold_bound_per_s.in_1000_s().max(rate);
         let allocators = ALLOCATORS_MAX * (rate + MILLI);
