--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -92,7 +92,7 @@
     }
 
     /// The target is cold for `left` more, or warm if that is nothing.
-    pub(crate) fn told(&mut self, left: Duration, ramp: Duration, now: Timestamp) {
+    pub(crate) fn set_remaining(&mut self, left: Duration, ramp: Duration, now: Timestamp) {
         let since = if self.is_cold(now) { self.since } else { now };
         *self = Self { since, ..Self::new(now, left, ramp) };
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -152,7 +152,7 @@
     pub(crate) fn set_hall_drained(&mut self, is_drained: bool, now: Timestamp) {
         if self.is_hall_drained && !is_drained {
             let ramp = self.shape.cold_ramp;
-            self.cold_start.told(ramp, ramp, now);
+            self.cold_start.set_remaining(ramp, ramp, now);
         }
         self.is_hall_drained = is_drained;
     }
@@ -164,7 +164,7 @@
         }
         self.listed_cold_for_ms = cold_for_ms;
         if let Some(cold_for_ms) = cold_for_ms.filter(|cold_for_ms| *cold_for_ms > 0) {
-            self.cold_start.told(Duration::from_millis(cold_for_ms), self.shape.cold_ramp, now);
+            self.cold_start.set_remaining(Duration::from_millis(cold_for_ms), self.shape.cold_ramp, now);
         }
     }
 
@@ -241,7 +241,7 @@
     pub(crate) fn learn_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         if let Some(cold_for_ms) = report.cold_for_ms {
             let left = Duration::from_millis(u64::from(cold_for_ms));
-            self.cold_start.told(left, self.shape.cold_ramp, now);
+            self.cold_start.set_remaining(left, self.shape.cold_ramp, now);
         }
         self.others.learn(report, self.in_flight, now)
     }
