--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -79,7 +79,7 @@
 
 /// Numbers of requests of which it is not known what they are worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Explored {
+pub(crate) struct ExplorationLevels {
     /// One more than the best number.
     pub(crate) more: Option<u32>,
     /// One fewer.
@@ -115,10 +115,10 @@
     }
 
     /// Which number the exploring targets may have instead of the best one.
-    pub(crate) fn explored(&self, slots: u32, now: Timestamp) -> Explored {
+    pub(crate) fn explored(&self, slots: u32, now: Timestamp) -> ExplorationLevels {
         let best = self.best(slots, now);
         let is_known = |number: u32| self.known_us(number, now).is_some();
-        Explored {
+        ExplorationLevels {
             more: (best < slots && !is_known(best + 1)).then_some(best + 1),
             fewer: (best > 1 && is_known(best) && !is_known(best - 1)).then_some(best - 1),
         }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -6,7 +6,7 @@
 
 use crate::RateShare;
 use crate::Usability;
-use crate::concurrency::Explored;
+use crate::concurrency::ExplorationLevels;
 use crate::model::ServiceModel;
 use crate::target_state::Presence;
 use crate::target_state::Target;
@@ -22,7 +22,7 @@
     /// A number.
     Fixed(u32),
     /// The best number, but for targets that explore.
-    Best(u32, Explored),
+    Best(u32, ExplorationLevels),
 }
 
 /// What a target explores.
@@ -114,7 +114,7 @@
         most.saturating_sub(self.others.uncounted(now)).max(least.min(most))
     }
 
-    fn explored_or(&self, best: u32, explored: Explored) -> u32 {
+    fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
         let explored = match self.explores {
             Explores::Nothing => None,
             Explores::More => explored.more,
