--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -96,7 +96,7 @@
 
 impl Concurrency {
     /// Learns from an answer; `number` requests were at the target, itself included.
-    pub(crate) fn learn(&mut self, number: u32, taken_us: f64, now: Timestamp) {
+    pub(crate) fn record(&mut self, number: u32, taken_us: f64, now: Timestamp) {
         self.levels[place_of(number)].learn(taken_us, now);
     }
 
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -210,7 +210,7 @@
         // decides alone for example. Neither count holds the request that was answered.
         let counted = self.get(grant.target).in_flight().saturating_sub(1);
         if report.running <= counted && grant.is_usual_pace {
-            self.concurrency.learn(grant.in_flight, taken_us, now);
+            self.concurrency.record(grant.in_flight, taken_us, now);
         }
     }
 
