--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -115,7 +115,7 @@
     }
 
     /// Which number the exploring targets may have instead of the best one.
-    pub(crate) fn explored(&self, slots: u32, now: Timestamp) -> ExplorationLevels {
+    pub(crate) fn exploration_levels(&self, slots: u32, now: Timestamp) -> ExplorationLevels {
         let best = self.best(slots, now);
         let is_known = |number: u32| self.known_us(number, now).is_some();
         ExplorationLevels {
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -111,7 +111,7 @@
         match view {
             View::Own => Bound::Learnt,
             View::Fleet => {
-                Bound::Best(self.concurrency(now), self.concurrency.explored(self.slots, now))
+                Bound::Best(self.concurrency(now), self.concurrency.exploration_levels(self.slots, now))
             }
             View::Fallback => Bound::Fixed(FALLBACK_IN_FLIGHT_MAX),
         }
