--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -126,7 +126,7 @@
 
     /// By how much a further request at a target that has `in_flight` lengthens the times of
     /// all requests there, its own included, over the time of one alone.
-    pub(crate) fn marginal(&self, in_flight: u32, slots: u32, now: Timestamp) -> f64 {
+    pub(crate) fn marginal_cost(&self, in_flight: u32, slots: u32, now: Timestamp) -> f64 {
         let number = in_flight + 1;
         let total = |number: u32| f64::from(number) * self.slower(number, slots, now);
         let before = if in_flight == 0 { 0.0 } else { total(in_flight) };
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -176,7 +176,7 @@
         let mut costs = [1.0; MARGINAL_COSTS];
         if view == View::Fleet {
             for (in_flight, cost) in costs.iter_mut().enumerate() {
-                *cost = self.concurrency.marginal(in_flight as u32, self.slots, now);
+                *cost = self.concurrency.marginal_cost(in_flight as u32, self.slots, now);
             }
         }
         costs
