--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -101,7 +101,7 @@
 
     /// Says whether requests that find no target here may go elsewhere: then any number of
     /// targets may be set aside.
-    pub fn set_backed(&mut self, is_backed: bool) {
+    pub fn set_can_overflow(&mut self, is_backed: bool) {
         self.can_overflow = is_backed;
     }
 
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -27,7 +27,7 @@
 fn allocating(is_backed: bool) -> TestDispatcher {
     let mut dispatcher = dispatcher(&configuration(TARGETS, TARGETS, ""));
     dispatcher.set_view(View::Fleet);
-    dispatcher.set_backed(is_backed);
+    dispatcher.set_can_overflow(is_backed);
     dispatcher
 }
 
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -180,7 +180,7 @@
     ) -> Reply {
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
-        dispatcher.set_backed(self.told.lock().rooms.is_elsewhere(&self.group, now));
+        dispatcher.set_can_overflow(self.told.lock().rooms.is_elsewhere(&self.group, now));
         allocator.keep_only(&key.holder, &numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
             && !allocator.knows(key)
