--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -191,7 +191,7 @@
         if !self.is_served(&request) {
             return Decision::Refuse(self.refusal(Reason::NoTarget, &request, now, rng));
         }
-        if let Some(refusal) = self.beyond_backoffs(&request, now, rng) {
+        if let Some(refusal) = self.backoff_refusal(&request, now, rng) {
             return Decision::Refuse(refusal);
         }
         if self.queue.len_of(request.priority) >= request.queue_max as usize {
@@ -266,7 +266,7 @@
             return Some(Wake::Send(waiter.ticket, grant));
         }
         let refusal = if self.is_served(&waiter.request) {
-            self.beyond_backoffs(&waiter.request, now, rng)?
+            self.backoff_refusal(&waiter.request, now, rng)?
         } else {
             self.refusal(Reason::NoTarget, &waiter.request, now, rng)
         };
@@ -334,7 +334,7 @@
 
     /// Refuses a request that cannot be sent before its wait ends, because all targets have asked this
     /// process for a backoff.
-    pub fn beyond_backoffs<R: Rng>(
+    pub fn backoff_refusal<R: Rng>(
         &self,
         request: &Request,
         now: Timestamp,
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -154,7 +154,7 @@
             let now = BootClock.now();
             let until = {
                 let dispatcher = &self.own.lock().dispatcher;
-                let refusal = dispatcher.beyond_backoffs(request, now, &mut rand::rng());
+                let refusal = dispatcher.backoff_refusal(request, now, &mut rand::rng());
                 if refusal.is_some() {
                     return refusal;
                 }
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -54,7 +54,7 @@
     fn attempt(&mut self, place: usize, call: Call) {
         let request = request(self.now(), call, WAIT_MS, Excluded::default());
         let own = &self.processes[place].own;
-        if own.beyond_backoffs(&request, self.now(), &mut self.rng).is_some() {
+        if own.backoff_refusal(&request, self.now(), &mut self.rng).is_some() {
             return self.scenario.ended(self.now_ms, Outcome::Refused);
         }
         if self.scenario.asks_allocators() {
