--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -198,7 +198,7 @@
             return Decision::Refuse(self.refusal(Reason::QueueFull, &request, now, rng));
         }
         let ahead = self.ahead_of(&request, now);
-        if let Some(refusal) = self.beyond_limits(&request, ahead, now, rng) {
+        if let Some(refusal) = self.rate_limit_refusal(&request, ahead, now, rng) {
             return Decision::Refuse(refusal);
         }
         let wait = self.admission.expected_wait(ahead);
@@ -365,7 +365,7 @@
 
     /// Refuses a request that cannot be sent before its wait ends, because all targets are in need
     /// and take only so many requests a second.
-    fn beyond_limits<R: Rng>(
+    fn rate_limit_refusal<R: Rng>(
         &self,
         request: &Request,
         ahead: usize,
