--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -214,7 +214,7 @@
     }
 
     /// Counts a request that this process received, for the retry budget.
-    pub fn received(&mut self) {
+    pub fn record_request(&mut self) {
         self.retry.requested();
     }
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -275,7 +275,7 @@
 
     /// Counts a request of a caller.
     pub(crate) fn received(&self) {
-        self.own.lock().dispatcher.received();
+        self.own.lock().dispatcher.record_request();
     }
 
     pub(crate) fn has_retry(&self) -> bool {
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -46,7 +46,7 @@
             // Its callers go to another one.
             place = self.processes.len() - 1;
         }
-        self.processes[place].own.received();
+        self.processes[place].own.record_request();
         self.attempt(place, Call::new(self.now_ms));
     }
 
