--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -224,7 +224,7 @@
     }
 
     /// Spends one retry of the budget.
-    pub fn try_retry(&mut self) -> bool {
+    pub fn try_spend_retry(&mut self) -> bool {
         self.retry.try_spend()
     }
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -283,7 +283,7 @@
     }
 
     pub(crate) fn try_retry(&self) -> bool {
-        self.own.lock().dispatcher.try_retry()
+        self.own.lock().dispatcher.try_spend_retry()
     }
 
     /// Whether requests wait here, of this process or of others.
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -250,7 +250,7 @@
         }
         match observation {
             Observation::Answered(_) => self.scenario.ended(self.now_ms, Outcome::Served),
-            _ if call.has_attempt() && self.processes[place].own.try_retry() => {
+            _ if call.has_attempt() && self.processes[place].own.try_spend_retry() => {
                 self.attempt(place, call.next(target));
             }
             _ => self.scenario.ended(self.now_ms, Outcome::RefusedByTarget),
