--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -207,9 +207,9 @@
     let mut dispatcher = dispatcher(&configuration(4, 2, ""));
     refuses(&mut dispatcher, 1, BACKOFF, at(0));
     refuses(&mut dispatcher, 3, BACKOFF, at(0));
-    assert_eq!(dispatcher.backing_off(None, at(10)), [name(1), name(3)]);
-    assert_eq!(dispatcher.backing_off(Some(&hall()), at(10)), [name(1)]);
-    assert_eq!(dispatcher.backing_off(None, at(3_001)), []);
+    assert_eq!(dispatcher.backing_off_targets(None, at(10)), [name(1), name(3)]);
+    assert_eq!(dispatcher.backing_off_targets(Some(&hall()), at(10)), [name(1)]);
+    assert_eq!(dispatcher.backing_off_targets(None, at(3_001)), []);
 }
 
 /// Requests that go to the first of two targets within a second, each refused with a backoff for
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -272,7 +272,7 @@
             Group::All => None,
             Group::Hall(hall) => Some(hall),
         };
-        let excluded = self.own.lock().dispatcher.backing_off(hall, now);
+        let excluded = self.own.lock().dispatcher.backing_off_targets(hall, now);
         Wanted {
             service: self.name().clone(),
             group: group.clone(),
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -101,7 +101,7 @@
         }
         let now = self.now();
         let own = &mut self.processes[place].own;
-        let names = own.backing_off(None, now);
+        let names = own.backing_off_targets(None, now);
         names.iter().filter_map(|name| own.index_of(name)).collect()
     }
 
