--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -397,7 +397,7 @@
     }
 
     /// Further requests that targets would serve at nearly their usual pace.
-    pub fn room(&self, now: Timestamp) -> u32 {
+    pub fn spare_capacity(&self, now: Timestamp) -> u32 {
         self.table.room(self.view, now)
     }
 
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -75,7 +75,7 @@
         let mut now = at(0);
         for _ in 0..40 {
             for count in 1..=3 {
-                if count > dispatcher.room(now) {
+                if count > dispatcher.spare_capacity(now) {
                     break;
                 }
                 round(&mut dispatcher, count, ms(taken_ms[count as usize - 1]), now, &mut rng);
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -46,7 +46,7 @@
     for step in 0..REQUESTS {
         let now = at(step * 5);
         let at_once = Request { queue_max: 0, ..request(1, at(5_000)) };
-        if dispatcher.room(now) == 0 {
+        if dispatcher.spare_capacity(now) == 0 {
             played.sent_on += 1;
         } else if let Decision::Send(grant) = dispatcher.request(at_once, now, rng) {
             *played.tried.entry(dispatcher.target_name(&grant)).or_default() += 1;
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -184,7 +184,7 @@
         allocator.keep_only(&key.holder, &numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
             && !allocator.knows(key)
-            && dispatcher.room(now) == 0
+            && dispatcher.spare_capacity(now) == 0
             && let Some((other, by)) = self.told.lock().take(&self.group, now)
         {
             return Reply::Redirected(other, by);
@@ -229,7 +229,7 @@
 
     /// Further requests that the targets would serve at nearly their usual pace.
     pub(crate) fn room(&self, now: Timestamp) -> u32 {
-        self.state.lock().dispatcher.room(now)
+        self.state.lock().dispatcher.spare_capacity(now)
     }
 
     pub(super) fn has_waiting(&self) -> bool {
