--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -35,7 +35,7 @@
         observation: Observation,
         now: Timestamp,
     ) -> Option<LeavingMark> {
-        let mark = observation.report().and_then(|report| self.learn_report(grant, report, now));
+        let mark = observation.report().and_then(|report| self.record_report(grant, report, now));
         let has_room =
             self.can_overflow || self.table.has_room_to_eject(self.ejection.share_max_percent, now);
         if let Observation::Answered(report) = observation {
@@ -70,7 +70,7 @@
         mark
     }
 
-    fn learn_report(
+    fn record_report(
         &mut self,
         grant: &Grant,
         report: LoadReport,
