--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -77,7 +77,7 @@
         now: Timestamp,
     ) -> Option<LeavingMark> {
         self.table.learn_report(grant.target, report, now);
-        self.learn_state(grant.target, report)
+        self.record_state(grant.target, report)
     }
 
     /// Learns what an answer to a granted request stated of the target's limit. Returns whether
@@ -181,10 +181,10 @@
     ) -> Option<LeavingMark> {
         let index = self.table.find(name)?;
         self.table.learn_probe(index, report, now);
-        self.learn_state(index, report)
+        self.record_state(index, report)
     }
 
-    fn learn_state(&mut self, index: TargetIndex, report: LoadReport) -> Option<LeavingMark> {
+    fn record_state(&mut self, index: TargetIndex, report: LoadReport) -> Option<LeavingMark> {
         let name = self.table.get(index).name.clone();
         let incarnation = report.incarnation.unwrap_or(self.table.get(index).incarnation);
         match report.state {
