--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -82,7 +82,7 @@
 
     /// Learns what an answer to a granted request stated of the target's limit. Returns whether
     /// that is another limit than before.
-    pub fn learn_rate_limit(
+    pub fn record_rate_limit(
         &mut self,
         grant: &Grant,
         stated: Option<RequestRate>,
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -49,7 +49,7 @@
 /// A target states a limit, or none, on the answer to a request that is sent and answered now.
 fn states(dispatcher: &mut TestDispatcher, index: usize, limit: Option<RequestRate>, moment: u64) {
     let grant = dispatcher.grant_target(&name(index), None, at(moment)).expect("a grant");
-    dispatcher.learn_rate_limit(&grant, limit, at(moment + 1));
+    dispatcher.record_rate_limit(&grant, limit, at(moment + 1));
     dispatcher.release(grant, at(moment + 1));
 }
 
@@ -72,7 +72,7 @@
             let target = dispatcher.target_name(&grant);
             let index = (0..limits.len()).find(|index| name(*index) == target).expect("a target");
             sent.push((index, moment));
-            dispatcher.learn_rate_limit(&grant, limits[index], now + ms(5));
+            dispatcher.record_rate_limit(&grant, limits[index], now + ms(5));
             dispatcher.release(grant, now + ms(5));
         }
     }
@@ -172,10 +172,10 @@
     let mut dispatcher = fleet(1);
     let early = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
     states(&mut dispatcher, 0, Some(rate(2.0)), 10);
-    assert!(!dispatcher.learn_rate_limit(&early, None, at(200)), "it may have answered before");
+    assert!(!dispatcher.record_rate_limit(&early, None, at(200)), "it may have answered before");
     assert_eq!(limit(&dispatcher, 200), Some(2.0));
     let late = dispatcher.grant_target(&name(0), None, at(210)).expect("a grant");
-    assert!(dispatcher.learn_rate_limit(&late, None, at(300)));
+    assert!(dispatcher.record_rate_limit(&late, None, at(300)));
     assert_eq!(limit(&dispatcher, 300), None);
 }
 
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -82,7 +82,7 @@
             return false;
         };
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.learn_rate_limit(grant, stated, now)
+        self.service.own.lock().dispatcher.record_rate_limit(grant, stated, now)
     }
 
     /// The target asked this process for a backoff.
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -85,7 +85,7 @@
         now: Timestamp,
     ) -> (Observation, Option<Duration>) {
         let stated = answer.map(|per_s| RequestRate::per_1000_s((per_s * 1_000.0) as u64));
-        own.learn_rate_limit(grant, stated, now);
+        own.record_rate_limit(grant, stated, now);
         let observation = Observation::Answered(None);
         let _ = own.record_attempt(grant, observation, now);
         (observation, None)
