--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -119,7 +119,7 @@
     }
 
     /// Learns what another process knows of a target's limit.
-    pub fn merge_rate_limit_of(
+    pub fn merge_target_rate_limit(
         &mut self,
         name: &TargetName,
         incarnation: Incarnation,
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -349,7 +349,7 @@
     /// Learns what a peer knows of a target's limit.
     pub(crate) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.own.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
+        self.own.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
         for group in self.groups() {
             group.learn_rate_limit(limit, now);
         }
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -96,9 +96,9 @@
         now: Timestamp,
     ) {
         for (name, incarnation, told) in known {
-            self.own.merge_rate_limit_of(name, *incarnation, told, now);
+            self.own.merge_target_rate_limit(name, *incarnation, told, now);
             if let Some(GroupState { dispatcher, .. }) = &mut self.state {
-                dispatcher.merge_rate_limit_of(name, *incarnation, told, now);
+                dispatcher.merge_target_rate_limit(name, *incarnation, told, now);
             }
         }
     }
