--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -136,7 +136,7 @@
     }
 
     /// The target of a granted request asked this process for a backoff.
-    pub fn back_off(&mut self, grant: &Grant, wait: Duration, now: Timestamp) {
+    pub fn record_backoff(&mut self, grant: &Grant, wait: Duration, now: Timestamp) {
         let target = self.table.get_mut(grant.target);
         if target.incarnation == grant.incarnation {
             target.backoff.extend(wait, now);
--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -37,7 +37,7 @@
 /// A target refuses a request that is sent now, and asks for a backoff.
 fn refuses(dispatcher: &mut TestDispatcher, index: usize, wait: Duration, now: Timestamp) {
     let grant = dispatcher.grant_target(&name(index), None, now).expect("a grant");
-    dispatcher.back_off(&grant, wait, now);
+    dispatcher.record_backoff(&grant, wait, now);
     dispatcher.record_attempt(&grant, Observation::ShedWithBackoff(None), now);
     dispatcher.release(grant, now);
 }
@@ -77,7 +77,7 @@
                 .map(|_| dispatcher.grant_target(&name(0), None, at(0)).expect("a grant"))
                 .collect();
             for (grant, (at_s, wait_s)) in grants.into_iter().zip(asked) {
-                dispatcher.back_off(&grant, Duration::from_secs_f64(*wait_s), moment(*at_s));
+                dispatcher.record_backoff(&grant, Duration::from_secs_f64(*wait_s), moment(*at_s));
                 dispatcher.release(grant, moment(*at_s));
             }
             let note = format!("{asked:?}, {view}");
@@ -171,7 +171,7 @@
     let Decision::Wait(ticket) = dispatcher.request(request(1, at(900)), at(1), &mut rng) else {
         panic!("it must wait");
     };
-    dispatcher.back_off(&running, BACKOFF, at(5));
+    dispatcher.record_backoff(&running, BACKOFF, at(5));
     dispatcher.release(running, at(5));
     let woken = dispatcher.next_wake(at(5), &mut rng);
     let Some(Wake::Refuse(refused, Refusal { reason: Reason::BackingOff, .. })) = woken else {
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -58,7 +58,7 @@
             believed: "that it asked for a backoff",
             learn: |dispatcher| {
                 let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
-                dispatcher.back_off(&grant, Duration::from_mins(1), at(0));
+                dispatcher.record_backoff(&grant, Duration::from_mins(1), at(0));
                 dispatcher.release(grant, at(0));
             },
         },
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -89,7 +89,7 @@
     pub(crate) fn back_off(&self, wait: Duration) {
         if let Some(grant) = &self.grant {
             let wait = wait.min(self.service.settings().backoff_max());
-            self.service.own.lock().dispatcher.back_off(grant, wait, BootClock.now());
+            self.service.own.lock().dispatcher.record_backoff(grant, wait, BootClock.now());
         }
     }
 
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -92,7 +92,7 @@
             return (Observation::Answered(None), None);
         };
         if self.policy != BackoffPolicy::Unread {
-            own.back_off(grant, backoff, now);
+            own.record_backoff(grant, backoff, now);
         }
         let observation = match self.policy {
             BackoffPolicy::NamedAndSpaced => Observation::ShedWithBackoff(None),
