--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -144,7 +144,7 @@
     }
 
     /// A target asked this process for a backoff when it was probed.
-    pub fn back_off_probed(&mut self, name: &TargetName, wait: Duration, now: Timestamp) {
+    pub fn record_probe_backoff(&mut self, name: &TargetName, wait: Duration, now: Timestamp) {
         if let Some(index) = self.table.find(name) {
             self.table.get_mut(index).backoff.extend(wait, now);
         }
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -363,7 +363,7 @@
     /// A target asked this process for a backoff when it was probed.
     pub(crate) fn back_off_probed(&self, name: &TargetName, wait: Duration) {
         let wait = wait.min(self.settings().backoff_max());
-        self.own.lock().dispatcher.back_off_probed(name, wait, BootClock.now());
+        self.own.lock().dispatcher.record_probe_backoff(name, wait, BootClock.now());
     }
 
     pub(crate) fn probe_targets(&self) -> Vec<Destination> {
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -275,7 +275,7 @@
                 let now = self.now();
                 if let Some(GroupState { dispatcher, allocator }) = &mut self.processes[to].state {
                     if let Some((name, wait)) = &backoff {
-                        dispatcher.back_off_probed(name, *wait, now);
+                        dispatcher.record_probe_backoff(name, *wait, now);
                     }
                     let key = LeaseKey { holder: from, number };
                     allocator.release(&key, &report, dispatcher, now);
