--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -173,7 +173,7 @@
 
     /// Takes in a report that no request carried (a probe's). As [`Dispatcher::record_attempt`],
     /// returns a mark that is news.
-    pub fn learn_probe(
+    pub fn record_probe(
         &mut self,
         name: &TargetName,
         report: LoadReport,
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -46,7 +46,7 @@
         dispatcher.reconfigure(configuration, &configuration.services[0], &hall(), START);
     }
     for index in 100..TARGETS {
-        dispatcher.learn_probe(&name(index), report(0, 0), START);
+        dispatcher.record_probe(&name(index), report(0, 0), START);
     }
     let taken = begun.elapsed();
     assert!(taken < LIMIT, "{taken:?}");
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -60,7 +60,7 @@
     fn probe(&mut self, target: usize, now_ms: u64) {
         self.probing[target].ended(true);
         self.probes += 1;
-        let _ = self.dispatcher.learn_probe(&name(target), told(target, now_ms), at(now_ms));
+        let _ = self.dispatcher.record_probe(&name(target), told(target, now_ms), at(now_ms));
     }
 
     /// Probes of targets that were not heard of, as long as the budget allows them.
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -89,13 +89,13 @@
         Case {
             believed: "that it is loaded",
             learn: |dispatcher| {
-                dispatcher.learn_probe(&name(0), report(40, 40), at(1));
+                dispatcher.record_probe(&name(0), report(40, 40), at(1));
             },
         },
         Case {
             believed: "that it is cold for a minute",
             learn: |dispatcher| {
-                dispatcher.learn_probe(&name(0), told_cold(60_000), at(1));
+                dispatcher.record_probe(&name(0), told_cold(60_000), at(1));
             },
         },
         Case {
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -85,7 +85,7 @@
             dispatcher.release(grant, at(1));
         }
         Source::Probe => {
-            let mark = dispatcher.learn_probe(&name(0), draining, at(1));
+            let mark = dispatcher.record_probe(&name(0), draining, at(1));
             assert_eq!(mark.expect("news to pass on").target, name(0));
         }
         Source::Configuration => {
@@ -107,7 +107,7 @@
         assert_eq!(usability(&dispatcher, 0, at(2)), Usability::Leaving, "{source:?}");
         // A stale platform lists it as serving again, a stale report says so.
         dispatcher.update(&good, &good.services[0], &hall(), at(3));
-        dispatcher.learn_probe(&name(0), report(0, 0), at(3));
+        dispatcher.record_probe(&name(0), report(0, 0), at(3));
         assert_eq!(usability(&dispatcher, 0, at(4)), Usability::Leaving, "{source:?}");
         // A new incarnation on the same address serves.
         let mut renewed = good.clone();
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -272,7 +272,7 @@
 
     pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
         let now = BootClock.now();
-        let mark = self.state.lock().dispatcher.learn_probe(name, report, now);
+        let mark = self.state.lock().dispatcher.record_probe(name, report, now);
         // A target whose slow spell is over takes requests that wait.
         self.wake_waiting(now);
         mark
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -330,7 +330,7 @@
     }
 
     pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
-        self.own.lock().dispatcher.learn_probe(name, report, BootClock.now())
+        self.own.lock().dispatcher.record_probe(name, report, BootClock.now())
     }
 
     /// What this process knows of its targets' limits.
