--- a/crates/thymeshift_dispatch/src/dispatcher/probing.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/probing.rs
@@ -26,7 +26,7 @@
 
     /// The targets that a request would most likely be sent to, and of which nothing was heard for
     /// `age`: up to `count`, and none if the first of them was heard of.
-    pub fn worth_asking(
+    pub fn likely_stale_targets(
         &self,
         request: &Request,
         age: Duration,
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -73,7 +73,7 @@
     }
 
     fn probe_before_grant(&mut self, request: &Request, now_ms: u64) {
-        let asked = self.dispatcher.worth_asking(request, ms(10), 5, at(now_ms));
+        let asked = self.dispatcher.likely_stale_targets(request, ms(10), 5, at(now_ms));
         for (found, _) in asked {
             let target = (0..TARGETS).find(|target| name(*target) == found).expect("a target");
             if self.probing[target].try_begin_early(PROBE_EVERY, at(now_ms)) {
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -156,7 +156,7 @@
             return Vec::new();
         }
         let request = request_of(acquire, &mut state.dispatcher, now);
-        state.dispatcher.worth_asking(&request, FRESH, PROBED_BEFORE_GRANT, now)
+        state.dispatcher.likely_stale_targets(&request, FRESH, PROBED_BEFORE_GRANT, now)
     }
 
     /// Answers a process that asked for a target at `asked_at`.
