--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -323,7 +323,7 @@
     fn is_served(&self, request: &Request) -> bool {
         let mut places = self.table.targets().iter().enumerate();
         places.any(|(place, target)| {
-            target.is_serving() && !request.excluded.has(TargetIndex::new(place))
+            target.is_serving() && !request.excluded.contains(TargetIndex::new(place))
         })
     }
 
--- a/crates/thymeshift_dispatch/src/request.rs
+++ b/crates/thymeshift_dispatch/src/request.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether `target` is in it.
-    pub fn has(&self, target: TargetIndex) -> bool {
+    pub fn contains(&self, target: TargetIndex) -> bool {
         self.iter().any(|known| known == target)
     }
 
--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -106,7 +106,7 @@
         let Self { targets, model, now, tried, excluded, bound, share, .. } = *self;
         targets.iter().enumerate().filter_map(move |(index, target)| {
             let index = TargetIndex::new(index);
-            let is_allowed = !tried.has(index) && !excluded.has(index);
+            let is_allowed = !tried.contains(index) && !excluded.contains(index);
             let is_open = is_allowed && target.is_open(now, bound, share, model);
             is_open.then_some(Candidate { index, target })
         })
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -258,7 +258,7 @@
         for _ in 0..20 {
             let again = Request { tried, ..request(1, at(100)) };
             let second = sent(&mut dispatcher, again, at(0), &mut rng);
-            assert_eq!(tried.has(second.target()), targets == 1);
+            assert_eq!(tried.contains(second.target()), targets == 1);
             dispatcher.release(second, at(0));
         }
     }
