--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -42,7 +42,7 @@
 use crate::admission::jittered_return_delay;
 use crate::queue::Queue;
 use crate::request::EXCLUDED_MAX;
-use crate::table::Table;
+use crate::table::TargetTable;
 
 /// A gap in the process's own time above this is a pause. The entry process calls
 /// [`Dispatcher::tick`] ten times as often.
@@ -53,7 +53,7 @@
 pub struct Dispatcher<S> {
     service: ServiceName,
     strategy: S,
-    table: Table,
+    table: TargetTable,
     queue: Queue,
     admission: Admission,
     retry: RetryBudget,
@@ -88,7 +88,7 @@
         Self {
             service,
             strategy,
-            table: Table::default(),
+            table: TargetTable::default(),
             queue: Queue::new(),
             admission: Admission::new(),
             retry: RetryBudget::new(0),
--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -13,7 +13,7 @@
 use crate::halls::Halls;
 use crate::model::ServiceModel;
 use crate::table::MarginalCosts;
-use crate::table::Table;
+use crate::table::TargetTable;
 use crate::target_state::Bound;
 use crate::target_state::Target;
 
@@ -60,7 +60,7 @@
 
 impl<'a> Candidates<'a> {
     pub(crate) fn new(
-        table: &'a Table,
+        table: &'a TargetTable,
         view: View,
         now: Timestamp,
         tried: &'a Tried,
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -67,7 +67,7 @@
 pub(crate) type MarginalCosts = [f64; MARGINAL_COSTS];
 
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct TargetTable {
     targets: Vec<Target>,
     /// Places of the current incarnations: those that are not removed. Looked through one by one,
     /// 15,000 targets took 25.6 s to be taken in and changed four times; by name, 1.3 s (built
@@ -96,7 +96,7 @@
     pub(crate) next_in: Option<Duration>,
 }
 
-impl Table {
+impl TargetTable {
     pub(crate) fn targets(&self) -> &[Target] {
         &self.targets
     }
