--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -67,7 +67,7 @@
 impl Dispatcher<AnyStrategy> {
     /// What this dispatcher believes.
     pub fn dump(&self, now: Timestamp) -> ServiceDump {
-        let queues = self.queue.lengths();
+        let queues = self.queue.waiting_by_priority();
         let queues = queues.map(|(priority, waiting)| QueueDump { priority, waiting }).collect();
         let ahead = self.queue.ahead_of(u8::MAX, false, now);
         ServiceDump {
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -74,7 +74,7 @@
     }
 
     /// Waiting requests of each rank.
-    pub(crate) fn lengths(&self) -> impl Iterator<Item = (u8, usize)> {
+    pub(crate) fn waiting_by_priority(&self) -> impl Iterator<Item = (u8, usize)> {
         self.ranks.iter().map(|(priority, rank)| (*priority, rank.len()))
     }
 
