--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -69,7 +69,7 @@
     pub fn dump(&self, now: Timestamp) -> ServiceDump {
         let queues = self.queue.waiting_by_priority();
         let queues = queues.map(|(priority, waiting)| QueueDump { priority, waiting }).collect();
-        let ahead = self.queue.ahead_of(u8::MAX, false, now);
+        let ahead = self.queue.count_ahead(u8::MAX, false, now);
         ServiceDump {
             name: self.service.clone(),
             strategy: self.strategy.name(),
@@ -388,7 +388,7 @@
     fn ahead_of(&self, request: &Request, now: Timestamp) -> usize {
         let answered_at = self.answered_at(now);
         let is_in_time = answered_at <= request.objective;
-        self.queue.ahead_of(request.priority, is_in_time, answered_at)
+        self.queue.count_ahead(request.priority, is_in_time, answered_at)
     }
 
     /// When the answer to a request that is sent now usually comes.
