--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -128,7 +128,7 @@
         if let Some(limit) = &limit {
             target.rate_limit.merge(limit, now);
         }
-        if !target.may_be_sent_to(now) {
+        if !target.may_receive(now) {
             return None;
         }
         let is_counted = limit.is_some_and(|limit| limit.is_limited());
@@ -232,7 +232,7 @@
     /// target may have begun to leave, or the process may have slept, since the choice.
     pub fn may_send(&self, grant: &Grant, deadline: Timestamp, now: Timestamp) -> bool {
         let target = self.table.get(grant.target);
-        let is_meant = target.may_be_sent_to(now) && target.incarnation == grant.incarnation;
+        let is_meant = target.may_receive(now) && target.incarnation == grant.incarnation;
         is_meant && self.is_within_limit(grant) && now < deadline
     }
 
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -180,7 +180,7 @@
     }
 
     /// Whether a request that was granted may be sent.
-    pub(crate) fn may_be_sent_to(&self, now: Timestamp) -> bool {
+    pub(crate) fn may_receive(&self, now: Timestamp) -> bool {
         self.is_serving() && !self.backoff.is_active(now)
     }
 
