--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -174,7 +174,7 @@
     pub fn tick(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = self.pause.observe(now)?;
         for target in self.table.iter_mut() {
-            target.distrust();
+            target.discard_reports();
         }
         Some(gap)
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -303,7 +303,7 @@
         self.ejection.unreachable(settings, has_room, now);
     }
 
-    pub(crate) fn distrust(&mut self) {
+    pub(crate) fn discard_reports(&mut self) {
         self.others.distrust();
     }
 
