--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -194,7 +194,7 @@
         if let Some(refusal) = self.backoff_refusal(&request, now, rng) {
             return Decision::Refuse(refusal);
         }
-        if self.queue.len_of(request.priority) >= request.queue_max as usize {
+        if self.queue.waiting_at(request.priority) >= request.queue_max as usize {
             return Decision::Refuse(self.refusal(Reason::QueueFull, &request, now, rng));
         }
         let ahead = self.ahead_of(&request, now);
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -69,7 +69,7 @@
         self.ranks.is_empty()
     }
 
-    pub(crate) fn len_of(&self, priority: u8) -> usize {
+    pub(crate) fn waiting_at(&self, priority: u8) -> usize {
         self.ranks.get(&priority).map_or(0, VecDeque::len)
     }
 
