--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -215,7 +215,7 @@
 
     /// Counts a request that this process received, for the retry budget.
     pub fn record_request(&mut self) {
-        self.retry.requested();
+        self.retry.record_request();
     }
 
     /// Whether the budget allows a retry.
--- a/crates/thymeshift_dispatch/src/probe_budget.rs
+++ b/crates/thymeshift_dispatch/src/probe_budget.rs
@@ -27,7 +27,7 @@
 
 impl ProbeBudget {
     /// A target was asked for.
-    pub fn requested(&mut self) {
+    pub fn record_request(&mut self) {
         self.left = (self.left + PROBES_PER_REQUEST).min(SAVED_MAX);
     }
 
--- a/crates/thymeshift_dispatch/src/retry.rs
+++ b/crates/thymeshift_dispatch/src/retry.rs
@@ -46,7 +46,7 @@
     }
 
     /// Earns a share of a retry.
-    pub fn requested(&mut self) {
+    pub fn record_request(&mut self) {
         self.reserve = (self.reserve + self.share).min(self.reserve_max);
     }
 
--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -154,15 +154,15 @@
     let mut budget = RetryBudget::new(10);
     assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 2, "what a fresh process has");
     for _ in 0..30 {
-        budget.requested();
+        budget.record_request();
     }
     assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 3, "a tenth");
     for _ in 0..10_000 {
-        budget.requested();
+        budget.record_request();
     }
     assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 10, "bounded reserve");
     let mut none = RetryBudget::new(0);
-    none.requested();
+    none.record_request();
     assert!(!none.try_spend());
 }
 
--- a/crates/thymeshift_dispatch/tests/probe_budget.rs
+++ b/crates/thymeshift_dispatch/tests/probe_budget.rs
@@ -15,7 +15,7 @@
         let (mut requests, mut probes) = (0, 0);
         for (is_request, wanted) in steps {
             if is_request {
-                budget.requested();
+                budget.record_request();
                 requests += 1;
             } else {
                 let begun = usize::from(wanted).min(budget.left());
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -126,7 +126,7 @@
     pub(crate) fn expect_requests(&self, now: Timestamp) {
         let before = {
             let mut state = self.state.lock();
-            state.probe_budget.requested();
+            state.probe_budget.record_request();
             state.asked_at.replace(now)
         };
         if before.is_none_or(|at| now.since(at) > RESTED) {
