--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -262,7 +262,7 @@
         }
         let waiter = self.queue.peek(now, self.answered_at(now))?;
         if let Some(grant) = self.choose(&waiter.request, now, rng) {
-            self.queue.take(waiter.ticket);
+            self.queue.dequeue(waiter.ticket);
             return Some(Wake::Send(waiter.ticket, grant));
         }
         let refusal = if self.is_served(&waiter.request) {
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -135,7 +135,7 @@
     }
 
     /// Takes out a waiter that is served.
-    pub(crate) fn take(&mut self, ticket: Ticket) {
+    pub(crate) fn dequeue(&mut self, ticket: Ticket) {
         self.turn = (self.turn + 1) % STARVATION_TURN;
         self.remove(ticket);
     }
