--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -398,7 +398,7 @@
 
     /// Further requests that targets would serve at nearly their usual pace.
     pub fn spare_capacity(&self, now: Timestamp) -> u32 {
-        self.table.room(self.view, now)
+        self.table.spare_capacity(self.view, now)
     }
 
     /// Requests in flight to one target, for tests and dumps.
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -159,7 +159,7 @@
     }
 
     /// Further requests that targets would serve at nearly their usual pace.
-    pub(crate) fn room(&self, view: View, now: Timestamp) -> u32 {
+    pub(crate) fn spare_capacity(&self, view: View, now: Timestamp) -> u32 {
         let bound = self.bound(view, now);
         let usual_us = self.model.service_us() * ROOM_FACTOR_MAX;
         let is_quick = |target: &&Target| {
@@ -168,7 +168,7 @@
         let share = self.rate_share(view);
         let open =
             self.targets.iter().filter(|target| target.is_open(now, bound, share, &self.model));
-        open.filter(is_quick).map(|target| target.room(bound, now)).sum()
+        open.filter(is_quick).map(|target| target.spare_capacity(bound, now)).sum()
     }
 
     /// What one more request costs all requests at a target, by how many it has.
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -87,11 +87,11 @@
     }
 
     fn has_room(&self, bound: Bound, now: Timestamp) -> bool {
-        self.room(bound, now) > 0
+        self.spare_capacity(bound, now) > 0
     }
 
     /// Further requests that it may get.
-    pub(crate) fn room(&self, bound: Bound, now: Timestamp) -> u32 {
+    pub(crate) fn spare_capacity(&self, bound: Bound, now: Timestamp) -> u32 {
         let most = match bound {
             Bound::Learnt => self.limit.value() as u32,
             Bound::Fixed(most) => most.min(self.shape.connection_share),
