--- a/crates/thymeshift_dispatch/src/dispatcher/configuring.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/configuring.rs
@@ -10,7 +10,7 @@
 use crate::AnyStrategy;
 use crate::Dispatcher;
 use crate::Strategy;
-use crate::table::Surroundings;
+use crate::table::FleetSettings;
 
 impl Dispatcher<AnyStrategy> {
     /// A dispatcher for a configured service, with the strategy it names.
@@ -50,7 +50,7 @@
         own_data_hall: &DataHallName,
         now: Timestamp,
     ) {
-        let surroundings = Surroundings {
+        let surroundings = FleetSettings {
             own_data_hall: own_data_hall.clone(),
             one_way: Duration::from_micros(configuration.data_hall_one_way_us),
             detour: Duration::from_micros(configuration.data_hall_detour_us),
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -34,7 +34,7 @@
 
 /// What of the configuration beside the service itself the table depends on.
 #[derive(Debug, Clone)]
-pub(crate) struct Surroundings {
+pub(crate) struct FleetSettings {
     pub(crate) own_data_hall: DataHallName,
     pub(crate) one_way: Duration,
     pub(crate) detour: Duration,
@@ -287,10 +287,10 @@
     pub(crate) fn update(
         &mut self,
         service: &Service,
-        surroundings: &Surroundings,
+        surroundings: &FleetSettings,
         now: Timestamp,
     ) {
-        let Surroundings { own_data_hall, one_way, detour, .. } = surroundings;
+        let FleetSettings { own_data_hall, one_way, detour, .. } = surroundings;
         self.halls.set(own_data_hall, *one_way, *detour);
         self.remove_unlisted(service, now);
         self.own_share = RateShare::one_of(surroundings.entry_vms_max);
