--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -37,7 +37,7 @@
     ) -> Option<LeavingMark> {
         let mark = observation.report().and_then(|report| self.record_report(grant, report, now));
         let has_room =
-            self.can_overflow || self.table.has_room_to_eject(self.ejection.share_max_percent, now);
+            self.can_overflow || self.table.may_eject_another(self.ejection.share_max_percent, now);
         if let Observation::Answered(report) = observation {
             self.table.learn_latency(grant, report, now);
         }
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -424,7 +424,7 @@
     }
 
     /// Whether one more target may be set aside.
-    pub(crate) fn has_room_to_eject(&self, share_max_percent: u64, now: Timestamp) -> bool {
+    pub(crate) fn may_eject_another(&self, share_max_percent: u64, now: Timestamp) -> bool {
         let serving = self.targets.iter().filter(|target| target.is_serving());
         let (count, ejected) = serving.fold((0_u64, 0_u64), |(count, ejected), target| {
             (count + 1, ejected + u64::from(target.ejection().is_ejected(now)))
