--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -39,7 +39,7 @@
         let has_room =
             self.can_overflow || self.table.may_eject_another(self.ejection.share_max_percent, now);
         if let Observation::Answered(report) = observation {
-            self.table.learn_latency(grant, report, now);
+            self.table.record_latency(grant, report, now);
         }
         let target = self.table.get_mut(grant.target);
         match observation {
@@ -59,7 +59,7 @@
                 target.refused_with_backoff();
             }
             Observation::TimedOut => {
-                target.learn_latency(grant, now);
+                target.record_latency(grant, now);
                 target.learn_overload(now);
                 // A caller with little time left does not prove that the target is slow.
                 if now.since(grant.sent_at) > grant.expected * TIMEOUT_FACTOR {
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -195,13 +195,13 @@
     }
 
     /// Learns from an answer's time, for its target and for the service.
-    pub(crate) fn learn_latency(
+    pub(crate) fn record_latency(
         &mut self,
         grant: &Grant,
         report: Option<LoadReport>,
         now: Timestamp,
     ) {
-        let taken_us = self.get_mut(grant.target).learn_latency(grant, now);
+        let taken_us = self.get_mut(grant.target).record_latency(grant, now);
         self.model.learn_answer(taken_us, grant.load, grant.told);
         let Some(report) = report.filter(|report| report.queued == 0) else {
             return;
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -248,7 +248,7 @@
 
     /// Learns from the time an answer took; returns that time without the way, in
     /// microseconds.
-    pub(crate) fn learn_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
+    pub(crate) fn record_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
         let taken = now.since(grant.sent_at);
         self.latency.learn(taken);
         let way_us = grant.way_us;
