--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -44,7 +44,7 @@
         let target = self.table.get_mut(grant.target);
         match observation {
             Observation::Answered(report) => {
-                target.learn_pressure(report, now);
+                target.update_limit(report, now);
                 target.succeeded(now);
             }
             Observation::Failed(_) => {
