--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -45,7 +45,7 @@
         match observation {
             Observation::Answered(report) => {
                 target.update_limit(report, now);
-                target.succeeded(now);
+                target.record_success(now);
             }
             Observation::Failed(_) => {
                 target.answered();
--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -52,7 +52,7 @@
         self.failure_rate * half_life / (half_life + age)
     }
 
-    pub(crate) fn succeeded(&mut self, now: Timestamp) {
+    pub(crate) fn record_success(&mut self, now: Timestamp) {
         self.failures_in_row = 0;
         self.ejections_in_row = 0;
         self.until = None;
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -276,8 +276,8 @@
         self.limit.learn(pressure, self.in_flight, now, round_trip);
     }
 
-    pub(crate) fn succeeded(&mut self, now: Timestamp) {
-        self.ejection.succeeded(now);
+    pub(crate) fn record_success(&mut self, now: Timestamp) {
+        self.ejection.record_success(now);
         self.answered();
     }
 
