--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -48,7 +48,7 @@
                 target.record_success(now);
             }
             Observation::Failed(_) => {
-                target.answered();
+                target.record_answer();
                 target.failed(&self.ejection, has_room, now);
             }
             Observation::Broken => target.failed(&self.ejection, has_room, now),
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -278,11 +278,11 @@
 
     pub(crate) fn record_success(&mut self, now: Timestamp) {
         self.ejection.record_success(now);
-        self.answered();
+        self.record_answer();
     }
 
     /// It ran a request.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         self.refusals.reset();
     }
 
