--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -49,9 +49,9 @@
             }
             Observation::Failed(_) => {
                 target.record_answer();
-                target.failed(&self.ejection, has_room, now);
+                target.record_failure(&self.ejection, has_room, now);
             }
-            Observation::Broken => target.failed(&self.ejection, has_room, now),
+            Observation::Broken => target.record_failure(&self.ejection, has_room, now),
             Observation::Unreachable => target.unreachable(&self.ejection, has_room, now),
             Observation::Shed(_) => target.learn_overload(now),
             Observation::ShedWithBackoff(_) => {
@@ -63,7 +63,7 @@
                 target.learn_overload(now);
                 // A caller with little time left does not prove that the target is slow.
                 if now.since(grant.sent_at) > grant.expected * TIMEOUT_FACTOR {
-                    target.failed(&self.ejection, has_room, now);
+                    target.record_failure(&self.ejection, has_room, now);
                 }
             }
         }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -290,8 +290,8 @@
         self.refusals.record_refusal();
     }
 
-    pub(crate) fn failed(&mut self, settings: &EjectionSettings, has_room: bool, now: Timestamp) {
-        self.ejection.failed(settings, has_room, now);
+    pub(crate) fn record_failure(&mut self, settings: &EjectionSettings, has_room: bool, now: Timestamp) {
+        self.ejection.record_failure(settings, has_room, now);
     }
 
     pub(crate) fn unreachable(
