--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -52,7 +52,7 @@
                 target.record_failure(&self.ejection, has_room, now);
             }
             Observation::Broken => target.record_failure(&self.ejection, has_room, now),
-            Observation::Unreachable => target.unreachable(&self.ejection, has_room, now),
+            Observation::Unreachable => target.record_unreachable(&self.ejection, has_room, now),
             Observation::Shed(_) => target.learn_overload(now),
             Observation::ShedWithBackoff(_) => {
                 target.learn_overload(now);
--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -69,7 +69,7 @@
     }
 
     /// No connection could be opened: as [`Self::failed`], but at once.
-    pub(crate) fn unreachable(
+    pub(crate) fn record_unreachable(
         &mut self,
         settings: &Settings,
         has_room: bool,
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -294,13 +294,13 @@
         self.ejection.record_failure(settings, has_room, now);
     }
 
-    pub(crate) fn unreachable(
+    pub(crate) fn record_unreachable(
         &mut self,
         settings: &EjectionSettings,
         has_room: bool,
         now: Timestamp,
     ) {
-        self.ejection.unreachable(settings, has_room, now);
+        self.ejection.record_unreachable(settings, has_room, now);
     }
 
     pub(crate) fn discard_reports(&mut self) {
