--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -53,14 +53,14 @@
             }
             Observation::Broken => target.record_failure(&self.ejection, has_room, now),
             Observation::Unreachable => target.record_unreachable(&self.ejection, has_room, now),
-            Observation::Shed(_) => target.learn_overload(now),
+            Observation::Shed(_) => target.record_overload(now),
             Observation::ShedWithBackoff(_) => {
-                target.learn_overload(now);
+                target.record_overload(now);
                 target.refused_with_backoff();
             }
             Observation::TimedOut => {
                 target.record_latency(grant, now);
-                target.learn_overload(now);
+                target.record_overload(now);
                 // A caller with little time left does not prove that the target is slow.
                 if now.since(grant.sent_at) > grant.expected * TIMEOUT_FACTOR {
                     target.record_failure(&self.ejection, has_room, now);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -267,7 +267,7 @@
         self.apply_pressure(pressure, now);
     }
 
-    pub(crate) fn learn_overload(&mut self, now: Timestamp) {
+    pub(crate) fn record_overload(&mut self, now: Timestamp) {
         self.apply_pressure(Pressure::Overloaded, now);
     }
 
