--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -56,7 +56,7 @@
             Observation::Shed(_) => target.record_overload(now),
             Observation::ShedWithBackoff(_) => {
                 target.record_overload(now);
-                target.refused_with_backoff();
+                target.record_backoff_refusal();
             }
             Observation::TimedOut => {
                 target.record_latency(grant, now);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -286,7 +286,7 @@
         self.refusals.reset();
     }
 
-    pub(crate) fn refused_with_backoff(&mut self) {
+    pub(crate) fn record_backoff_refusal(&mut self) {
         self.refusals.record_refusal();
     }
 
