--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -76,7 +76,7 @@
         report: LoadReport,
         now: Timestamp,
     ) -> Option<LeavingMark> {
-        self.table.learn_report(grant.target, report, now);
+        self.table.record_report(grant.target, report, now);
         self.record_state(grant.target, report)
     }
 
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -215,8 +215,8 @@
     }
 
     /// Learns from a report that came with an answer.
-    pub(crate) fn learn_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
-        let others = self.get_mut(index).learn_report(report, now);
+    pub(crate) fn record_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
+        let others = self.get_mut(index).record_report(report, now);
         self.model.learn_pace(report.pace());
         self.model.learn_others(others);
         self.learn_usual_pace(now);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -228,7 +228,7 @@
     }
 
     /// Returns the load of other VMs that the report tells of.
-    pub(crate) fn learn_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
+    pub(crate) fn record_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         self.others.learn(report, self.in_flight.saturating_sub(1), now)
     }
 
