--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -180,7 +180,7 @@
         now: Timestamp,
     ) -> Option<LeavingMark> {
         let index = self.table.find(name)?;
-        self.table.learn_probe(index, report, now);
+        self.table.record_probe(index, report, now);
         self.record_state(index, report)
     }
 
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -223,8 +223,8 @@
     }
 
     /// Learns from a report that came with a probe.
-    pub(crate) fn learn_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
-        let others = self.get_mut(index).learn_probe(report, now);
+    pub(crate) fn record_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
+        let others = self.get_mut(index).record_probe(report, now);
         self.model.learn_pace(report.pace());
         self.model.learn_others(others);
         self.learn_usual_pace(now);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -238,7 +238,7 @@
     }
 
     /// A probe's report: the probe itself is not among this VM's requests in flight.
-    pub(crate) fn learn_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
+    pub(crate) fn record_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         if let Some(cold_for_ms) = report.cold_for_ms {
             let left = Duration::from_millis(u64::from(cold_for_ms));
             self.cold_start.set_remaining(left, self.shape.cold_ramp, now);
