--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/learning.rs
@@ -189,7 +189,7 @@
         let incarnation = report.incarnation.unwrap_or(self.table.get(index).incarnation);
         match report.state {
             ReportedState::Serving => {
-                self.table.note_incarnation(index, incarnation);
+                self.table.record_incarnation(index, incarnation);
                 None
             }
             ReportedState::Draining => {
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -402,7 +402,7 @@
 
     /// Notes the incarnation that a target states of itself: it may have started anew on
     /// the same address before the configuration says so.
-    pub(crate) fn note_incarnation(&mut self, index: TargetIndex, incarnation: Incarnation) {
+    pub(crate) fn record_incarnation(&mut self, index: TargetIndex, incarnation: Incarnation) {
         let target = self.get_mut(index);
         if target.presence == Presence::Serving && target.incarnation < incarnation {
             target.set_incarnation(incarnation);
