--- a/crates/thymeshift_dispatch/src/grant.rs
+++ b/crates/thymeshift_dispatch/src/grant.rs
@@ -35,7 +35,7 @@
     /// How many times as long as at an idle target the answer was expected to take.
     pub(crate) load: f64,
     /// Requests beyond the usual that a report told of.
-    pub(crate) told: f64,
+    pub(crate) reported_excess: f64,
     /// When it was expected.
     pub(crate) expected: Duration,
     /// Time there and back, in microseconds.
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -209,7 +209,7 @@
             incarnation: self.incarnation,
             sent_at: now,
             load: self.load(model),
-            told: self.told(now, model),
+            reported_excess: self.reported_excess(now, model),
             expected: Duration::from_micros(expected_us as u64),
             way_us,
             in_flight: self.in_flight + 1,
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn base_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
-        let told_us = model.report_us(self.slots()) * self.told(now, model);
+        let told_us = model.report_us(self.slots()) * self.reported_excess(now, model);
         (model.service_us() * self.load(model) + told_us).max(model.service_us())
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Requests beyond the usual that the last report tells of.
-    pub(super) fn told(&self, now: Timestamp, model: &ServiceModel) -> f64 {
+    pub(super) fn reported_excess(&self, now: Timestamp, model: &ServiceModel) -> f64 {
         let memory_us = model.service_us() * REPORT_MEMORY_REQUESTS;
         let memory = Duration::from_micros(memory_us as u64);
         self.others.expected(now, memory, model.others()) - model.others()
