--- a/crates/thymeshift_dispatch/src/grant.rs
+++ b/crates/thymeshift_dispatch/src/grant.rs
@@ -39,7 +39,7 @@
     /// When it was expected.
     pub(crate) expected: Duration,
     /// Time there and back, in microseconds.
-    pub(crate) way_us: f64,
+    pub(crate) hall_round_trip_us: f64,
     /// Requests in flight there, this one included.
     pub(crate) in_flight: u32,
     /// Whether the target was not known to work slower than usual.
--- a/crates/thymeshift_dispatch/src/halls.rs
+++ b/crates/thymeshift_dispatch/src/halls.rs
@@ -43,7 +43,7 @@
     }
 
     /// Time there and back, in microseconds.
-    pub(crate) fn way_us(&self, from: HallIndex, to: HallIndex) -> f64 {
+    pub(crate) fn hall_round_trip_us(&self, from: HallIndex, to: HallIndex) -> f64 {
         if from == to { 0.0 } else { 2.0 * self.one_way.as_micros() as f64 }
     }
 
@@ -55,6 +55,6 @@
         }
         let length = f64::from(answer_kib) / DETOUR_KIB;
         let detour_us = self.detour.as_micros() as f64 * length.clamp(1.0, DETOUR_FACTOR_MAX);
-        self.way_us(from, to) + detour_us
+        self.hall_round_trip_us(from, to) + detour_us
     }
 }
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -251,7 +251,7 @@
     ) -> Grant {
         let share = self.rate_share(view);
         let target = &mut self.targets[index.as_usize()];
-        let way_us = self.halls.way_us(origin, target.hall);
+        let way_us = self.halls.hall_round_trip_us(origin, target.hall);
         target.rate_limit.granted(share, now);
         target.grant(index, way_us, now, &self.model)
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -211,7 +211,7 @@
             load: self.load(model),
             reported_excess: self.reported_excess(now, model),
             expected: Duration::from_micros(expected_us as u64),
-            way_us,
+            hall_round_trip_us: way_us,
             in_flight: self.in_flight + 1,
             is_usual_pace: self.is_usual_pace(now, model) && !self.cold_start.is_cold(now),
             is_counted: self.is_rate_limited(),
@@ -251,7 +251,7 @@
     pub(crate) fn record_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
         let taken = now.since(grant.sent_at);
         self.latency.learn(taken);
-        let way_us = grant.way_us;
+        let way_us = grant.hall_round_trip_us;
         let taken_us = (taken.as_micros() as f64 - way_us).max(1.0);
         let expected_us = grant.expected.as_micros() as f64 - way_us;
         self.slowness.learn(taken_us, expected_us, now);
