--- a/crates/thymeshift_dispatch/src/latency.rs
+++ b/crates/thymeshift_dispatch/src/latency.rs
@@ -26,7 +26,7 @@
 }
 
 impl Latency {
-    pub(crate) fn learn(&mut self, sample: Duration) {
+    pub(crate) fn record(&mut self, sample: Duration) {
         let sample_us = sample.as_micros() as f64;
         if !self.has_sample {
             *self = Self { mean_us: sample_us, floor_us: sample_us, has_sample: true };
--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -85,7 +85,7 @@
 impl OthersLoad {
     /// Takes in a report; `own` is this VM's requests in flight there, the reporting one
     /// not counted. Returns the load of the others.
-    pub(crate) fn learn(&mut self, report: LoadReport, own: u32, at: Timestamp) -> f64 {
+    pub(crate) fn record(&mut self, report: LoadReport, own: u32, at: Timestamp) -> f64 {
         let others = f64::from(report.occupancy().saturating_sub(own));
         self.mean = match self.last {
             Some(_) => self.mean + MEAN_WEIGHT * (others - self.mean),
--- a/crates/thymeshift_dispatch/src/slowness.rs
+++ b/crates/thymeshift_dispatch/src/slowness.rs
@@ -41,7 +41,7 @@
 }
 
 impl Slowness {
-    pub(crate) fn learn(&mut self, taken_us: f64, expected_us: f64, now: Timestamp) {
+    pub(crate) fn record(&mut self, taken_us: f64, expected_us: f64, now: Timestamp) {
         let sample = (taken_us / expected_us.max(1.0)).min(RATIO_MAX);
         let is_late = if sample > 1.0 { 1.0 } else { 0.0 };
         let ratio = self.faded(self.ratio, 1.0, now);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -229,7 +229,7 @@
 
     /// Returns the load of other VMs that the report tells of.
     pub(crate) fn record_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
-        self.others.learn(report, self.in_flight.saturating_sub(1), now)
+        self.others.record(report, self.in_flight.saturating_sub(1), now)
     }
 
     /// Whether the last report is older than `age`, or there is none.
@@ -243,18 +243,18 @@
             let left = Duration::from_millis(u64::from(cold_for_ms));
             self.cold_start.set_remaining(left, self.shape.cold_ramp, now);
         }
-        self.others.learn(report, self.in_flight, now)
+        self.others.record(report, self.in_flight, now)
     }
 
     /// Learns from the time an answer took; returns that time without the way, in
     /// microseconds.
     pub(crate) fn record_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
         let taken = now.since(grant.sent_at);
-        self.latency.learn(taken);
+        self.latency.record(taken);
         let way_us = grant.hall_round_trip_us;
         let taken_us = (taken.as_micros() as f64 - way_us).max(1.0);
         let expected_us = grant.expected.as_micros() as f64 - way_us;
-        self.slowness.learn(taken_us, expected_us, now);
+        self.slowness.record(taken_us, expected_us, now);
         taken_us
     }
 
