--- a/crates/thymeshift_dispatch/src/lib.rs
+++ b/crates/thymeshift_dispatch/src/lib.rs
@@ -60,7 +60,7 @@
 pub use grant::TargetIndex;
 pub use halls::HallIndex;
 pub use measuring::MeasuringShare;
-pub use patience::Patience;
+pub use patience::ElapsedTimeEstimator;
 pub use pause::PauseDetector;
 pub use probe_budget::ProbeBudget;
 pub use probe_pacing::ProbePacing;
--- a/crates/thymeshift_dispatch/src/patience.rs
+++ b/crates/thymeshift_dispatch/src/patience.rs
@@ -25,14 +25,14 @@
 
 /// The usual times of one kind at one VM.
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct ElapsedTimeEstimator {
     longest_s: f64,
     shares: [f64; STEPS],
     /// The longest time seen at each place.
     largest_s: [f64; STEPS],
 }
 
-impl Patience {
+impl ElapsedTimeEstimator {
     /// Takes in the time that a caller says it waits, and returns how long it has been trying.
     pub fn tried_for(&mut self, told: Duration) -> Duration {
         let told_s = told.as_secs_f64();
--- a/crates/thymeshift_dispatch/tests/patience.rs
+++ b/crates/thymeshift_dispatch/tests/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use thymeshift_dispatch::Patience;
+use thymeshift_dispatch::ElapsedTimeEstimator;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -15,7 +15,7 @@
     tried_ms: u64,
 }
 
-fn check(patience: &mut Patience, cases: &[Case]) {
+fn check(patience: &mut ElapsedTimeEstimator, cases: &[Case]) {
     for Case { note, told_ms, tried_ms } in cases {
         let tried = patience.clone().tried_for(ms(*told_ms));
         let wanted = ms(*tried_ms);
@@ -26,7 +26,7 @@
 
 #[test]
 fn what_a_caller_has_spent_is_what_is_missing_from_the_usual_time() {
-    let mut patience = Patience::default();
+    let mut patience = ElapsedTimeEstimator::default();
     assert_eq!(patience.tried_for(ms(4_000)), Duration::ZERO, "the first one seen");
     check(
         &mut patience,
@@ -43,7 +43,7 @@
 
 #[test]
 fn callers_that_always_wait_less_are_not_taken_for_late() {
-    let mut patience = Patience::default();
+    let mut patience = ElapsedTimeEstimator::default();
     for _ in 0..400 {
         patience.tried_for(ms(1_000));
         patience.tried_for(ms(4_000));
@@ -61,7 +61,7 @@
 
 #[test]
 fn many_that_come_again_after_an_outage_do_not_become_usual() {
-    let mut patience = Patience::default();
+    let mut patience = ElapsedTimeEstimator::default();
     for step in 0..40 {
         patience.tried_for(ms(3_310 + step % 5));
         if step % 4 == 0 {
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_time_that_nobody_says_any_more_is_forgotten() {
-    let mut patience = Patience::default();
+    let mut patience = ElapsedTimeEstimator::default();
     patience.tried_for(ms(60_000));
     for _ in 0..20_000 {
         patience.tried_for(ms(4_000));
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -12,7 +12,7 @@
 use thymeshift_config::Configuration;
 use thymeshift_config::Kind;
 use thymeshift_config::RequestHead;
-use thymeshift_dispatch::Patience;
+use thymeshift_dispatch::ElapsedTimeEstimator;
 use thymeshift_organisations::KeyRing;
 use thymeshift_telemetry::metric;
 use thymeshift_types::DataHallName;
@@ -60,7 +60,7 @@
     /// Length of answers in the mean, in bytes.
     answer_bytes: AtomicU64,
     /// How long callers usually wait.
-    pub(crate) patience: Mutex<Patience>,
+    pub(crate) patience: Mutex<ElapsedTimeEstimator>,
 }
 
 impl KindFigures {
