--- a/crates/thymeshift_dispatch/src/limit.rs
+++ b/crates/thymeshift_dispatch/src/limit.rs
@@ -34,7 +34,7 @@
 
 impl Pressure {
     /// Pressure read from a report.
-    pub(crate) fn of_queue(queued: u32, slots: u32) -> Self {
+    pub(crate) fn from_queue(queued: u32, slots: u32) -> Self {
         let bound = f64::from(slots) * QUEUED_PER_SLOT_MAX;
         if f64::from(queued) > bound { Self::QueueFull } else { Self::KeepsUp }
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -261,7 +261,7 @@
     /// Learns whether the target keeps up, from its queue or, without one, from latency.
     pub(crate) fn update_limit(&mut self, report: Option<LoadReport>, now: Timestamp) {
         let pressure = match report {
-            Some(report) => Pressure::of_queue(report.queued, self.shape.slots),
+            Some(report) => Pressure::from_queue(report.queued, self.shape.slots),
             None => Pressure::of_latency(self.latency.mean_us(), self.latency.floor_us()),
         };
         self.apply_pressure(pressure, now);
