--- a/crates/thymeshift_dispatch/src/limit.rs
+++ b/crates/thymeshift_dispatch/src/limit.rs
@@ -40,7 +40,7 @@
     }
 
     /// Pressure read from latency, for targets that do not report.
-    pub(crate) fn of_latency(mean_us: f64, floor_us: f64) -> Self {
+    pub(crate) fn from_latency(mean_us: f64, floor_us: f64) -> Self {
         if mean_us > floor_us * LATENCY_RATIO_MAX { Self::QueueFull } else { Self::KeepsUp }
     }
 }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -262,7 +262,7 @@
     pub(crate) fn update_limit(&mut self, report: Option<LoadReport>, now: Timestamp) {
         let pressure = match report {
             Some(report) => Pressure::from_queue(report.queued, self.shape.slots),
-            None => Pressure::of_latency(self.latency.mean_us(), self.latency.floor_us()),
+            None => Pressure::from_latency(self.latency.mean_us(), self.latency.floor_us()),
         };
         self.apply_pressure(pressure, now);
     }
