--- a/crates/thymeshift_dispatch/src/limit.rs
+++ b/crates/thymeshift_dispatch/src/limit.rs
@@ -46,13 +46,13 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Limit {
+pub(crate) struct AdaptiveLimit {
     value: f64,
     ceiling: u32,
     lowered_at: Timestamp,
 }
 
-impl Limit {
+impl AdaptiveLimit {
     pub(crate) fn new(start: u32, ceiling: u32) -> Self {
         let ceiling = ceiling.max(1);
         let value = f64::from(start.min(ceiling)).max(LIMIT_MIN);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -24,7 +24,7 @@
 use crate::grant::Grant;
 use crate::grant::TargetIndex;
 use crate::latency::Latency;
-use crate::limit::Limit;
+use crate::limit::AdaptiveLimit;
 use crate::limit::Pressure;
 use crate::model::ServiceModel;
 use crate::rate_limit::RateLimit;
@@ -75,7 +75,7 @@
     granted_at: Timestamp,
     latency: Latency,
     others: OthersLoad,
-    limit: Limit,
+    limit: AdaptiveLimit,
     ejection: Ejection,
     cold_start: ColdStart,
     slowness: Slowness,
@@ -110,7 +110,7 @@
             granted_at: Timestamp::default(),
             latency: Latency::default(),
             others: OthersLoad::default(),
-            limit: Limit::new(shape.slots, shape.connection_share),
+            limit: AdaptiveLimit::new(shape.slots, shape.connection_share),
             ejection: Ejection::default(),
             cold_start,
             slowness: Slowness::default(),
