--- a/crates/thymeshift_dispatch/src/limit.rs
+++ b/crates/thymeshift_dispatch/src/limit.rs
@@ -65,7 +65,7 @@
     }
 
     /// Learns from one attempt; `round_trip` bounds how often the limit is lowered.
-    pub(crate) fn learn(
+    pub(crate) fn update(
         &mut self,
         pressure: Pressure,
         in_flight: u32,
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -273,7 +273,7 @@
 
     fn apply_pressure(&mut self, pressure: Pressure, now: Timestamp) {
         let round_trip = Duration::from_micros(self.latency.mean_us() as u64);
-        self.limit.learn(pressure, self.in_flight, now, round_trip);
+        self.limit.update(pressure, self.in_flight, now, round_trip);
     }
 
     pub(crate) fn record_success(&mut self, now: Timestamp) {
