--- a/crates/thymeshift_dispatch/src/measuring.rs
+++ b/crates/thymeshift_dispatch/src/measuring.rs
@@ -66,7 +66,7 @@
     }
 
     /// Pays for target time beyond the declared cost.
-    pub fn settle(&mut self, spent: Duration) {
+    pub fn charge_overrun(&mut self, spent: Duration) {
         let beyond_us = spent.as_micros() as f64 - self.cost_us;
         if beyond_us <= 0.0 {
             return;
--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -84,7 +84,7 @@
             while seat.share.try_begin(now) {
                 let taken_us = if index == chosen { slow_us.max(COST_US) } else { COST_US };
                 spent += taken_us;
-                seat.share.settle(Duration::from_micros(taken_us));
+                seat.share.charge_overrun(Duration::from_micros(taken_us));
             }
         }
     }
--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -71,7 +71,7 @@
             if let Ok(Ended { subject, spent }) = ended
                 && let Some(share) = known.get_mut(&subject)
             {
-                share.share.settle(spent);
+                share.share.charge_overrun(spent);
             }
         }
         begin_due::<D>(&shared, &mut known, &mut probes);
