--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -88,7 +88,7 @@
     }
 
     /// Mean requests of other VMs at a target.
-    pub(crate) fn others(&self) -> f64 {
+    pub(crate) fn external_load(&self) -> f64 {
         self.others.unwrap_or(0.0)
     }
 
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -74,7 +74,7 @@
     sent_at_sum_us: u64,
     granted_at: Timestamp,
     latency: Latency,
-    others: OthersLoad,
+    external_load: OthersLoad,
     limit: AdaptiveLimit,
     ejection: Ejection,
     cold_start: ColdStart,
@@ -109,7 +109,7 @@
             sent_at_sum_us: 0,
             granted_at: Timestamp::default(),
             latency: Latency::default(),
-            others: OthersLoad::default(),
+            external_load: OthersLoad::default(),
             limit: AdaptiveLimit::new(shape.slots, shape.connection_share),
             ejection: Ejection::default(),
             cold_start,
@@ -135,7 +135,7 @@
 
     /// The pace that it told within `age_max`.
     pub(crate) fn reported_pace(&self, age_max: Duration, now: Timestamp) -> Option<f64> {
-        self.others.reported_pace(age_max, now)
+        self.external_load.reported_pace(age_max, now)
     }
 
     /// Whether it may be open again without a change of configuration.
@@ -229,12 +229,12 @@
 
     /// Returns the load of other VMs that the report tells of.
     pub(crate) fn record_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
-        self.others.record(report, self.in_flight.saturating_sub(1), now)
+        self.external_load.record(report, self.in_flight.saturating_sub(1), now)
     }
 
     /// Whether the last report is older than `age`, or there is none.
     pub(crate) fn is_stale(&self, age: Duration, now: Timestamp) -> bool {
-        self.others.age(now).is_none_or(|heard| heard >= age)
+        self.external_load.age(now).is_none_or(|heard| heard >= age)
     }
 
     /// A probe's report: the probe itself is not among this VM's requests in flight.
@@ -243,7 +243,7 @@
             let left = Duration::from_millis(u64::from(cold_for_ms));
             self.cold_start.set_remaining(left, self.shape.cold_ramp, now);
         }
-        self.others.record(report, self.in_flight, now)
+        self.external_load.record(report, self.in_flight, now)
     }
 
     /// Learns from the time an answer took; returns that time without the way, in
@@ -304,7 +304,7 @@
     }
 
     pub(crate) fn discard_reports(&mut self) {
-        self.others.distrust();
+        self.external_load.distrust();
     }
 
     /// What is believed of this target.
@@ -315,7 +315,7 @@
         share: RateShare,
         model: &ServiceModel,
     ) -> TargetDump {
-        let report = self.others.last_report();
+        let report = self.external_load.last_report();
         let usability = self.usability(now, bound, share, model);
         let backoff = self.backoff.active_until(now);
         let ejected_for = self.ejection.until().filter(|_| usability == Usability::Ejected);
@@ -333,7 +333,7 @@
             reported_running: report.map(|report| report.running),
             reported_queued: report.map(|report| report.queued),
             reported_state: report.map(|report| report.state),
-            report_age_ms: self.others.age(now).map(|age| age.as_millis() as u64),
+            report_age_ms: self.external_load.age(now).map(|age| age.as_millis() as u64),
             rate_limit: self.rate_limit.dump(share, now),
             ejected_for_ms: ejected_for.map(|until| now.until(until).as_millis() as u64),
             backoff_for_ms: backoff.map(|until| now.until(until).as_millis() as u64),
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -25,7 +25,7 @@
     pub(crate) fn expected_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
         let base_us = self.base_us(now, model);
         let factor = self.slowness.factor(now) * self.cold_start.factor(now);
-        let factor = factor * self.others.pace(now, model.pace());
+        let factor = factor * self.external_load.pace(now, model.pace());
         let stalled_us = self.overdue_us(now, base_us);
         let success_share = (1.0 - self.ejection.failure_rate(now)).max(SUCCESS_SHARE_MIN);
         (base_us * factor + stalled_us) / success_share
@@ -39,7 +39,7 @@
     /// How many times as long as at an idle target an answer takes by what this VM knows
     /// itself: each request that queues ahead waits for a slot.
     pub(super) fn load(&self, model: &ServiceModel) -> f64 {
-        let ahead = f64::from(self.in_flight) + model.others();
+        let ahead = f64::from(self.in_flight) + model.external_load();
         1.0 + (ahead + 1.0 - self.slots()).max(0.0) / self.slots()
     }
 
@@ -47,7 +47,7 @@
     pub(super) fn reported_excess(&self, now: Timestamp, model: &ServiceModel) -> f64 {
         let memory_us = model.service_us() * REPORT_MEMORY_REQUESTS;
         let memory = Duration::from_micros(memory_us as u64);
-        self.others.expected(now, memory, model.others()) - model.others()
+        self.external_load.expected(now, memory, model.external_load()) - model.external_load()
     }
 
     fn slots(&self) -> f64 {
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn is_usual_pace(&self, now: Timestamp, model: &ServiceModel) -> bool {
-        let pace = self.others.current_pace(now);
+        let pace = self.external_load.current_pace(now);
         pace.is_none_or(|pace| pace <= model.usual_pace() * USUAL_PACE_FACTOR_MAX)
     }
 }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -70,7 +70,7 @@
 
     fn is_slow_spell(&self, now: Timestamp, model: &ServiceModel) -> bool {
         let service = Duration::from_micros(model.service_us() as u64);
-        self.others.is_slow_spell(now, model.usual_pace(), service)
+        self.external_load.is_slow_spell(now, model.usual_pace(), service)
     }
 
     /// Whether it is cold and got its last request too recently for another one.
@@ -111,7 +111,7 @@
     fn left_by_others(&self, most: u32, now: Timestamp) -> u32 {
         let is_tried_long_ago = now.since(self.granted_at) >= TRIED_BESIDE_OTHERS_EVERY;
         let least = u32::from(is_tried_long_ago);
-        most.saturating_sub(self.others.uncounted(now)).max(least.min(most))
+        most.saturating_sub(self.external_load.uncounted(now)).max(least.min(most))
     }
 
     fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
