--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -93,7 +93,7 @@
     }
 
     /// Mean pace that targets report.
-    pub(crate) fn pace(&self) -> f64 {
+    pub(crate) fn mean_pace(&self) -> f64 {
         self.pace.unwrap_or(1.0)
     }
 
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -25,7 +25,7 @@
     pub(crate) fn expected_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
         let base_us = self.base_us(now, model);
         let factor = self.slowness.factor(now) * self.cold_start.factor(now);
-        let factor = factor * self.external_load.pace(now, model.pace());
+        let factor = factor * self.external_load.pace(now, model.mean_pace());
         let stalled_us = self.overdue_us(now, base_us);
         let success_share = (1.0 - self.ejection.failure_rate(now)).max(SUCCESS_SHARE_MIN);
         (base_us * factor + stalled_us) / success_share
