--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes in the current paces of the targets.
-    pub(crate) fn learn_usual_pace(&mut self, paces: Vec<f64>, now: Timestamp) {
+    pub(crate) fn record_usual_pace(&mut self, paces: Vec<f64>, now: Timestamp) {
         self.usual_pace.learn(paces, now);
     }
 
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -238,7 +238,7 @@
         let serving = self.targets.iter().filter(|target| target.is_serving());
         let paces = serving.filter_map(|target| target.reported_pace(USUAL_PACE_AGE_MAX, now));
         let paces = paces.collect();
-        self.model.learn_usual_pace(paces, now);
+        self.model.record_usual_pace(paces, now);
     }
 
     /// Gives the right to send to a target.
