--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -107,7 +107,7 @@
         self.usual_pace.learn(paces, now);
     }
 
-    pub(crate) fn learn_pace(&mut self, pace: f64) {
+    pub(crate) fn record_pace(&mut self, pace: f64) {
         let mean = self.pace.get_or_insert(pace);
         *mean += PACE_WEIGHT * (pace - *mean);
     }
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -217,7 +217,7 @@
     /// Learns from a report that came with an answer.
     pub(crate) fn record_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
         let others = self.get_mut(index).record_report(report, now);
-        self.model.learn_pace(report.pace());
+        self.model.record_pace(report.pace());
         self.model.learn_others(others);
         self.learn_usual_pace(now);
     }
@@ -225,7 +225,7 @@
     /// Learns from a report that came with a probe.
     pub(crate) fn record_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
         let others = self.get_mut(index).record_probe(report, now);
-        self.model.learn_pace(report.pace());
+        self.model.record_pace(report.pace());
         self.model.learn_others(others);
         self.learn_usual_pace(now);
     }
