--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -113,7 +113,7 @@
     }
 
     /// Time that one request told of by a report adds, in microseconds.
-    pub(crate) fn report_us(&self, slots: f64) -> f64 {
+    pub(crate) fn reported_request_us(&self, slots: f64) -> f64 {
         let queued_us = self.service_us() / slots;
         let prior_us = queued_us * PRIOR_SHARE * PRIOR_VARIANCE;
         let slope_us = (self.covariance_us + prior_us) / (self.load_variance + PRIOR_VARIANCE);
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn base_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
-        let told_us = model.report_us(self.slots()) * self.reported_excess(now, model);
+        let told_us = model.reported_request_us(self.slots()) * self.reported_excess(now, model);
         (model.service_us() * self.load(model) + told_us).max(model.service_us())
     }
 
