--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -120,7 +120,7 @@
         slope_us.clamp(0.0, queued_us)
     }
 
-    pub(crate) fn learn_others(&mut self, others: f64) {
+    pub(crate) fn record_external_load(&mut self, others: f64) {
         let mean = self.others.get_or_insert(others);
         *mean += OTHERS_WEIGHT * (others - *mean);
     }
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -218,7 +218,7 @@
     pub(crate) fn record_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
         let others = self.get_mut(index).record_report(report, now);
         self.model.record_pace(report.pace());
-        self.model.learn_others(others);
+        self.model.record_external_load(others);
         self.learn_usual_pace(now);
     }
 
@@ -226,7 +226,7 @@
     pub(crate) fn record_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
         let others = self.get_mut(index).record_probe(report, now);
         self.model.record_pace(report.pace());
-        self.model.learn_others(others);
+        self.model.record_external_load(others);
         self.learn_usual_pace(now);
     }
 
