--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -128,7 +128,7 @@
     /// Learns from an answer that took `taken_us` without the way. It was expected to take
     /// `load` times as long as at an idle target, and a report told of `told` requests
     /// more than the mean.
-    pub(crate) fn learn_answer(&mut self, taken_us: f64, load: f64, told: f64) {
+    pub(crate) fn record_answer(&mut self, taken_us: f64, load: f64, told: f64) {
         let beyond_us = taken_us - self.service_us() * load;
         self.load_variance += SLOPE_WEIGHT * (told * told - self.load_variance);
         self.covariance_us += SLOPE_WEIGHT * (told * beyond_us - self.covariance_us);
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -202,7 +202,7 @@
         now: Timestamp,
     ) {
         let taken_us = self.get_mut(grant.target).record_latency(grant, now);
-        self.model.learn_answer(taken_us, grant.load, grant.reported_excess);
+        self.model.record_answer(taken_us, grant.load, grant.reported_excess);
         let Some(report) = report.filter(|report| report.queued == 0) else {
             return;
         };
