--- a/crates/thymeshift_dispatch/src/patience.rs
+++ b/crates/thymeshift_dispatch/src/patience.rs
@@ -34,7 +34,7 @@
 
 impl ElapsedTimeEstimator {
     /// Takes in the time that a caller says it waits, and returns how long it has been trying.
-    pub fn tried_for(&mut self, told: Duration) -> Duration {
+    pub fn estimate(&mut self, told: Duration) -> Duration {
         let told_s = told.as_secs_f64();
         self.longest_s *= 1.0 - FADE;
         self.largest_s.iter_mut().for_each(|largest_s| *largest_s *= 1.0 - FADE);
--- a/crates/thymeshift_dispatch/tests/patience.rs
+++ b/crates/thymeshift_dispatch/tests/patience.rs
@@ -17,7 +17,7 @@
 
 fn check(patience: &mut ElapsedTimeEstimator, cases: &[Case]) {
     for Case { note, told_ms, tried_ms } in cases {
-        let tried = patience.clone().tried_for(ms(*told_ms));
+        let tried = patience.clone().estimate(ms(*told_ms));
         let wanted = ms(*tried_ms);
         // Usual times fade a little between two callers that say them.
         assert!(tried.abs_diff(wanted) <= ms(10), "{note}: {tried:?} and not {wanted:?}");
@@ -27,7 +27,7 @@
 #[test]
 fn what_a_caller_has_spent_is_what_is_missing_from_the_usual_time() {
     let mut patience = ElapsedTimeEstimator::default();
-    assert_eq!(patience.tried_for(ms(4_000)), Duration::ZERO, "the first one seen");
+    assert_eq!(patience.estimate(ms(4_000)), Duration::ZERO, "the first one seen");
     check(
         &mut patience,
         &[
@@ -45,8 +45,8 @@
 fn callers_that_always_wait_less_are_not_taken_for_late() {
     let mut patience = ElapsedTimeEstimator::default();
     for _ in 0..400 {
-        patience.tried_for(ms(1_000));
-        patience.tried_for(ms(4_000));
+        patience.estimate(ms(1_000));
+        patience.estimate(ms(4_000));
     }
     check(
         &mut patience,
@@ -63,9 +63,9 @@
 fn many_that_come_again_after_an_outage_do_not_become_usual() {
     let mut patience = ElapsedTimeEstimator::default();
     for step in 0..40 {
-        patience.tried_for(ms(3_310 + step % 5));
+        patience.estimate(ms(3_310 + step % 5));
         if step % 4 == 0 {
-            patience.tried_for(ms(4_000));
+            patience.estimate(ms(4_000));
         }
     }
     check(&mut patience, &[Case { note: "one of them", told_ms: 3_312, tried_ms: 688 }]);
@@ -74,9 +74,9 @@
 #[test]
 fn a_time_that_nobody_says_any_more_is_forgotten() {
     let mut patience = ElapsedTimeEstimator::default();
-    patience.tried_for(ms(60_000));
+    patience.estimate(ms(60_000));
     for _ in 0..20_000 {
-        patience.tried_for(ms(4_000));
+        patience.estimate(ms(4_000));
     }
     check(&mut patience, &[Case { note: "the usual one", told_ms: 4_000, tried_ms: 0 }]);
 }
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -293,7 +293,7 @@
     let objective_ms = kind.kind.objective_ms;
     let objective = (objective_ms > 0).then(|| Duration::from_millis(objective_ms))?;
     let tried_for =
-        caller_waits.map_or(Duration::ZERO, |told| kind.figures.patience.lock().tried_for(told));
+        caller_waits.map_or(Duration::ZERO, |told| kind.figures.patience.lock().estimate(told));
     Some(objective.saturating_sub(tried_for))
 }
 
