--- a/crates/thymeshift_dispatch/src/probe_budget.rs
+++ b/crates/thymeshift_dispatch/src/probe_budget.rs
@@ -32,7 +32,7 @@
     }
 
     /// Probes that may begin now.
-    pub fn left(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.left as usize
     }
 
--- a/crates/thymeshift_dispatch/tests/probe_budget.rs
+++ b/crates/thymeshift_dispatch/tests/probe_budget.rs
@@ -18,7 +18,7 @@
                 budget.record_request();
                 requests += 1;
             } else {
-                let begun = usize::from(wanted).min(budget.left());
+                let begun = usize::from(wanted).min(budget.available());
                 budget.spend(begun);
                 probes += begun;
             }
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -296,7 +296,7 @@
         now: Timestamp,
     ) -> Vec<(TargetName, SocketAddr)> {
         let state = self.state.lock();
-        state.dispatcher.stale_targets(age, state.probe_budget.left(), now)
+        state.dispatcher.stale_targets(age, state.probe_budget.available(), now)
     }
 
     /// Probes of targets of the group have begun.
