--- a/crates/thymeshift_dispatch/src/probe_pacing.rs
+++ b/crates/thymeshift_dispatch/src/probe_pacing.rs
@@ -52,7 +52,7 @@
     }
 
     /// The probe has ended.
-    pub fn ended(&mut self, is_answered: bool) {
+    pub fn finish(&mut self, is_answered: bool) {
         self.is_running = false;
         self.failures = if is_answered { 0 } else { self.failures + 1 };
     }
--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -207,7 +207,7 @@
         let mut ends_ms = None;
         for now_ms in (0..10_000).step_by(LOOK_MS as usize) {
             if ends_ms.is_some_and(|ends_ms| now_ms >= ends_ms) {
-                pacing.ended(is_answered);
+                pacing.finish(is_answered);
                 ends_ms = None;
             }
             if pacing.try_begin(INTERVAL, Timestamp::from_millis(1_000 + now_ms)) {
@@ -235,7 +235,7 @@
                 _ => false,
             };
             if may_begin {
-                pacing.ended(true);
+                pacing.finish(true);
                 begun.push(step);
             }
         }
@@ -259,9 +259,9 @@
     let mut pacing = ProbePacing::default();
     assert!(pacing.try_begin_early(ms(48), START));
     assert!(!pacing.try_begin_early(ms(48), START), "one at a time");
-    pacing.ended(false);
+    pacing.finish(false);
     assert!(!pacing.try_begin_early(ms(48), START + ms(500)));
     assert!(pacing.try_begin(ms(48), START + ms(500)));
-    pacing.ended(true);
+    pacing.finish(true);
     assert!(pacing.try_begin_early(ms(48), START + ms(501)));
 }
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -58,7 +58,7 @@
 
 impl Fleet {
     fn probe(&mut self, target: usize, now_ms: u64) {
-        self.probing[target].ended(true);
+        self.probing[target].finish(true);
         self.probes += 1;
         let _ = self.dispatcher.record_probe(&name(target), told(target, now_ms), at(now_ms));
     }
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -185,7 +185,7 @@
     tokio::spawn(async move {
         let is_answered = run_probe::<D>(&shared, &subject, &destination, &probe).await;
         if let Some(pacing) = probing.lock().get_mut(&destination) {
-            pacing.ended(is_answered);
+            pacing.finish(is_answered);
         }
     })
 }
