--- a/crates/thymeshift_dispatch/src/probe_pacing.rs
+++ b/crates/thymeshift_dispatch/src/probe_pacing.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether nothing would be lost by forgetting this.
-    pub fn is_over(&self, now: Timestamp) -> bool {
+    pub fn is_idle(&self, now: Timestamp) -> bool {
         !self.is_running && now.since(self.not_before) > INTERVAL_MAX * 2
     }
 }
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -64,7 +64,7 @@
     let mut wanted = shared.acquires_pending.lock().await;
     loop {
         let now = BootClock.now();
-        probing.lock().retain(|_, pacing| !pacing.is_over(now));
+        probing.lock().retain(|_, pacing| !pacing.is_idle(now));
         let is_allocating = begin_due::<D>(&shared, &probing);
         let wait = if is_allocating { LOOK } else { IDLE_LOOK };
         let until = sleep(wait);
