--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -70,7 +70,7 @@
     }
 
     /// An equal part among so many.
-    pub fn one_of(count: u64) -> Self {
+    pub fn equal(count: u64) -> Self {
         Self(1.0 / count.max(1) as f64)
     }
 
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -293,7 +293,7 @@
         let FleetSettings { own_data_hall, one_way, detour, .. } = surroundings;
         self.halls.set(own_data_hall, *one_way, *detour);
         self.remove_unlisted(service, now);
-        self.own_share = RateShare::one_of(surroundings.entry_vms_max);
+        self.own_share = RateShare::equal(surroundings.entry_vms_max);
         let mut free = self.free_places();
         self.slots = u32::try_from(service.slots_per_target).unwrap_or(u32::MAX);
         let shape = Shape {
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -130,7 +130,7 @@
     // An equal share of 1 in 100 of 3.4 a second is a turn each 29.4 s.
     let limits = [Some(rate(3.4))];
     let mut dispatcher = fleet(1);
-    dispatcher.set_rate_share(RateShare::one_of(100));
+    dispatcher.set_rate_share(RateShare::equal(100));
     states(&mut dispatcher, 0, limits[0], 0);
     assert!(send(&mut dispatcher, &limits, 10..29_000, &mut rng()).is_empty(), "not its turn yet");
     assert!(send(&mut dispatcher, &limits, 31_000..58_000, &mut rng()).is_empty(), "it has lapsed");
