--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -75,7 +75,7 @@
     }
 
     /// The part, from 0 to 1.
-    pub fn part(self) -> f64 {
+    pub fn fraction(self) -> f64 {
         self.0
     }
 }
@@ -160,14 +160,14 @@
             per_s: per_s(known.rate?),
             limited_for_ms: now.since(known.since).as_millis() as u64,
             age_ms: now.since(known.as_of).as_millis() as u64,
-            share: share.part(),
+            share: share.fraction(),
             granted: self.granted,
         })
     }
 
     /// Requests a second that may be granted here; none if the target is not in need.
     pub(crate) fn granted_per_s(&self, share: RateShare) -> Option<f64> {
-        Some(per_s(self.rate()?).max(RATE_MIN_PER_S) * share.part())
+        Some(per_s(self.rate()?).max(RATE_MIN_PER_S) * share.fraction())
     }
 
     /// Whether a request may be granted now.
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -250,7 +250,7 @@
         let new = || QuotaCounter::new(limit, now);
         let counter = all.entry(ask.organisation.clone()).or_insert_with(new);
         counter.set_limit(limit, now);
-        counter.set_share(share.part(), now);
+        counter.set_share(share.fraction(), now);
         let question =
             QuotaQuestion { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
         let answer = counter.ask(asker, question, now);
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -338,7 +338,7 @@
             return 1.0;
         }
         let known = self.processes.len();
-        AllocatorRank { before: place, heard: known, known }.rate_share().part()
+        AllocatorRank { before: place, heard: known, known }.rate_share().fraction()
     }
 
     fn answered(&mut self, place: usize, number: u64, counted: Option<Counted>) {
