--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -198,7 +198,7 @@
     }
 
     /// A request was granted.
-    pub(crate) fn granted(&mut self, share: RateShare, now: Timestamp) {
+    pub(crate) fn record_grant(&mut self, share: RateShare, now: Timestamp) {
         self.granted += 1;
         let between = self.granted_per_s(share).and_then(between).unwrap_or_default();
         self.last_taken_at = (self.last_taken_at + between).max(now.minus(BURST_WINDOW)).min(now);
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -252,7 +252,7 @@
         let share = self.rate_share(view);
         let target = &mut self.targets[index.as_usize()];
         let way_us = self.halls.hall_round_trip_us(origin, target.hall);
-        target.rate_limit.granted(share, now);
+        target.rate_limit.record_grant(share, now);
         target.grant(index, way_us, now, &self.model)
     }
 
