--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -70,7 +70,7 @@
 /// towards the long-run mean, at the pace at which a target's load changes: the time of
 /// a few requests.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct OthersLoad {
+pub(crate) struct ExternalLoad {
     mean: f64,
     last: Option<Received>,
 }
@@ -82,7 +82,7 @@
     at: Timestamp,
 }
 
-impl OthersLoad {
+impl ExternalLoad {
     /// Takes in a report; `own` is this VM's requests in flight there, the reporting one
     /// not counted. Returns the load of the others.
     pub(crate) fn record(&mut self, report: LoadReport, own: u32, at: Timestamp) -> f64 {
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -28,7 +28,7 @@
 use crate::limit::Pressure;
 use crate::model::ServiceModel;
 use crate::rate_limit::RateLimit;
-use crate::report::OthersLoad;
+use crate::report::ExternalLoad;
 use crate::slowness::Slowness;
 pub(crate) use crate::target_state::room::Bound;
 pub(crate) use crate::target_state::room::Explores;
@@ -74,7 +74,7 @@
     sent_at_sum_us: u64,
     granted_at: Timestamp,
     latency: Latency,
-    external_load: OthersLoad,
+    external_load: ExternalLoad,
     limit: AdaptiveLimit,
     ejection: Ejection,
     cold_start: ColdStart,
@@ -109,7 +109,7 @@
             sent_at_sum_us: 0,
             granted_at: Timestamp::default(),
             latency: Latency::default(),
-            external_load: OthersLoad::default(),
+            external_load: ExternalLoad::default(),
             limit: AdaptiveLimit::new(shape.slots, shape.connection_share),
             ejection: Ejection::default(),
             cold_start,
