--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -109,7 +109,7 @@
     }
 
     /// Requests at the target that are not counted here, as the last report told.
-    pub(crate) fn uncounted(&self, now: Timestamp) -> u32 {
+    pub(crate) fn untracked_requests(&self, now: Timestamp) -> u32 {
         let last = self.last.filter(|last| now.since(last.at) <= UNCOUNTED_MEMORY);
         last.map_or(0, |last| last.others as u32)
     }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -111,7 +111,7 @@
     fn left_by_others(&self, most: u32, now: Timestamp) -> u32 {
         let is_tried_long_ago = now.since(self.granted_at) >= TRIED_BESIDE_OTHERS_EVERY;
         let least = u32::from(is_tried_long_ago);
-        most.saturating_sub(self.external_load.uncounted(now)).max(least.min(most))
+        most.saturating_sub(self.external_load.untracked_requests(now)).max(least.min(most))
     }
 
     fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
