--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -115,7 +115,7 @@
     }
 
     /// Forgets reports that are older than the process's own pause.
-    pub(crate) fn distrust(&mut self) {
+    pub(crate) fn discard(&mut self) {
         self.last = None;
         self.mean = 0.0;
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -304,7 +304,7 @@
     }
 
     pub(crate) fn discard_reports(&mut self) {
-        self.external_load.distrust();
+        self.external_load.discard();
     }
 
     /// What is believed of this target.
