--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -26,7 +26,7 @@
 use crate::halls::Halls;
 use crate::model::ServiceModel;
 use crate::target_state::Bound;
-use crate::target_state::Explores;
+use crate::target_state::Exploration;
 use crate::target_state::Presence;
 use crate::target_state::Shape;
 use crate::target_state::Target;
@@ -346,9 +346,9 @@
         let serving = self.targets.iter_mut().filter(|target| target.is_serving());
         for (place, target) in serving.enumerate() {
             target.explores = match place % TARGETS_PER_EXPLORER {
-                0 => Explores::More,
-                1 => Explores::Fewer,
-                _ => Explores::Nothing,
+                0 => Exploration::More,
+                1 => Exploration::Fewer,
+                _ => Exploration::Nothing,
             };
         }
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -31,7 +31,7 @@
 use crate::report::ExternalLoad;
 use crate::slowness::Slowness;
 pub(crate) use crate::target_state::room::Bound;
-pub(crate) use crate::target_state::room::Explores;
+pub(crate) use crate::target_state::room::Exploration;
 
 /// Figures of a target's service that its own state depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,7 +68,7 @@
     /// For how long it was last listed to be cold, in milliseconds.
     listed_cold_for_ms: Option<u64>,
     pub(crate) hall: HallIndex,
-    pub(crate) explores: Explores,
+    pub(crate) explores: Exploration,
     pub(crate) shape: Shape,
     in_flight: u32,
     sent_at_sum_us: u64,
@@ -103,7 +103,7 @@
             is_hall_drained: false,
             listed_cold_for_ms: None,
             hall: HallIndex::default(),
-            explores: Explores::Nothing,
+            explores: Exploration::Nothing,
             shape,
             in_flight: 0,
             sent_at_sum_us: 0,
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -27,7 +27,7 @@
 
 /// What a target explores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Explores {
+pub(crate) enum Exploration {
     Nothing,
     /// One request more than the best number.
     More,
@@ -116,9 +116,9 @@
 
     fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
         let explored = match self.explores {
-            Explores::Nothing => None,
-            Explores::More => explored.more,
-            Explores::Fewer => explored.fewer,
+            Exploration::Nothing => None,
+            Exploration::More => explored.more,
+            Exploration::Fewer => explored.fewer,
         };
         explored.unwrap_or(best)
     }
