--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -28,7 +28,7 @@
 use crate::target_state::Bound;
 use crate::target_state::Exploration;
 use crate::target_state::Presence;
-use crate::target_state::Shape;
+use crate::target_state::TargetParameters;
 use crate::target_state::Target;
 use crate::unlisted::UnlistedTargets;
 
@@ -296,7 +296,7 @@
         self.own_share = RateShare::equal(surroundings.entry_vms_max);
         let mut free = self.free_places();
         self.slots = u32::try_from(service.slots_per_target).unwrap_or(u32::MAX);
-        let shape = Shape {
+        let shape = TargetParameters {
             slots: u32::try_from(service.slots_per_target).unwrap_or(u32::MAX),
             connection_share: share_for_requests(service, surroundings.entry_vms_max),
             cold_paces: ColdIntervals::for_service(service, surroundings.entry_vms_max),
@@ -358,7 +358,7 @@
     fn place_of(
         &mut self,
         listed: &TargetSettings,
-        shape: Shape,
+        shape: TargetParameters,
         free: &mut Vec<usize>,
         now: Timestamp,
     ) -> TargetIndex {
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -35,7 +35,7 @@
 
 /// Figures of a target's service that its own state depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Shape {
+pub(crate) struct TargetParameters {
     pub(crate) slots: u32,
     pub(crate) connection_share: u32,
     /// None if a cold target gets as many requests as a warm one.
@@ -69,7 +69,7 @@
     listed_cold_for_ms: Option<u64>,
     pub(crate) hall: HallIndex,
     pub(crate) explores: Exploration,
-    pub(crate) shape: Shape,
+    pub(crate) shape: TargetParameters,
     in_flight: u32,
     sent_at_sum_us: u64,
     granted_at: Timestamp,
@@ -90,7 +90,7 @@
         name: TargetName,
         address: SocketAddr,
         incarnation: Incarnation,
-        shape: Shape,
+        shape: TargetParameters,
         cold_start: ColdStart,
     ) -> Self {
         Self {
@@ -128,7 +128,7 @@
         self.refusals = RefusalStreak::default();
     }
 
-    pub(crate) fn set_shape(&mut self, shape: Shape) {
+    pub(crate) fn set_shape(&mut self, shape: TargetParameters) {
         self.shape = shape;
         self.limit.set_ceiling(shape.connection_share);
     }
