--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -109,7 +109,7 @@
     /// What bounds the requests in flight at each target.
     pub(crate) fn bound(&self, view: View, now: Timestamp) -> Bound {
         match view {
-            View::Own => Bound::Learnt,
+            View::Own => Bound::Adaptive,
             View::Fleet => {
                 Bound::Best(self.concurrency(now), self.concurrency.exploration_levels(self.slots, now))
             }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Bound {
     /// The limit that this process has learnt for the target.
-    Learnt,
+    Adaptive,
     /// A number.
     Fixed(u32),
     /// The best number, but for targets that explore.
@@ -81,7 +81,7 @@
         let waited = now.since(self.granted_at);
         match bound {
             Bound::Best(..) => waited < paces.fleet,
-            Bound::Learnt => waited.min(now.since(self.cold_start.since())) < paces.own,
+            Bound::Adaptive => waited.min(now.since(self.cold_start.since())) < paces.own,
             Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.fallback,
         }
     }
@@ -93,7 +93,7 @@
     /// Further requests that it may get.
     pub(crate) fn spare_capacity(&self, bound: Bound, now: Timestamp) -> u32 {
         let most = match bound {
-            Bound::Learnt => self.limit.value() as u32,
+            Bound::Adaptive => self.limit.value() as u32,
             Bound::Fixed(most) => most.min(self.shape.connection_share),
             Bound::Best(best, explored) => {
                 let best = self.explored_or(best, explored).min(self.shape.connection_share);
