--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -299,7 +299,7 @@
         let shape = TargetParameters {
             slots: u32::try_from(service.slots_per_target).unwrap_or(u32::MAX),
             connection_share: share_for_requests(service, surroundings.entry_vms_max),
-            cold_paces: ColdIntervals::for_service(service, surroundings.entry_vms_max),
+            cold_intervals: ColdIntervals::for_service(service, surroundings.entry_vms_max),
             cold_ramp: Duration::from_millis(service.cold_start_ramp_ms),
         };
         for listed in &service.targets {
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -39,7 +39,7 @@
     pub(crate) slots: u32,
     pub(crate) connection_share: u32,
     /// None if a cold target gets as many requests as a warm one.
-    pub(crate) cold_paces: Option<ColdIntervals>,
+    pub(crate) cold_intervals: Option<ColdIntervals>,
     /// How long a target is taken to be cold that does not tell.
     pub(crate) cold_ramp: Duration,
 }
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -75,7 +75,7 @@
 
     /// Whether it is cold and got its last request too recently for another one.
     fn is_held_cold(&self, now: Timestamp, bound: Bound) -> bool {
-        let Some(paces) = self.shape.cold_paces.filter(|_| self.cold_start.is_cold(now)) else {
+        let Some(paces) = self.shape.cold_intervals.filter(|_| self.cold_start.is_cold(now)) else {
             return false;
         };
         let waited = now.since(self.granted_at);
