--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -307,7 +307,7 @@
             let hall = self.halls.index(&listed.data_hall);
             let is_hall_drained = surroundings.drained_halls.contains(&listed.data_hall);
             let target = self.get_mut(index);
-            target.set_shape(shape);
+            target.set_parameters(shape);
             target.hall = hall;
             target.set_hall_drained(is_hall_drained, now);
             target.listed_cold_for(listed.cold_for_ms, now);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -128,7 +128,7 @@
         self.refusals = RefusalStreak::default();
     }
 
-    pub(crate) fn set_shape(&mut self, shape: TargetParameters) {
+    pub(crate) fn set_parameters(&mut self, shape: TargetParameters) {
         self.shape = shape;
         self.limit.set_ceiling(shape.connection_share);
     }
