--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -310,7 +310,7 @@
             target.set_parameters(shape);
             target.hall = hall;
             target.set_hall_drained(is_hall_drained, now);
-            target.listed_cold_for(listed.cold_for_ms, now);
+            target.set_listed_cold_for(listed.cold_for_ms, now);
             let is_stale = listed.incarnation < target.incarnation;
             if listed.state == TargetState::Leaving && !is_stale {
                 target.presence = Presence::Leaving;
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -158,7 +158,7 @@
     }
 
     /// It is listed to be cold for so long; the same listing again is no news.
-    pub(crate) fn listed_cold_for(&mut self, cold_for_ms: Option<u64>, now: Timestamp) {
+    pub(crate) fn set_listed_cold_for(&mut self, cold_for_ms: Option<u64>, now: Timestamp) {
         if self.listed_cold_for_ms == cold_for_ms {
             return;
         }
