--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -345,7 +345,7 @@
     fn choose_explorers(&mut self) {
         let serving = self.targets.iter_mut().filter(|target| target.is_serving());
         for (place, target) in serving.enumerate() {
-            target.explores = match place % TARGETS_PER_EXPLORER {
+            target.exploration = match place % TARGETS_PER_EXPLORER {
                 0 => Exploration::More,
                 1 => Exploration::Fewer,
                 _ => Exploration::Nothing,
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -68,7 +68,7 @@
     /// For how long it was last listed to be cold, in milliseconds.
     listed_cold_for_ms: Option<u64>,
     pub(crate) hall: HallIndex,
-    pub(crate) explores: Exploration,
+    pub(crate) exploration: Exploration,
     pub(crate) shape: TargetParameters,
     in_flight: u32,
     sent_at_sum_us: u64,
@@ -103,7 +103,7 @@
             is_hall_drained: false,
             listed_cold_for_ms: None,
             hall: HallIndex::default(),
-            explores: Exploration::Nothing,
+            exploration: Exploration::Nothing,
             shape,
             in_flight: 0,
             sent_at_sum_us: 0,
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -115,7 +115,7 @@
     }
 
     fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
-        let explored = match self.explores {
+        let explored = match self.exploration {
             Exploration::Nothing => None,
             Exploration::More => explored.more,
             Exploration::Fewer => explored.fewer,
