--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -348,7 +348,7 @@
             target.exploration = match place % TARGETS_PER_EXPLORER {
                 0 => Exploration::More,
                 1 => Exploration::Fewer,
-                _ => Exploration::Nothing,
+                _ => Exploration::Disabled,
             };
         }
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -103,7 +103,7 @@
             is_hall_drained: false,
             listed_cold_for_ms: None,
             hall: HallIndex::default(),
-            exploration: Exploration::Nothing,
+            exploration: Exploration::Disabled,
             shape,
             in_flight: 0,
             sent_at_sum_us: 0,
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -28,7 +28,7 @@
 /// What a target explores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exploration {
-    Nothing,
+    Disabled,
     /// One request more than the best number.
     More,
     /// One fewer.
@@ -116,7 +116,7 @@
 
     fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
         let explored = match self.exploration {
-            Exploration::Nothing => None,
+            Exploration::Disabled => None,
             Exploration::More => explored.more,
             Exploration::Fewer => explored.fewer,
         };
