--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -69,7 +69,7 @@
     listed_cold_for_ms: Option<u64>,
     pub(crate) hall: HallIndex,
     pub(crate) exploration: Exploration,
-    pub(crate) shape: TargetParameters,
+    pub(crate) parameters: TargetParameters,
     in_flight: u32,
     sent_at_sum_us: u64,
     granted_at: Timestamp,
@@ -104,7 +104,7 @@
             listed_cold_for_ms: None,
             hall: HallIndex::default(),
             exploration: Exploration::Disabled,
-            shape,
+            parameters: shape,
             in_flight: 0,
             sent_at_sum_us: 0,
             granted_at: Timestamp::default(),
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn set_parameters(&mut self, shape: TargetParameters) {
-        self.shape = shape;
+        self.parameters = shape;
         self.limit.set_ceiling(shape.connection_share);
     }
 
@@ -151,7 +151,7 @@
     /// meanwhile: its targets count as cold until they tell otherwise.
     pub(crate) fn set_hall_drained(&mut self, is_drained: bool, now: Timestamp) {
         if self.is_hall_drained && !is_drained {
-            let ramp = self.shape.cold_ramp;
+            let ramp = self.parameters.cold_ramp;
             self.cold_start.set_remaining(ramp, ramp, now);
         }
         self.is_hall_drained = is_drained;
@@ -164,7 +164,7 @@
         }
         self.listed_cold_for_ms = cold_for_ms;
         if let Some(cold_for_ms) = cold_for_ms.filter(|cold_for_ms| *cold_for_ms > 0) {
-            self.cold_start.set_remaining(Duration::from_millis(cold_for_ms), self.shape.cold_ramp, now);
+            self.cold_start.set_remaining(Duration::from_millis(cold_for_ms), self.parameters.cold_ramp, now);
         }
     }
 
@@ -241,7 +241,7 @@
     pub(crate) fn record_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         if let Some(cold_for_ms) = report.cold_for_ms {
             let left = Duration::from_millis(u64::from(cold_for_ms));
-            self.cold_start.set_remaining(left, self.shape.cold_ramp, now);
+            self.cold_start.set_remaining(left, self.parameters.cold_ramp, now);
         }
         self.external_load.record(report, self.in_flight, now)
     }
@@ -261,7 +261,7 @@
     /// Learns whether the target keeps up, from its queue or, without one, from latency.
     pub(crate) fn update_limit(&mut self, report: Option<LoadReport>, now: Timestamp) {
         let pressure = match report {
-            Some(report) => Pressure::from_queue(report.queued, self.shape.slots),
+            Some(report) => Pressure::from_queue(report.queued, self.parameters.slots),
             None => Pressure::from_latency(self.latency.mean_us(), self.latency.floor_us()),
         };
         self.apply_pressure(pressure, now);
@@ -326,7 +326,7 @@
             usability,
             in_flight: self.in_flight,
             limit: self.limit.value(),
-            connection_share: self.shape.connection_share,
+            connection_share: self.parameters.connection_share,
             latency_us: self.latency.mean_us() as u64,
             expected_us: self.expected_us(now, model) as u64,
             failure_rate: self.ejection.failure_rate(now),
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -51,7 +51,7 @@
     }
 
     fn slots(&self) -> f64 {
-        f64::from(self.shape.slots)
+        f64::from(self.parameters.slots)
     }
 
     /// How much longer than expected own requests have been out on average.
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -75,7 +75,7 @@
 
     /// Whether it is cold and got its last request too recently for another one.
     fn is_held_cold(&self, now: Timestamp, bound: Bound) -> bool {
-        let Some(paces) = self.shape.cold_intervals.filter(|_| self.cold_start.is_cold(now)) else {
+        let Some(paces) = self.parameters.cold_intervals.filter(|_| self.cold_start.is_cold(now)) else {
             return false;
         };
         let waited = now.since(self.granted_at);
@@ -94,9 +94,9 @@
     pub(crate) fn spare_capacity(&self, bound: Bound, now: Timestamp) -> u32 {
         let most = match bound {
             Bound::Adaptive => self.limit.value() as u32,
-            Bound::Fixed(most) => most.min(self.shape.connection_share),
+            Bound::Fixed(most) => most.min(self.parameters.connection_share),
             Bound::Best(best, explored) => {
-                let best = self.explored_or(best, explored).min(self.shape.connection_share);
+                let best = self.explored_or(best, explored).min(self.parameters.connection_share);
                 self.left_by_others(best, now)
             }
         };
