--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -348,7 +348,11 @@
 
     /// Names of targets of a data hall, or of all, that have asked this process for a backoff: as
     /// many as a request can exclude.
-    pub fn backing_off_targets(&mut self, hall: Option<&DataHallName>, now: Timestamp) -> Vec<TargetName> {
+    pub fn backing_off_targets(
+        &mut self,
+        hall: Option<&DataHallName>,
+        now: Timestamp,
+    ) -> Vec<TargetName> {
         let hall = hall.map(|hall| self.table.hall_index(hall));
         let targets = self.table.targets().iter();
         let meant = targets.filter(|target| {
--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -61,7 +61,12 @@
 
     /// Counts a failure; ejects if the row is long enough and `has_room` below the panic
     /// bound. Returns whether the target was ejected now.
-    pub(crate) fn record_failure(&mut self, settings: &Settings, has_room: bool, now: Timestamp) -> bool {
+    pub(crate) fn record_failure(
+        &mut self,
+        settings: &Settings,
+        has_room: bool,
+        now: Timestamp,
+    ) -> bool {
         self.failures_in_row += 1;
         self.move_rate(1.0, now);
         let is_due = self.failures_in_row >= settings.failures;
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -81,7 +81,12 @@
     /// Waiting requests that go before a new one of this priority; `is_in_time` is whether that
     /// can be answered within its objective, and answers to requests that are sent now come
     /// at `answered_at`.
-    pub(crate) fn count_ahead(&self, priority: u8, is_in_time: bool, answered_at: Timestamp) -> usize {
+    pub(crate) fn count_ahead(
+        &self,
+        priority: u8,
+        is_in_time: bool,
+        answered_at: Timestamp,
+    ) -> usize {
         let higher = self.ranks.range(..=priority).flat_map(|(_, rank)| rank);
         if is_in_time {
             return higher.filter(|waiter| waiter.is_in_time(answered_at)).count();
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -28,8 +28,8 @@
 use crate::target_state::Bound;
 use crate::target_state::Exploration;
 use crate::target_state::Presence;
-use crate::target_state::TargetParameters;
 use crate::target_state::Target;
+use crate::target_state::TargetParameters;
 use crate::unlisted::UnlistedTargets;
 
 /// What of the configuration beside the service itself the table depends on.
@@ -110,9 +110,10 @@
     pub(crate) fn bound(&self, view: View, now: Timestamp) -> Bound {
         match view {
             View::Own => Bound::Adaptive,
-            View::Fleet => {
-                Bound::Best(self.concurrency(now), self.concurrency.exploration_levels(self.slots, now))
-            }
+            View::Fleet => Bound::Best(
+                self.concurrency(now),
+                self.concurrency.exploration_levels(self.slots, now),
+            ),
             View::Fallback => Bound::Fixed(FALLBACK_IN_FLIGHT_MAX),
         }
     }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -164,7 +164,11 @@
         }
         self.listed_cold_for_ms = cold_for_ms;
         if let Some(cold_for_ms) = cold_for_ms.filter(|cold_for_ms| *cold_for_ms > 0) {
-            self.cold_start.set_remaining(Duration::from_millis(cold_for_ms), self.parameters.cold_ramp, now);
+            self.cold_start.set_remaining(
+                Duration::from_millis(cold_for_ms),
+                self.parameters.cold_ramp,
+                now,
+            );
         }
     }
 
@@ -290,7 +294,12 @@
         self.refusals.record_refusal();
     }
 
-    pub(crate) fn record_failure(&mut self, settings: &EjectionSettings, has_room: bool, now: Timestamp) {
+    pub(crate) fn record_failure(
+        &mut self,
+        settings: &EjectionSettings,
+        has_room: bool,
+        now: Timestamp,
+    ) {
         self.ejection.record_failure(settings, has_room, now);
     }
 
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/room.rs
@@ -75,7 +75,8 @@
 
     /// Whether it is cold and got its last request too recently for another one.
     fn is_held_cold(&self, now: Timestamp, bound: Bound) -> bool {
-        let Some(paces) = self.parameters.cold_intervals.filter(|_| self.cold_start.is_cold(now)) else {
+        let Some(paces) = self.parameters.cold_intervals.filter(|_| self.cold_start.is_cold(now))
+        else {
             return false;
         };
         let waited = now.since(self.granted_at);
@@ -100,7 +101,8 @@
                 self.left_by_others(best, now)
             }
         };
-        let most = self.refusals.in_flight_max(self.granted_at, now).map_or(most, |room| room.min(most));
+        let most =
+            self.refusals.in_flight_max(self.granted_at, now).map_or(most, |room| room.min(most));
         let most = most.saturating_sub(self.in_flight);
         if self.is_rate_limited() { most.min(1) } else { most }
     }
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -36,7 +36,10 @@
             assert!(chosen == name(2) || chosen == name(3), "{view}: {chosen}");
             dispatcher.release(grant, at(step));
         }
-        assert!(dispatcher.grant_target(&name(0), None, at(200)).is_none(), "{view}: another's choice");
+        assert!(
+            dispatcher.grant_target(&name(0), None, at(200)).is_none(),
+            "{view}: another's choice"
+        );
         assert!(dispatcher.grant_target(&name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
         assert_eq!(probed, [name(2), name(3)], "{view}");
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -410,7 +410,11 @@
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
-            let _ = dispatcher.record_attempt(&grant, Observation::Answered(Some(report)), now + ms(taken));
+            let _ = dispatcher.record_attempt(
+                &grant,
+                Observation::Answered(Some(report)),
+                now + ms(taken),
+            );
             dispatcher.release(grant, now + ms(taken));
         }
     }
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -72,7 +72,9 @@
             believed: "that it fails",
             learn: |dispatcher| {
                 for step in 0..20 {
-                    let Some(grant) = dispatcher.grant_target(&name(0), None, at(step)) else { break };
+                    let Some(grant) = dispatcher.grant_target(&name(0), None, at(step)) else {
+                        break;
+                    };
                     dispatcher.record_attempt(&grant, Observation::Failed(None), at(step));
                     dispatcher.release(grant, at(step));
                 }
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -80,7 +80,8 @@
         }
         Source::Answer => {
             let grant = sent(dispatcher, request(1, at(100)), at(0), &mut rng());
-            let mark = dispatcher.record_attempt(&grant, Observation::Answered(Some(draining)), at(1));
+            let mark =
+                dispatcher.record_attempt(&grant, Observation::Answered(Some(draining)), at(1));
             assert_eq!(mark.expect("news to pass on").target, name(0));
             dispatcher.release(grant, at(1));
         }
--- a/crates/thymeshift_lab/src/experiment/decision_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/decision_cost.rs
@@ -83,7 +83,11 @@
         if held.len() > IN_FLIGHT
             && let Some((service, grant)) = held.pop_front()
         {
-            dispatchers[service].record_attempt(&grant, Observation::Answered(Some(report(step))), now);
+            dispatchers[service].record_attempt(
+                &grant,
+                Observation::Answered(Some(report(step))),
+                now,
+            );
             dispatchers[service].release(grant, now);
         }
     }
