--- a/crates/thymeshift_dispatch/src/lib.rs
+++ b/crates/thymeshift_dispatch/src/lib.rs
@@ -14,6 +14,7 @@
 //!
 //! The choice of target is a [`Strategy`]; each one is a file in `strategy/`.
 
+mod adaptive_limit;
 mod admission;
 mod backoff;
 mod cold_start;
@@ -27,7 +28,6 @@
 mod grant;
 mod halls;
 mod latency;
-mod limit;
 mod measuring;
 mod model;
 mod pause;
