--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -1,7 +1,7 @@
 //! One target as this VM sees it: what is configured, what runs there, what was learnt.
 
+mod capacity;
 mod expectation;
-mod room;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,8 +30,8 @@
 use crate::rate_limit::RateLimit;
 use crate::report::ExternalLoad;
 use crate::slowness::Slowness;
-pub(crate) use crate::target_state::room::Bound;
-pub(crate) use crate::target_state::room::Exploration;
+pub(crate) use crate::target_state::capacity::Bound;
+pub(crate) use crate::target_state::capacity::Exploration;
 
 /// Figures of a target's service that its own state depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
