--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -1,11 +1,11 @@
 //! All decisions of one service at one VM.
 //!
 //! * [`configuring`]: taking in a configuration.
-//! * [`learning`]: what attempts and probes teach.
+//! * [`observations`]: what attempts and probes teach.
 //! * [`probing`]: which targets are worth a probe.
 
 mod configuring;
-mod learning;
+mod observations;
 mod probing;
 
 use std::time::Duration;
