--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -1,12 +1,12 @@
 //! All decisions of one service at one VM.
 //!
-//! * [`configuring`]: taking in a configuration.
+//! * [`reconfiguration`]: taking in a configuration.
 //! * [`observations`]: what attempts and probes teach.
 //! * [`probing`]: which targets are worth a probe.
 
-mod configuring;
 mod observations;
 mod probing;
+mod reconfiguration;
 
 use std::time::Duration;
 
