--- a/crates/thymeshift_dispatch/src/limit.rs
+++ b/crates/thymeshift_dispatch/src/adaptive_limit.rs
@@ -34,25 +34,25 @@
 
 impl Pressure {
     /// Pressure read from a report.
-    pub(crate) fn of_queue(queued: u32, slots: u32) -> Self {
+    pub(crate) fn from_queue(queued: u32, slots: u32) -> Self {
         let bound = f64::from(slots) * QUEUED_PER_SLOT_MAX;
         if f64::from(queued) > bound { Self::QueueFull } else { Self::KeepsUp }
     }
 
     /// Pressure read from latency, for targets that do not report.
-    pub(crate) fn of_latency(mean_us: f64, floor_us: f64) -> Self {
+    pub(crate) fn from_latency(mean_us: f64, floor_us: f64) -> Self {
         if mean_us > floor_us * LATENCY_RATIO_MAX { Self::QueueFull } else { Self::KeepsUp }
     }
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Limit {
+pub(crate) struct AdaptiveLimit {
     value: f64,
     ceiling: u32,
     lowered_at: Timestamp,
 }
 
-impl Limit {
+impl AdaptiveLimit {
     pub(crate) fn new(start: u32, ceiling: u32) -> Self {
         let ceiling = ceiling.max(1);
         let value = f64::from(start.min(ceiling)).max(LIMIT_MIN);
@@ -65,7 +65,7 @@
     }
 
     /// Learns from one attempt; `round_trip` bounds how often the limit is lowered.
-    pub(crate) fn learn(
+    pub(crate) fn update(
         &mut self,
         pressure: Pressure,
         in_flight: u32,
--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes a release. Only gaps while requests wait say how fast the service drains.
-    pub(crate) fn released(&mut self, now: Timestamp, is_busy: bool) {
+    pub(crate) fn record_release(&mut self, now: Timestamp, is_busy: bool) {
         if let Some(last) = self.last_release
             && is_busy
         {
@@ -57,18 +57,18 @@
 
     /// When a refused caller should come back: once what is ahead has drained, spread.
     pub(crate) fn retry_after(&self, ahead: usize, rng: &mut impl Rng) -> Duration {
-        spread_retry_after(self.expected_wait(ahead), rng)
+        jittered_retry_after(self.expected_wait(ahead), rng)
     }
 }
 
 /// When a refused caller should come back, if it would be served after `wait`; spread.
 /// When a caller should come back for a target that may be used again after `wait`: not sooner, and
 /// not all at once.
-pub(crate) fn spread_return(wait: Duration, rng: &mut impl Rng) -> Duration {
+pub(crate) fn jittered_return_delay(wait: Duration, rng: &mut impl Rng) -> Duration {
     wait + RETURN_SPREAD_MAX.min(wait).mul_f64(rng.random::<f64>())
 }
 
-pub(crate) fn spread_retry_after(wait: Duration, rng: &mut impl Rng) -> Duration {
+pub(crate) fn jittered_retry_after(wait: Duration, rng: &mut impl Rng) -> Duration {
     let base = wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
     base.mul_f64(1.0 + RETRY_AFTER_SPREAD * rng.random::<f64>())
 }
--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -25,7 +25,7 @@
 
 impl Backoff {
     /// The target asks for a backoff from `now` on. A shorter one does not end a longer one.
-    pub(crate) fn ask(&mut self, wait: Duration, now: Timestamp) {
+    pub(crate) fn extend(&mut self, wait: Duration, now: Timestamp) {
         self.until = self.until.max(Some(now + wait));
     }
 
@@ -46,17 +46,17 @@
 }
 
 impl RefusalStreak {
-    pub(crate) fn refused(&mut self) {
+    pub(crate) fn record_refusal(&mut self) {
         self.refusals = self.refusals.saturating_add(1);
     }
 
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.refusals = 0;
     }
 
     /// The most requests in flight that the streak allows a target that got its last one at
     /// `granted_at`; none if there is no streak.
-    pub(crate) fn room(self, granted_at: Timestamp, now: Timestamp) -> Option<u32> {
+    pub(crate) fn in_flight_max(self, granted_at: Timestamp, now: Timestamp) -> Option<u32> {
         let is_due = now.since(granted_at) >= TRIAL_INTERVAL;
         (self.refusals >= STREAK_MIN).then_some(u32::from(is_due))
     }
--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -30,28 +30,28 @@
 
 /// Least time between two requests to one cold target, by who decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ColdPaces {
+pub(crate) struct ColdIntervals {
     /// For the process that allocates the target.
-    pub(crate) allocating: Duration,
+    pub(crate) fleet: Duration,
     /// For each process of a fleet in which nobody allocates.
     pub(crate) own: Duration,
     /// For a process that decides alone while others may allocate.
-    pub(crate) alone: Duration,
+    pub(crate) fallback: Duration,
 }
 
-impl ColdPaces {
+impl ColdIntervals {
     /// The paces of a service among up to `entry_vms_max` processes; none if it does not say what
     /// a cold target bears.
-    pub(crate) fn of(service: &Service, entry_vms_max: u64) -> Option<Self> {
+    pub(crate) fn for_service(service: &Service, entry_vms_max: u64) -> Option<Self> {
         let rate = service.cold_requests_per_s?.in_1000_s();
         let bound = service.cold_bound_per_s.in_1000_s().max(rate);
         let allocators = ALLOCATORS_MAX * (rate + MILLI);
         let left = bound.saturating_sub(allocators).max(rate / ALONE_LEAST_PART);
         let vms = entry_vms_max.max(1);
         Some(Self {
-            allocating: between(rate, 1),
+            fleet: between(rate, 1),
             own: between(bound, vms),
-            alone: between(left, vms),
+            fallback: between(left, vms),
         })
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// The target is cold for `left` more, or warm if that is nothing.
-    pub(crate) fn told(&mut self, left: Duration, ramp: Duration, now: Timestamp) {
+    pub(crate) fn set_remaining(&mut self, left: Duration, ramp: Duration, now: Timestamp) {
         let since = if self.is_cold(now) { self.since } else { now };
         *self = Self { since, ..Self::new(now, left, ramp) };
     }
--- a/crates/thymeshift_dispatch/src/dispatcher/learning.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/observations.rs
@@ -29,60 +29,60 @@
 impl<S: Strategy> Dispatcher<S> {
     /// Learns from an attempt, at most once for each grant. If the target said that it is
     /// leaving and that is news, returns the mark to pass on to other VMs.
-    pub fn learn(
+    pub fn record_attempt(
         &mut self,
         grant: &Grant,
         observation: Observation,
         now: Timestamp,
     ) -> Option<LeavingMark> {
-        let mark = observation.report().and_then(|report| self.learn_report(grant, report, now));
+        let mark = observation.report().and_then(|report| self.record_report(grant, report, now));
         let has_room =
-            self.is_backed || self.table.has_room_to_eject(self.ejection.share_max_percent, now);
+            self.can_overflow || self.table.may_eject_another(self.ejection.share_max_percent, now);
         if let Observation::Answered(report) = observation {
-            self.table.learn_latency(grant, report, now);
+            self.table.record_latency(grant, report, now);
         }
         let target = self.table.get_mut(grant.target);
         match observation {
             Observation::Answered(report) => {
-                target.learn_pressure(report, now);
-                target.succeeded(now);
+                target.update_limit(report, now);
+                target.record_success(now);
             }
             Observation::Failed(_) => {
-                target.answered();
-                target.failed(&self.ejection, has_room, now);
+                target.record_answer();
+                target.record_failure(&self.ejection, has_room, now);
             }
-            Observation::Broken => target.failed(&self.ejection, has_room, now),
-            Observation::Unreachable => target.unreachable(&self.ejection, has_room, now),
-            Observation::Shed(_) => target.learn_overload(now),
+            Observation::Broken => target.record_failure(&self.ejection, has_room, now),
+            Observation::Unreachable => target.record_unreachable(&self.ejection, has_room, now),
+            Observation::Shed(_) => target.record_overload(now),
             Observation::ShedWithBackoff(_) => {
-                target.learn_overload(now);
-                target.refused_with_backoff();
+                target.record_overload(now);
+                target.record_backoff_refusal();
             }
             Observation::TimedOut => {
-                target.learn_latency(grant, now);
-                target.learn_overload(now);
+                target.record_latency(grant, now);
+                target.record_overload(now);
                 // A caller with little time left does not prove that the target is slow.
                 if now.since(grant.sent_at) > grant.expected * TIMEOUT_FACTOR {
-                    target.failed(&self.ejection, has_room, now);
+                    target.record_failure(&self.ejection, has_room, now);
                 }
             }
         }
         mark
     }
 
-    fn learn_report(
+    fn record_report(
         &mut self,
         grant: &Grant,
         report: LoadReport,
         now: Timestamp,
     ) -> Option<LeavingMark> {
-        self.table.learn_report(grant.target, report, now);
-        self.learn_state(grant.target, report)
+        self.table.record_report(grant.target, report, now);
+        self.record_state(grant.target, report)
     }
 
     /// Learns what an answer to a granted request stated of the target's limit. Returns whether
     /// that is another limit than before.
-    pub fn learn_rate_limit(
+    pub fn record_rate_limit(
         &mut self,
         grant: &Grant,
         stated: Option<RequestRate>,
@@ -119,7 +119,7 @@
     }
 
     /// Learns what another process knows of a target's limit.
-    pub fn merge_rate_limit_of(
+    pub fn merge_target_rate_limit(
         &mut self,
         name: &TargetName,
         incarnation: Incarnation,
@@ -136,17 +136,17 @@
     }
 
     /// The target of a granted request asked this process for a backoff.
-    pub fn back_off(&mut self, grant: &Grant, wait: Duration, now: Timestamp) {
+    pub fn record_backoff(&mut self, grant: &Grant, wait: Duration, now: Timestamp) {
         let target = self.table.get_mut(grant.target);
         if target.incarnation == grant.incarnation {
-            target.backoff.ask(wait, now);
+            target.backoff.extend(wait, now);
         }
     }
 
     /// A target asked this process for a backoff when it was probed.
-    pub fn back_off_probed(&mut self, name: &TargetName, wait: Duration, now: Timestamp) {
+    pub fn record_probe_backoff(&mut self, name: &TargetName, wait: Duration, now: Timestamp) {
         if let Some(index) = self.table.find(name) {
-            self.table.get_mut(index).backoff.ask(wait, now);
+            self.table.get_mut(index).backoff.extend(wait, now);
         }
     }
 
@@ -171,25 +171,25 @@
         self.table.set_fleet_share(share);
     }
 
-    /// Takes in a report that no request carried (a probe's). As [`Dispatcher::learn`],
+    /// Takes in a report that no request carried (a probe's). As [`Dispatcher::record_attempt`],
     /// returns a mark that is news.
-    pub fn learn_probe(
+    pub fn record_probe(
         &mut self,
         name: &TargetName,
         report: LoadReport,
         now: Timestamp,
     ) -> Option<LeavingMark> {
         let index = self.table.find(name)?;
-        self.table.learn_probe(index, report, now);
-        self.learn_state(index, report)
+        self.table.record_probe(index, report, now);
+        self.record_state(index, report)
     }
 
-    fn learn_state(&mut self, index: TargetIndex, report: LoadReport) -> Option<LeavingMark> {
+    fn record_state(&mut self, index: TargetIndex, report: LoadReport) -> Option<LeavingMark> {
         let name = self.table.get(index).name.clone();
         let incarnation = report.incarnation.unwrap_or(self.table.get(index).incarnation);
         match report.state {
             ReportedState::Serving => {
-                self.table.note_incarnation(index, incarnation);
+                self.table.record_incarnation(index, incarnation);
                 None
             }
             ReportedState::Draining => {
--- a/crates/thymeshift_dispatch/src/grant.rs
+++ b/crates/thymeshift_dispatch/src/grant.rs
@@ -35,11 +35,11 @@
     /// How many times as long as at an idle target the answer was expected to take.
     pub(crate) load: f64,
     /// Requests beyond the usual that a report told of.
-    pub(crate) told: f64,
+    pub(crate) reported_excess: f64,
     /// When it was expected.
     pub(crate) expected: Duration,
     /// Time there and back, in microseconds.
-    pub(crate) way_us: f64,
+    pub(crate) hall_round_trip_us: f64,
     /// Requests in flight there, this one included.
     pub(crate) in_flight: u32,
     /// Whether the target was not known to work slower than usual.
--- a/crates/thymeshift_dispatch/src/lib.rs
+++ b/crates/thymeshift_dispatch/src/lib.rs
@@ -7,13 +7,14 @@
 //! 1. ask it with [`Dispatcher::request`]; it answers [`Decision::Send`],
 //!    [`Decision::Wait`] or [`Decision::Refuse`];
 //! 2. before the first byte is sent, ask [`Dispatcher::may_send`] again;
-//! 3. tell it with [`Dispatcher::learn`] what was seen and with [`Dispatcher::release`]
+//! 3. tell it with [`Dispatcher::record_attempt`] what was seen and with [`Dispatcher::release`]
 //!    that the target is done with the request;
 //! 4. after each release take the waiting requests that may go now from
 //!    [`Dispatcher::next_wake`].
 //!
 //! The choice of target is a [`Strategy`]; each one is a file in `strategy/`.
 
+mod adaptive_limit;
 mod admission;
 mod backoff;
 mod cold_start;
@@ -23,13 +24,12 @@
 mod dispatcher;
 mod dump;
 mod ejection;
+mod elapsed_time;
 mod grant;
 mod halls;
 mod latency;
-mod limit;
 mod measuring;
 mod model;
-mod patience;
 mod pause;
 mod probe_budget;
 mod probe_pacing;
@@ -56,11 +56,11 @@
 pub use dump::ServiceDump;
 pub use dump::TargetDump;
 pub use dump::Usability;
+pub use elapsed_time::ElapsedTimeEstimator;
 pub use grant::Grant;
 pub use grant::TargetIndex;
 pub use halls::HallIndex;
 pub use measuring::MeasuringShare;
-pub use patience::Patience;
 pub use pause::PauseDetector;
 pub use probe_budget::ProbeBudget;
 pub use probe_pacing::ProbePacing;
--- a/crates/thymeshift_dispatch/src/probe_pacing.rs
+++ b/crates/thymeshift_dispatch/src/probe_pacing.rs
@@ -52,13 +52,13 @@
     }
 
     /// The probe has ended.
-    pub fn ended(&mut self, is_answered: bool) {
+    pub fn finish(&mut self, is_answered: bool) {
         self.is_running = false;
         self.failures = if is_answered { 0 } else { self.failures + 1 };
     }
 
     /// Whether nothing would be lost by forgetting this.
-    pub fn is_over(&self, now: Timestamp) -> bool {
+    pub fn is_idle(&self, now: Timestamp) -> bool {
         !self.is_running && now.since(self.not_before) > INTERVAL_MAX * 2
     }
 }
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -69,19 +69,24 @@
         self.ranks.is_empty()
     }
 
-    pub(crate) fn len_of(&self, priority: u8) -> usize {
+    pub(crate) fn waiting_at(&self, priority: u8) -> usize {
         self.ranks.get(&priority).map_or(0, VecDeque::len)
     }
 
     /// Waiting requests of each rank.
-    pub(crate) fn lengths(&self) -> impl Iterator<Item = (u8, usize)> {
+    pub(crate) fn waiting_by_priority(&self) -> impl Iterator<Item = (u8, usize)> {
         self.ranks.iter().map(|(priority, rank)| (*priority, rank.len()))
     }
 
     /// Waiting requests that go before a new one of this priority; `is_in_time` is whether that
     /// can be answered within its objective, and answers to requests that are sent now come
     /// at `answered_at`.
-    pub(crate) fn ahead_of(&self, priority: u8, is_in_time: bool, answered_at: Timestamp) -> usize {
+    pub(crate) fn count_ahead(
+        &self,
+        priority: u8,
+        is_in_time: bool,
+        answered_at: Timestamp,
+    ) -> usize {
         let higher = self.ranks.range(..=priority).flat_map(|(_, rank)| rank);
         if is_in_time {
             return higher.filter(|waiter| waiter.is_in_time(answered_at)).count();
@@ -135,7 +140,7 @@
     }
 
     /// Takes out a waiter that is served.
-    pub(crate) fn take(&mut self, ticket: Ticket) {
+    pub(crate) fn dequeue(&mut self, ticket: Ticket) {
         self.turn = (self.turn + 1) % STARVATION_TURN;
         self.remove(ticket);
     }
--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -70,7 +70,7 @@
 /// towards the long-run mean, at the pace at which a target's load changes: the time of
 /// a few requests.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct OthersLoad {
+pub(crate) struct ExternalLoad {
     mean: f64,
     last: Option<Received>,
 }
@@ -82,10 +82,10 @@
     at: Timestamp,
 }
 
-impl OthersLoad {
+impl ExternalLoad {
     /// Takes in a report; `own` is this VM's requests in flight there, the reporting one
     /// not counted. Returns the load of the others.
-    pub(crate) fn learn(&mut self, report: LoadReport, own: u32, at: Timestamp) -> f64 {
+    pub(crate) fn record(&mut self, report: LoadReport, own: u32, at: Timestamp) -> f64 {
         let others = f64::from(report.occupancy().saturating_sub(own));
         self.mean = match self.last {
             Some(_) => self.mean + MEAN_WEIGHT * (others - self.mean),
@@ -109,13 +109,13 @@
     }
 
     /// Requests at the target that are not counted here, as the last report told.
-    pub(crate) fn uncounted(&self, now: Timestamp) -> u32 {
+    pub(crate) fn untracked_requests(&self, now: Timestamp) -> u32 {
         let last = self.last.filter(|last| now.since(last.at) <= UNCOUNTED_MEMORY);
         last.map_or(0, |last| last.others as u32)
     }
 
     /// Forgets reports that are older than the process's own pause.
-    pub(crate) fn distrust(&mut self) {
+    pub(crate) fn discard(&mut self) {
         self.last = None;
         self.mean = 0.0;
     }
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -19,22 +19,22 @@
 use crate::TargetDump;
 use crate::TargetIndex;
 use crate::View;
-use crate::cold_start::ColdPaces;
+use crate::cold_start::ColdIntervals;
 use crate::cold_start::ColdStart;
 use crate::concurrency::Concurrency;
 use crate::connections::connection_share;
 use crate::halls::Halls;
 use crate::model::ServiceModel;
 use crate::target_state::Bound;
-use crate::target_state::Explores;
+use crate::target_state::Exploration;
 use crate::target_state::Presence;
-use crate::target_state::Shape;
 use crate::target_state::Target;
+use crate::target_state::TargetParameters;
 use crate::unlisted::UnlistedTargets;
 
 /// What of the configuration beside the service itself the table depends on.
 #[derive(Debug, Clone)]
-pub(crate) struct Surroundings {
+pub(crate) struct FleetSettings {
     pub(crate) own_data_hall: DataHallName,
     pub(crate) one_way: Duration,
     pub(crate) detour: Duration,
@@ -67,7 +67,7 @@
 pub(crate) type MarginalCosts = [f64; MARGINAL_COSTS];
 
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct TargetTable {
     targets: Vec<Target>,
     /// Places of the current incarnations: those that are not removed. Looked through one by one,
     /// 15,000 targets took 25.6 s to be taken in and changed four times; by name, 1.3 s (built
@@ -96,7 +96,7 @@
     pub(crate) next_in: Option<Duration>,
 }
 
-impl Table {
+impl TargetTable {
     pub(crate) fn targets(&self) -> &[Target] {
         &self.targets
     }
@@ -109,10 +109,11 @@
     /// What bounds the requests in flight at each target.
     pub(crate) fn bound(&self, view: View, now: Timestamp) -> Bound {
         match view {
-            View::Own => Bound::Learnt,
-            View::Fleet => {
-                Bound::Best(self.concurrency(now), self.concurrency.explored(self.slots, now))
-            }
+            View::Own => Bound::Adaptive,
+            View::Fleet => Bound::Best(
+                self.concurrency(now),
+                self.concurrency.exploration_levels(self.slots, now),
+            ),
             View::Fallback => Bound::Fixed(FALLBACK_IN_FLIGHT_MAX),
         }
     }
@@ -159,7 +160,7 @@
     }
 
     /// Further requests that targets would serve at nearly their usual pace.
-    pub(crate) fn room(&self, view: View, now: Timestamp) -> u32 {
+    pub(crate) fn spare_capacity(&self, view: View, now: Timestamp) -> u32 {
         let bound = self.bound(view, now);
         let usual_us = self.model.service_us() * ROOM_FACTOR_MAX;
         let is_quick = |target: &&Target| {
@@ -168,7 +169,7 @@
         let share = self.rate_share(view);
         let open =
             self.targets.iter().filter(|target| target.is_open(now, bound, share, &self.model));
-        open.filter(is_quick).map(|target| target.room(bound, now)).sum()
+        open.filter(is_quick).map(|target| target.spare_capacity(bound, now)).sum()
     }
 
     /// What one more request costs all requests at a target, by how many it has.
@@ -176,7 +177,7 @@
         let mut costs = [1.0; MARGINAL_COSTS];
         if view == View::Fleet {
             for (in_flight, cost) in costs.iter_mut().enumerate() {
-                *cost = self.concurrency.marginal(in_flight as u32, self.slots, now);
+                *cost = self.concurrency.marginal_cost(in_flight as u32, self.slots, now);
             }
         }
         costs
@@ -195,14 +196,14 @@
     }
 
     /// Learns from an answer's time, for its target and for the service.
-    pub(crate) fn learn_latency(
+    pub(crate) fn record_latency(
         &mut self,
         grant: &Grant,
         report: Option<LoadReport>,
         now: Timestamp,
     ) {
-        let taken_us = self.get_mut(grant.target).learn_latency(grant, now);
-        self.model.learn_answer(taken_us, grant.load, grant.told);
+        let taken_us = self.get_mut(grant.target).record_latency(grant, now);
+        self.model.record_answer(taken_us, grant.load, grant.reported_excess);
         let Some(report) = report.filter(|report| report.queued == 0) else {
             return;
         };
@@ -210,23 +211,23 @@
         // decides alone for example. Neither count holds the request that was answered.
         let counted = self.get(grant.target).in_flight().saturating_sub(1);
         if report.running <= counted && grant.is_usual_pace {
-            self.concurrency.learn(grant.in_flight, taken_us, now);
+            self.concurrency.record(grant.in_flight, taken_us, now);
         }
     }
 
     /// Learns from a report that came with an answer.
-    pub(crate) fn learn_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
-        let others = self.get_mut(index).learn_report(report, now);
-        self.model.learn_pace(report.pace());
-        self.model.learn_others(others);
+    pub(crate) fn record_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
+        let others = self.get_mut(index).record_report(report, now);
+        self.model.record_pace(report.pace());
+        self.model.record_external_load(others);
         self.learn_usual_pace(now);
     }
 
     /// Learns from a report that came with a probe.
-    pub(crate) fn learn_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
-        let others = self.get_mut(index).learn_probe(report, now);
-        self.model.learn_pace(report.pace());
-        self.model.learn_others(others);
+    pub(crate) fn record_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
+        let others = self.get_mut(index).record_probe(report, now);
+        self.model.record_pace(report.pace());
+        self.model.record_external_load(others);
         self.learn_usual_pace(now);
     }
 
@@ -238,7 +239,7 @@
         let serving = self.targets.iter().filter(|target| target.is_serving());
         let paces = serving.filter_map(|target| target.reported_pace(USUAL_PACE_AGE_MAX, now));
         let paces = paces.collect();
-        self.model.learn_usual_pace(paces, now);
+        self.model.record_usual_pace(paces, now);
     }
 
     /// Gives the right to send to a target.
@@ -251,8 +252,8 @@
     ) -> Grant {
         let share = self.rate_share(view);
         let target = &mut self.targets[index.as_usize()];
-        let way_us = self.halls.way_us(origin, target.hall);
-        target.rate_limit.granted(share, now);
+        let way_us = self.halls.hall_round_trip_us(origin, target.hall);
+        target.rate_limit.record_grant(share, now);
         target.grant(index, way_us, now, &self.model)
     }
 
@@ -287,19 +288,19 @@
     pub(crate) fn update(
         &mut self,
         service: &Service,
-        surroundings: &Surroundings,
+        surroundings: &FleetSettings,
         now: Timestamp,
     ) {
-        let Surroundings { own_data_hall, one_way, detour, .. } = surroundings;
+        let FleetSettings { own_data_hall, one_way, detour, .. } = surroundings;
         self.halls.set(own_data_hall, *one_way, *detour);
         self.remove_unlisted(service, now);
-        self.own_share = RateShare::one_of(surroundings.entry_vms_max);
+        self.own_share = RateShare::equal(surroundings.entry_vms_max);
         let mut free = self.free_places();
         self.slots = u32::try_from(service.slots_per_target).unwrap_or(u32::MAX);
-        let shape = Shape {
+        let shape = TargetParameters {
             slots: u32::try_from(service.slots_per_target).unwrap_or(u32::MAX),
             connection_share: share_for_requests(service, surroundings.entry_vms_max),
-            cold_paces: ColdPaces::of(service, surroundings.entry_vms_max),
+            cold_intervals: ColdIntervals::for_service(service, surroundings.entry_vms_max),
             cold_ramp: Duration::from_millis(service.cold_start_ramp_ms),
         };
         for listed in &service.targets {
@@ -307,10 +308,10 @@
             let hall = self.halls.index(&listed.data_hall);
             let is_hall_drained = surroundings.drained_halls.contains(&listed.data_hall);
             let target = self.get_mut(index);
-            target.set_shape(shape);
+            target.set_parameters(shape);
             target.hall = hall;
             target.set_hall_drained(is_hall_drained, now);
-            target.listed_cold_for(listed.cold_for_ms, now);
+            target.set_listed_cold_for(listed.cold_for_ms, now);
             let is_stale = listed.incarnation < target.incarnation;
             if listed.state == TargetState::Leaving && !is_stale {
                 target.presence = Presence::Leaving;
@@ -345,10 +346,10 @@
     fn choose_explorers(&mut self) {
         let serving = self.targets.iter_mut().filter(|target| target.is_serving());
         for (place, target) in serving.enumerate() {
-            target.explores = match place % TARGETS_PER_EXPLORER {
-                0 => Explores::More,
-                1 => Explores::Fewer,
-                _ => Explores::Nothing,
+            target.exploration = match place % TARGETS_PER_EXPLORER {
+                0 => Exploration::More,
+                1 => Exploration::Fewer,
+                _ => Exploration::Disabled,
             };
         }
     }
@@ -358,7 +359,7 @@
     fn place_of(
         &mut self,
         listed: &TargetSettings,
-        shape: Shape,
+        shape: TargetParameters,
         free: &mut Vec<usize>,
         now: Timestamp,
     ) -> TargetIndex {
@@ -402,7 +403,7 @@
 
     /// Notes the incarnation that a target states of itself: it may have started anew on
     /// the same address before the configuration says so.
-    pub(crate) fn note_incarnation(&mut self, index: TargetIndex, incarnation: Incarnation) {
+    pub(crate) fn record_incarnation(&mut self, index: TargetIndex, incarnation: Incarnation) {
         let target = self.get_mut(index);
         if target.presence == Presence::Serving && target.incarnation < incarnation {
             target.set_incarnation(incarnation);
@@ -424,7 +425,7 @@
     }
 
     /// Whether one more target may be set aside.
-    pub(crate) fn has_room_to_eject(&self, share_max_percent: u64, now: Timestamp) -> bool {
+    pub(crate) fn may_eject_another(&self, share_max_percent: u64, now: Timestamp) -> bool {
         let serving = self.targets.iter().filter(|target| target.is_serving());
         let (count, ejected) = serving.fold((0_u64, 0_u64), |(count, ejected), target| {
             (count + 1, ejected + u64::from(target.ejection().is_ejected(now)))
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -36,8 +36,11 @@
             assert!(chosen == name(2) || chosen == name(3), "{view}: {chosen}");
             dispatcher.release(grant, at(step));
         }
-        assert!(dispatcher.grant_at(&name(0), None, at(200)).is_none(), "{view}: another's choice");
-        assert!(dispatcher.grant_at(&name(2), None, at(200)).is_some(), "{view}");
+        assert!(
+            dispatcher.grant_target(&name(0), None, at(200)).is_none(),
+            "{view}: another's choice"
+        );
+        assert!(dispatcher.grant_target(&name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
         assert_eq!(probed, [name(2), name(3)], "{view}");
     }
@@ -99,6 +102,6 @@
     };
     assert!(expected(&dispatcher, 0, 5_001) > 3 * expected(&dispatcher, 2, 5_001), "cold");
     assert!(expected(&dispatcher, 0, 8_001) <= expected(&dispatcher, 2, 8_001), "ramp over");
-    let _ = dispatcher.learn_probe(&name(1), support::told_cold(0), at(5_002));
+    let _ = dispatcher.record_probe(&name(1), support::told_cold(0), at(5_002));
     assert!(expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003), "tells it is warm");
 }
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -49,7 +49,7 @@
     for grant in grants {
         let others = dispatcher.in_flight(grant.target()) - 1;
         let observation = Observation::Answered(Some(report(others, 0)));
-        let _ = dispatcher.learn(&grant, observation, now + taken);
+        let _ = dispatcher.record_attempt(&grant, observation, now + taken);
         dispatcher.release(grant, now + taken);
     }
 }
@@ -75,7 +75,7 @@
         let mut now = at(0);
         for _ in 0..40 {
             for count in 1..=3 {
-                if count > dispatcher.room(now) {
+                if count > dispatcher.spare_capacity(now) {
                     break;
                 }
                 round(&mut dispatcher, count, ms(taken_ms[count as usize - 1]), now, &mut rng);
@@ -127,7 +127,7 @@
         for (_, target, grant) in running.extract_if(.., |(end, ..)| *end <= now) {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now);
+            let _ = dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
             assert!(target < targets);
         }
@@ -212,7 +212,7 @@
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1 + foreign;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now + ms(taken));
+            let _ = dispatcher.record_attempt(&grant, observation, now + ms(taken));
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -263,13 +263,13 @@
         // The mean pace is far above the usual.
         for step in 0..200 {
             let pace = if step % 2 == 0 { 100 } else { 500 };
-            let _ = dispatcher.learn_probe(&name(0), paced(pace), at(step));
+            let _ = dispatcher.record_probe(&name(0), paced(pace), at(step));
         }
         let now = at(600 + seed);
         // A gap in the process's own time would make it forget what it hears next.
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&name(1), paced(100), now);
-        let _ = dispatcher.learn_probe(&name(2), paced(500), now);
+        let _ = dispatcher.record_probe(&name(1), paced(100), now);
+        let _ = dispatcher.record_probe(&name(2), paced(500), now);
         let first = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
         assert_eq!(dispatcher.target_name(&first), name(1), "the one known to be fast");
         let later = now + ms(200);
@@ -315,12 +315,12 @@
             let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(taken_ms);
             let report = LoadReport { pace_percent: before_percent, ..report(0, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(Some(report)), now);
             dispatcher.release(grant, now);
             // Old news when the next request comes.
             now = now + ms(200);
         }
-        let _ = dispatcher.learn_probe(&name(0), paced(pace_percent), now);
+        let _ = dispatcher.record_probe(&name(0), paced(pace_percent), now);
         now = now + ms(age_ms);
         let decision = dispatcher.request(request(1, now + ms(10_000)), now, &mut rng);
         match decision {
@@ -332,7 +332,7 @@
             continue;
         }
         assert!(dispatcher.next_wake(now + ms(20), &mut rng).is_none(), "{note}: still slow");
-        let _ = dispatcher.learn_probe(&name(0), paced(before_percent), now + ms(30));
+        let _ = dispatcher.record_probe(&name(0), paced(before_percent), now + ms(30));
         let woken = dispatcher.next_wake(now + ms(30), &mut rng);
         assert!(matches!(woken, Some(Wake::Send(..))), "{note}: fast again: {woken:?}");
     }
@@ -372,21 +372,21 @@
         for _ in 0..10 {
             let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(200);
-            let _ = dispatcher.learn(&grant, Observation::Answered(None), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
         }
         for _ in 0..20 {
             now = now + ms(200);
             let _ = dispatcher.tick(now);
             for (index, pace) in paces.into_iter().enumerate() {
-                let _ = dispatcher.learn_probe(&name(index), paced(pace), now);
+                let _ = dispatcher.record_probe(&name(index), paced(pace), now);
             }
         }
         // All others are leaving.
         for index in 1..5 {
             dispatcher.mark_leaving(&name(index), Incarnation::new(1));
         }
-        let _ = dispatcher.learn_probe(&name(0), paced(pace_percent), now);
+        let _ = dispatcher.record_probe(&name(0), paced(pace_percent), now);
         match dispatcher.request(request(1, now + ms(10_000)), now, &mut rng) {
             Decision::Send(_) => assert!(is_sent, "{note}: sent"),
             Decision::Wait(_) => assert!(!is_sent, "{note}: waits"),
@@ -404,13 +404,17 @@
         // Two at a time take twice as long as one, but only because the target is slow then.
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&name(0), paced(pace), now);
+        let _ = dispatcher.record_probe(&name(0), paced(pace), now);
         let grants: Vec<_> =
             (0..count).map(|_| sent(&mut dispatcher, at_once(now), now, &mut rng)).collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now + ms(taken));
+            let _ = dispatcher.record_attempt(
+                &grant,
+                Observation::Answered(Some(report)),
+                now + ms(taken),
+            );
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -445,7 +449,7 @@
         // It was used a moment ago.
         let grant = sent(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
         dispatcher.release(grant, at(10));
-        let _ = dispatcher.learn_probe(&name(2), report(running, queued), at(20));
+        let _ = dispatcher.record_probe(&name(2), report(running, queued), at(20));
         let now = at(20 + age_ms);
         let mut granted = 0;
         while let Decision::Send(_) = dispatcher.request(at_once(now), now, &mut rng) {
@@ -462,7 +466,7 @@
     let mut granted = 0;
     for step in 0..100 {
         let now = at(step * 50);
-        let _ = dispatcher.learn_probe(&name(0), report(3, 4), now);
+        let _ = dispatcher.record_probe(&name(0), report(3, 4), now);
         if let Decision::Send(grant) = dispatcher.request(at_once(now), now, &mut rng) {
             granted += 1;
             dispatcher.release(grant, now + ms(40));
@@ -493,16 +497,16 @@
 #[test]
 fn a_grant_at_a_named_target_is_refused_once_it_is_leaving() {
     let mut dispatcher = fleet_dispatcher(2, 2);
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_some());
+    assert!(dispatcher.grant_target(&name(0), None, at(0)).is_some());
     assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_none());
-    assert!(dispatcher.grant_at(&name(9), None, at(0)).is_none(), "unknown here");
+    assert!(dispatcher.grant_target(&name(0), None, at(0)).is_none());
+    assert!(dispatcher.grant_target(&name(9), None, at(0)).is_none(), "unknown here");
 }
 
 #[test]
 fn only_targets_that_were_silent_are_to_be_probed() {
     let mut dispatcher = fleet_dispatcher(3, 3);
-    let _ = dispatcher.learn_probe(&name(1), paced(100), at(0));
+    let _ = dispatcher.record_probe(&name(1), paced(100), at(0));
     let silent = dispatcher.stale_targets(ms(50), usize::MAX, at(40));
     assert_eq!(silent.len(), 2, "{silent:?}");
     assert_eq!(dispatcher.stale_targets(ms(50), usize::MAX, at(60)).len(), 3);
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -126,7 +126,7 @@
     pub(crate) fn expect_requests(&self, now: Timestamp) {
         let before = {
             let mut state = self.state.lock();
-            state.probe_budget.requested();
+            state.probe_budget.record_request();
             state.asked_at.replace(now)
         };
         if before.is_none_or(|at| now.since(at) > RESTED) {
@@ -156,7 +156,7 @@
             return Vec::new();
         }
         let request = request_of(acquire, &mut state.dispatcher, now);
-        state.dispatcher.worth_asking(&request, FRESH, PROBED_BEFORE_GRANT, now)
+        state.dispatcher.likely_stale_targets(&request, FRESH, PROBED_BEFORE_GRANT, now)
     }
 
     /// Answers a process that asked for a target at `asked_at`.
@@ -180,11 +180,11 @@
     ) -> Reply {
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
-        dispatcher.set_backed(self.told.lock().rooms.is_available_outside(&self.group, now));
+        dispatcher.set_can_overflow(self.told.lock().rooms.is_available_outside(&self.group, now));
         allocator.release_unlisted(&key.holder, &numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
             && !allocator.contains(key)
-            && dispatcher.room(now) == 0
+            && dispatcher.spare_capacity(now) == 0
             && let Some((other, by)) = self.told.lock().take(&self.group, now)
         {
             return Reply::Redirected(other, by);
@@ -229,7 +229,7 @@
 
     /// Further requests that the targets would serve at nearly their usual pace.
     pub(crate) fn room(&self, now: Timestamp) -> u32 {
-        self.state.lock().dispatcher.room(now)
+        self.state.lock().dispatcher.spare_capacity(now)
     }
 
     pub(super) fn has_waiting(&self) -> bool {
@@ -250,7 +250,7 @@
     /// Learns what a peer knows of a target's limit.
     pub(super) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.state.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
+        self.state.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
     }
 
     /// Says which part of targets' limits may be granted here.
@@ -272,7 +272,7 @@
 
     pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
         let now = BootClock.now();
-        let mark = self.state.lock().dispatcher.learn_probe(name, report, now);
+        let mark = self.state.lock().dispatcher.record_probe(name, report, now);
         // A target whose slow spell is over takes requests that wait.
         self.wake_waiting(now);
         mark
@@ -296,7 +296,7 @@
         now: Timestamp,
     ) -> Vec<(TargetName, SocketAddr)> {
         let state = self.state.lock();
-        state.dispatcher.stale_targets(age, state.probe_budget.left(), now)
+        state.dispatcher.stale_targets(age, state.probe_budget.available(), now)
     }
 
     /// Probes of targets of the group have begun.
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -82,14 +82,14 @@
             return false;
         };
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.learn_rate_limit(grant, stated, now)
+        self.service.own.lock().dispatcher.record_rate_limit(grant, stated, now)
     }
 
     /// The target asked this process for a backoff.
     pub(crate) fn back_off(&self, wait: Duration) {
         if let Some(grant) = &self.grant {
             let wait = wait.min(self.service.settings().backoff_max());
-            self.service.own.lock().dispatcher.back_off(grant, wait, BootClock.now());
+            self.service.own.lock().dispatcher.record_backoff(grant, wait, BootClock.now());
         }
     }
 
@@ -105,7 +105,7 @@
         }
         let grant = self.grant.as_ref()?;
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.learn(grant, observation, now)
+        self.service.own.lock().dispatcher.record_attempt(grant, observation, now)
     }
 }
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -275,7 +275,7 @@
 
     /// Counts a request of a caller.
     pub(crate) fn received(&self) {
-        self.own.lock().dispatcher.received();
+        self.own.lock().dispatcher.record_request();
     }
 
     pub(crate) fn has_retry(&self) -> bool {
@@ -283,7 +283,7 @@
     }
 
     pub(crate) fn try_retry(&self) -> bool {
-        self.own.lock().dispatcher.try_retry()
+        self.own.lock().dispatcher.try_spend_retry()
     }
 
     /// Whether requests wait here, of this process or of others.
@@ -330,7 +330,7 @@
     }
 
     pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
-        self.own.lock().dispatcher.learn_probe(name, report, BootClock.now())
+        self.own.lock().dispatcher.record_probe(name, report, BootClock.now())
     }
 
     /// What this process knows of its targets' limits.
@@ -349,7 +349,7 @@
     /// Learns what a peer knows of a target's limit.
     pub(crate) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.own.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
+        self.own.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
         for group in self.groups() {
             group.learn_rate_limit(limit, now);
         }
@@ -363,7 +363,7 @@
     /// A target asked this process for a backoff when it was probed.
     pub(crate) fn back_off_probed(&self, name: &TargetName, wait: Duration) {
         let wait = wait.min(self.settings().backoff_max());
-        self.own.lock().dispatcher.back_off_probed(name, wait, BootClock.now());
+        self.own.lock().dispatcher.record_probe_backoff(name, wait, BootClock.now());
     }
 
     pub(crate) fn probe_targets(&self) -> Vec<Destination> {
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -154,7 +154,7 @@
             let now = BootClock.now();
             let until = {
                 let dispatcher = &self.own.lock().dispatcher;
-                let refusal = dispatcher.beyond_backoffs(request, now, &mut rand::rng());
+                let refusal = dispatcher.backoff_refusal(request, now, &mut rand::rng());
                 if refusal.is_some() {
                     return refusal;
                 }
@@ -272,7 +272,7 @@
             Group::All => None,
             Group::Hall(hall) => Some(hall),
         };
-        let excluded = self.own.lock().dispatcher.backing_off(hall, now);
+        let excluded = self.own.lock().dispatcher.backing_off_targets(hall, now);
         Wanted {
             service: self.name().clone(),
             group: group.clone(),
@@ -382,7 +382,7 @@
         let now = BootClock.now();
         let mut own = self.own.lock();
         let dispatcher = &mut own.dispatcher;
-        let Some(grant) = dispatcher.grant_at(&granted.target, granted.rate_limit, now) else {
+        let Some(grant) = dispatcher.grant_target(&granted.target, granted.rate_limit, now) else {
             let index = dispatcher.index_of(&granted.target);
             let leaving = index.and_then(|index| dispatcher.leaving_incarnation(index));
             let is_stale = leaving.is_some() || dispatcher.is_backing_off(&granted.target, now);
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -64,7 +64,7 @@
     let mut wanted = shared.acquires_pending.lock().await;
     loop {
         let now = BootClock.now();
-        probing.lock().retain(|_, pacing| !pacing.is_over(now));
+        probing.lock().retain(|_, pacing| !pacing.is_idle(now));
         let is_allocating = begin_due::<D>(&shared, &probing);
         let wait = if is_allocating { LOOK } else { IDLE_LOOK };
         let until = sleep(wait);
@@ -185,7 +185,7 @@
     tokio::spawn(async move {
         let is_answered = run_probe::<D>(&shared, &subject, &destination, &probe).await;
         if let Some(pacing) = probing.lock().get_mut(&destination) {
-            pacing.ended(is_answered);
+            pacing.finish(is_answered);
         }
     })
 }
