--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -17,7 +17,7 @@
 use thymeshift_fleet::Boot;
 use thymeshift_fleet::Phase;
 use thymeshift_supervisor::Escalation;
-use thymeshift_supervisor::Restart;
+use thymeshift_supervisor::RestartPolicy;
 use thymeshift_supervisor::Supervisor;
 use thymeshift_supervisor::Task;
 use thymeshift_telemetry::metric;
@@ -237,7 +237,7 @@
     let is_closing = is_closing.clone();
     let listener = listeners.caller.clone();
     let callers_shared = shared.clone();
-    let callers = Task::new("listener", Restart::on_failure(), move || {
+    let callers = Task::new("listener", RestartPolicy::on_failure(), move || {
         run_listener::<E::Dialect>(callers_shared.clone(), listener.clone(), is_closing.clone())
     });
     // Where targets are granted, the allocator probes for the whole fleet.
@@ -253,7 +253,7 @@
     // Turns are taken by heartbeats of readers where there are datagrams, else by leases.
     let reader = if shared.allocation.socket().is_some() {
         let (shared, source) = (shared.clone(), source.clone());
-        Task::new("source", Restart::always(), move || {
+        Task::new("source", RestartPolicy::always(), move || {
             run_source::<E>(shared.clone(), source.clone())
         })
     } else {
@@ -276,7 +276,7 @@
     F: Future<Output = Result<(), thymeshift_supervisor::TaskError>> + Send + 'static,
 {
     let shared = shared.clone();
-    Task::new(name, Restart::always(), move || run(shared.clone()))
+    Task::new(name, RestartPolicy::always(), move || run(shared.clone()))
 }
 
 fn with_listener<F>(
@@ -289,7 +289,7 @@
     F: Future<Output = Result<(), thymeshift_supervisor::TaskError>> + Send + 'static,
 {
     let (shared, listener) = (shared.clone(), listener.clone());
-    Task::new(name, Restart::always(), move || run(shared.clone(), listener.clone()))
+    Task::new(name, RestartPolicy::always(), move || run(shared.clone(), listener.clone()))
 }
 
 impl Listeners {
--- a/crates/thymeshift_supervisor/src/lib.rs
+++ b/crates/thymeshift_supervisor/src/lib.rs
@@ -1,7 +1,7 @@
 //! A supervisor tree for tokio tasks.
 //!
 //! A [`Supervisor`] runs named [`Task`]s. A task that fails or panics is logged, counted
-//! and started anew by its [`Restart`] rule; one that does so too often in a short time
+//! and started anew by its [`RestartPolicy`] rule; one that does so too often in a short time
 //! ends its supervisor. A supervisor may itself be a task of another one, which then
 //! starts the whole branch anew; when the root ends, so does the process.
 
@@ -10,7 +10,7 @@
 mod supervisor;
 mod task;
 
-pub use restart::Restart;
+pub use restart::RestartPolicy;
 pub use status::Statuses;
 pub use status::TaskStatus;
 pub use supervisor::Escalation;
--- a/crates/thymeshift_supervisor/src/restart.rs
+++ b/crates/thymeshift_supervisor/src/restart.rs
@@ -4,14 +4,14 @@
 
 /// Restart rule of one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Restart {
+pub struct RestartPolicy {
     pub(crate) is_ending_expected: bool,
     pub(crate) starts_max: usize,
     pub(crate) window: Duration,
     pub(crate) pause: Duration,
 }
 
-impl Restart {
+impl RestartPolicy {
     /// A task that runs for ever: any end is a failure. At most ten restarts in ten
     /// seconds.
     pub const fn always() -> Self {
--- a/crates/thymeshift_supervisor/src/supervisor.rs
+++ b/crates/thymeshift_supervisor/src/supervisor.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::Restart;
+use crate::RestartPolicy;
 use crate::Statuses;
 use crate::Task;
 use crate::TaskError;
@@ -90,7 +90,7 @@
 }
 
 fn branch_task(branch: Supervisor, path: String) -> Task {
-    Task::new(branch.name, Restart::on_failure(), move || {
+    Task::new(branch.name, RestartPolicy::on_failure(), move || {
         let run = branch.clone().run_at(path.clone());
         async move { run.await.map_err(TaskError::from) }
     })
--- a/crates/thymeshift_supervisor/src/task.rs
+++ b/crates/thymeshift_supervisor/src/task.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use futures::future::BoxFuture;
 
-use crate::Restart;
+use crate::RestartPolicy;
 
 /// Why a task failed: the error's text with its sources.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
@@ -38,7 +38,7 @@
 #[derive(Clone)]
 pub struct Task {
     pub(crate) name: &'static str,
-    pub(crate) restart: Restart,
+    pub(crate) restart: RestartPolicy,
     pub(crate) start: Arc<Start>,
 }
 
@@ -46,7 +46,7 @@
     /// A task called `name`; `start` makes its future, again after each failure.
     pub fn new<F>(
         name: &'static str,
-        restart: Restart,
+        restart: RestartPolicy,
         start: impl Fn() -> F + Send + Sync + 'static,
     ) -> Self
     where
--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -5,14 +5,14 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use thymeshift_supervisor::Restart;
+use thymeshift_supervisor::RestartPolicy;
 use thymeshift_supervisor::Statuses;
 use thymeshift_supervisor::Supervisor;
 use thymeshift_supervisor::Task;
 use thymeshift_supervisor::TaskError;
 use tokio::time::timeout;
 
-const QUICK: Restart = Restart::always().with_pause(Duration::from_millis(1));
+const QUICK: RestartPolicy = RestartPolicy::always().with_pause(Duration::from_millis(1));
 
 /// How a task behaves each time it is started.
 #[derive(Debug, Clone, Copy)]
@@ -23,7 +23,7 @@
 }
 
 /// A task that misbehaves `times` times and then runs on; counts its starts.
-fn task(restart: Restart, behaviour: Behaviour, times: usize, starts: &Arc<AtomicUsize>) -> Task {
+fn task(restart: RestartPolicy, behaviour: Behaviour, times: usize, starts: &Arc<AtomicUsize>) -> Task {
     let starts = starts.clone();
     Task::new("odd", restart, move || {
         let start = starts.fetch_add(1, Ordering::SeqCst);
@@ -84,7 +84,7 @@
 async fn a_task_that_may_end_is_left_alone() {
     let starts = Arc::new(AtomicUsize::new(0));
     let tree = Supervisor::new("root", Statuses::default()).with_task(task(
-        Restart::on_failure(),
+        RestartPolicy::on_failure(),
         Behaviour::Ends,
         9,
         &starts,
