--- a/crates/thymeshift_supervisor/src/restart.rs
+++ b/crates/thymeshift_supervisor/src/restart.rs
@@ -38,7 +38,7 @@
 
     /// Waits `pause` before each restart.
     #[must_use]
-    pub const fn with_pause(mut self, pause: Duration) -> Self {
+    pub const fn with_delay(mut self, pause: Duration) -> Self {
         self.pause = pause;
         self
     }
--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -12,7 +12,7 @@
 use thymeshift_supervisor::TaskError;
 use tokio::time::timeout;
 
-const QUICK: RestartPolicy = RestartPolicy::always().with_pause(Duration::from_millis(1));
+const QUICK: RestartPolicy = RestartPolicy::always().with_delay(Duration::from_millis(1));
 
 /// How a task behaves each time it is started.
 #[derive(Debug, Clone, Copy)]
