--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -179,7 +179,7 @@
 }
 
 fn ended(last: &str) -> Escalation {
-    Escalation { path: "entry".to_owned(), ends: 1, window: Duration::ZERO, last: last.to_owned() }
+    Escalation { path: "entry".to_owned(), end_count: 1, window: Duration::ZERO, last: last.to_owned() }
 }
 
 /// The planned stop. In order: readiness fails; callers are still accepted for a while,
--- a/crates/thymeshift_supervisor/src/supervisor.rs
+++ b/crates/thymeshift_supervisor/src/supervisor.rs
@@ -20,12 +20,12 @@
 
 /// A task that failed too often for its supervisor to go on.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("task {path} ended {ends} times within {window:?}, last: {last}")]
+#[display("task {path} ended {end_count} times within {window:?}, last: {last}")]
 pub struct Escalation {
     /// Names of its supervisors and its own, joined by `/`.
     pub path: String,
     /// How often.
-    pub ends: usize,
+    pub end_count: usize,
     /// In which time.
     pub window: Duration,
     /// How it ended the last time.
@@ -97,7 +97,7 @@
 }
 
 fn monitor_lost(path: String, error: &tokio::task::JoinError) -> Escalation {
-    Escalation { path, ends: 1, window: Duration::ZERO, last: error.to_string() }
+    Escalation { path, end_count: 1, window: Duration::ZERO, last: error.to_string() }
 }
 
 /// Runs one task until it may end or must not be started again.
@@ -120,7 +120,7 @@
         if ends.len() > task.restart.starts_max {
             error!("task_given_up", kv: { task = path.as_str(), ends = ends.len() });
             let window = task.restart.window;
-            return Err(Escalation { path, ends: ends.len(), window, last });
+            return Err(Escalation { path, end_count: ends.len(), window, last });
         }
         sleep(task.restart.pause).await;
     }
