--- a/crates/thymeshift_supervisor/src/supervisor.rs
+++ b/crates/thymeshift_supervisor/src/supervisor.rs
@@ -20,7 +20,7 @@
 
 /// A task that failed too often for its supervisor to go on.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("task {path} ended {end_count} times within {window:?}, last: {last}")]
+#[display("task {path} ended {end_count} times within {window:?}, last_reason: {last_reason}")]
 pub struct Escalation {
     /// Names of its supervisors and its own, joined by `/`.
     pub path: String,
@@ -29,7 +29,7 @@
     /// In which time.
     pub window: Duration,
     /// How it ended the last time.
-    pub last: String,
+    pub last_reason: String,
 }
 
 /// Runs tasks. Dropping the future of [`Supervisor::run`] ends all of them.
@@ -97,7 +97,7 @@
 }
 
 fn monitor_lost(path: String, error: &tokio::task::JoinError) -> Escalation {
-    Escalation { path, end_count: 1, window: Duration::ZERO, last: error.to_string() }
+    Escalation { path, end_count: 1, window: Duration::ZERO, last_reason: error.to_string() }
 }
 
 /// Runs one task until it may end or must not be started again.
@@ -107,11 +107,11 @@
         statuses.started(&path);
         let end = run_once(&task).await;
         statuses.ended(&path);
-        let End::Failed(kind, last) = end else {
+        let End::Failed(kind, last_reason) = end else {
             return Ok(());
         };
         counter!(metric::TASK_ENDS, "task" => path.clone(), "end" => kind.as_str()).increment(1);
-        warn!("task_ended", kv: { task = path.as_str(), end = kind.as_str(), reason = last.as_str() });
+        warn!("task_ended", kv: { task = path.as_str(), end = kind.as_str(), reason = last_reason.as_str() });
         let now = Instant::now();
         ends.push_back(now);
         while ends.front().is_some_and(|end| now - *end > task.restart.window) {
@@ -120,7 +120,7 @@
         if ends.len() > task.restart.starts_max {
             error!("task_given_up", kv: { task = path.as_str(), ends = ends.len() });
             let window = task.restart.window;
-            return Err(Escalation { path, end_count: ends.len(), window, last });
+            return Err(Escalation { path, end_count: ends.len(), window, last_reason });
         }
         sleep(task.restart.pause).await;
     }
--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -75,8 +75,8 @@
     let escalation = timeout(Duration::from_secs(30), tree.run()).await.expect("in time");
     let escalation = escalation.expect_err("escalates");
     assert_eq!(escalation.path, "root/branch");
-    assert!(escalation.last.contains("root/branch/odd"), "{escalation}");
-    assert!(escalation.last.contains("as planned"), "{escalation}");
+    assert!(escalation.last_reason.contains("root/branch/odd"), "{escalation}");
+    assert!(escalation.last_reason.contains("as planned"), "{escalation}");
     assert!(starts.load(Ordering::SeqCst) > 3, "the branch was started anew first");
 }
 
