--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -11,7 +11,7 @@
 use thymeshift_config::Settings;
 use thymeshift_config::Target;
 use thymeshift_fleet::Adoption;
-use thymeshift_fleet::Asked;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
 use thymeshift_fleet::Breadth;
 use thymeshift_fleet::Head;
@@ -154,7 +154,7 @@
         rng: &mut impl Rng,
     ) -> Exchange {
         let breadth = theirs.members.first().map_or(Breadth::News, |sender| {
-            let asked = Asked {
+            let asked = ReceivedSummary {
                 sender: &sender.member,
                 digest: theirs.digest,
                 is_new: theirs.is_new,
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -50,7 +50,7 @@
 pub use member::Member;
 pub use member::MemberDump;
 pub use member::Phase;
-pub use members::Asked;
+pub use members::ReceivedSummary;
 pub use members::Breadth;
 pub use members::Members;
 pub use members::Reach;
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -43,7 +43,7 @@
 use crate::members::known::MEMBERS_PER_PATIENCE;
 
 pub use reach::Reach;
-pub use telling::Asked;
+pub use telling::ReceivedSummary;
 pub use telling::Breadth;
 pub use telling::Told;
 
--- a/crates/thymeshift_fleet/src/members/telling.rs
+++ b/crates/thymeshift_fleet/src/members/telling.rs
@@ -36,7 +36,7 @@
 
 /// What a peer's message shows of the sender.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct ReceivedSummary<'a> {
     /// The sender.
     pub sender: &'a Member,
     /// The fleet as it knows it.
@@ -59,7 +59,7 @@
 impl Members {
     /// How much to answer to a peer's message. One that is new, or knows other members of its
     /// data hall than this process does, is told of all.
-    pub fn answer_breadth<'a>(&self, asked: &Asked<'a>, now: Timestamp) -> Breadth<'a> {
+    pub fn answer_breadth<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> Breadth<'a> {
         let hall = &asked.sender.data_hall;
         let is_near = *hall == self.own.data_hall;
         if asked.is_new {
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::Asked;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
 use thymeshift_fleet::FleetDigest;
 use thymeshift_fleet::LeavingRegister;
@@ -390,7 +390,7 @@
         }
         let alone = MembersDigest::of([member(1)].iter());
         let other = FleetDigest { hall: alone, contacts: alone };
-        let asked = Asked {
+        let asked = ReceivedSummary {
             sender: &member(1),
             digest: if is_same { members.digest(at(1)) } else { other },
             is_new: is_other_new,
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::Asked;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
 use thymeshift_fleet::Breadth;
 use thymeshift_fleet::Member;
@@ -134,7 +134,7 @@
                 continue;
             };
             let asked =
-                Asked { sender: &summary[0].member, digest, is_new, is_regular: summary.len() > 1 };
+                ReceivedSummary { sender: &summary[0].member, digest, is_new, is_regular: summary.len() > 1 };
             let members = &mut self.processes[other].members;
             take(members, &summary, now);
             let breadth = members.answer_breadth(&asked, now);
