--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use spdlog::info;
 use spdlog::warn;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
 use thymeshift_wire::Document;
@@ -264,7 +264,7 @@
     };
     let asked = picked.len();
     let exchanges =
-        picked.into_iter().map(|address| exchange_once(shared, address, Breadth::Regular));
+        picked.into_iter().map(|address| exchange_once(shared, address, GossipScope::Regular));
     let answered = join_all(exchanges).await.into_iter().flatten().count();
     Peers { asked, answered }
 }
--- a/crates/thymeshift_entry/src/control_plane/operators.rs
+++ b/crates/thymeshift_entry/src/control_plane/operators.rs
@@ -8,7 +8,7 @@
 use spdlog::info;
 use tarpc::context::Context;
 use tarpc::server::Channel;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Liveness;
 use thymeshift_fleet::MemberDump;
 use thymeshift_fleet::OrderDraft;
@@ -100,7 +100,7 @@
         let there = |member: &MemberDump| member.liveness != Liveness::Gone;
         let there: Vec<MemberDump> = members.into_iter().filter(there).collect();
         let addresses = there.iter().map(|there| there.member.peer_address);
-        let told = addresses.map(|address| exchange_once(&self.shared, address, Breadth::News));
+        let told = addresses.map(|address| exchange_once(&self.shared, address, GossipScope::News));
         let answers = join_all(told).await;
         let mut confirmed = vec![self.shared.settings().vm.clone()];
         let mut unconfirmed = Vec::new();
--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -17,7 +17,7 @@
 use spdlog::error;
 use tarpc::client::RpcError;
 use tarpc::context;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
 use thymeshift_types::BootClock;
@@ -149,9 +149,9 @@
         let every = exchange_every(&shared);
         let is_news = timeout(every.mul_f64(spread), shared.news.notified()).await.is_ok();
         if is_news {
-            exchange_with(&shared, TOLD_AT_ONCE, Breadth::News).await;
+            exchange_with(&shared, TOLD_AT_ONCE, GossipScope::News).await;
         } else {
-            exchange_with(&shared, 1, Breadth::Regular).await;
+            exchange_with(&shared, 1, GossipScope::Regular).await;
         }
     }
 }
@@ -169,10 +169,10 @@
 
 /// Tells a few peers that this process is stopping.
 pub(crate) async fn say_goodbye(shared: &Arc<Shared>) {
-    exchange_with(shared, TOLD_AT_ONCE, Breadth::News).await;
+    exchange_with(shared, TOLD_AT_ONCE, GossipScope::News).await;
 }
 
-async fn exchange_with(shared: &Arc<Shared>, count: usize, breadth: Breadth<'static>) {
+async fn exchange_with(shared: &Arc<Shared>, count: usize, breadth: GossipScope<'static>) {
     let picked = {
         let now = BootClock.now();
         let mut fleet = shared.fleet.lock();
@@ -188,7 +188,7 @@
 pub(crate) async fn exchange_once(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    breadth: Breadth<'_>,
+    breadth: GossipScope<'_>,
 ) -> Result<(), ExchangeError> {
     let answered = call(shared, address, breadth).await;
     let result = if answered.is_ok() { "answered" } else { "failed" };
@@ -205,7 +205,7 @@
 async fn call(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    breadth: Breadth<'_>,
+    breadth: GossipScope<'_>,
 ) -> Result<(), ExchangeError> {
     let client = shared.links.get(address).await?;
     let mut summary = shared.fleet.lock().summary(breadth, BootClock.now(), &mut rand::rng());
--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -6,7 +6,7 @@
 use futures::StreamExt;
 use tarpc::context::Context;
 use tarpc::server::Channel;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::Transfer;
 use thymeshift_supervisor::TaskError;
@@ -77,7 +77,7 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             // A failure is counted and logged there; the next exchange tries again.
-            let _ = exchange_once(&shared, address, Breadth::News).await;
+            let _ = exchange_once(&shared, address, GossipScope::News).await;
         });
     }
 }
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 use rand::Rng;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::RelayPlace;
@@ -93,7 +93,7 @@
         sleep(shared.rest()).await;
         shared.is_resting.store(false, Ordering::Relaxed);
         // A failure is counted and logged there; the next heartbeat of a reader tries again.
-        let _ = exchange_once(&shared, address, Breadth::News).await;
+        let _ = exchange_once(&shared, address, GossipScope::News).await;
     });
 }
 
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -13,7 +13,7 @@
 use thymeshift_fleet::Adoption;
 use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::LeavingRegister;
 use thymeshift_fleet::Member;
@@ -127,7 +127,7 @@
     /// The summary to send.
     pub(crate) fn summary(
         &mut self,
-        breadth: Breadth<'_>,
+        breadth: GossipScope<'_>,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
@@ -153,7 +153,7 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
-        let breadth = theirs.members.first().map_or(Breadth::News, |sender| {
+        let breadth = theirs.members.first().map_or(GossipScope::News, |sender| {
             let asked = ReceivedSummary {
                 sender: &sender.member,
                 digest: theirs.digest,
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -51,7 +51,7 @@
 pub use member::MemberDump;
 pub use member::Phase;
 pub use members::ReceivedSummary;
-pub use members::Breadth;
+pub use members::GossipScope;
 pub use members::Members;
 pub use members::Reach;
 pub use members::Told;
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -44,7 +44,7 @@
 
 pub use reach::Reach;
 pub use telling::ReceivedSummary;
-pub use telling::Breadth;
+pub use telling::GossipScope;
 pub use telling::Told;
 
 /// Members kept at most.
--- a/crates/thymeshift_fleet/src/members/telling.rs
+++ b/crates/thymeshift_fleet/src/members/telling.rs
@@ -24,7 +24,7 @@
 
 /// How much a message says of members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breadth<'a> {
+pub enum GossipScope<'a> {
     /// The sender and a few others.
     Regular,
     /// The sender, the contacts of all data halls, and all known members of this one, if one is
@@ -59,22 +59,22 @@
 impl Members {
     /// How much to answer to a peer's message. One that is new, or knows other members of its
     /// data hall than this process does, is told of all.
-    pub fn answer_breadth<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> Breadth<'a> {
+    pub fn answer_breadth<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> GossipScope<'a> {
         let hall = &asked.sender.data_hall;
         let is_near = *hall == self.own.data_hall;
         if asked.is_new {
-            return Breadth::Wide(Some(hall));
+            return GossipScope::Wide(Some(hall));
         }
         if !asked.is_regular {
-            return Breadth::News;
+            return GossipScope::News;
         }
         let own = self.digest(now);
         if is_near && asked.digest.hall != own.hall {
-            Breadth::Wide(Some(hall))
+            GossipScope::Wide(Some(hall))
         } else if asked.digest.contacts != own.contacts {
-            Breadth::Wide(None)
+            GossipScope::Wide(None)
         } else {
-            Breadth::Regular
+            GossipScope::Regular
         }
     }
 
@@ -90,18 +90,18 @@
     }
 
     /// The members to pass on: this process first, then others as `breadth` says.
-    pub fn passed_on(&self, breadth: Breadth<'_>, now: Timestamp, rng: &mut impl Rng) -> Vec<Told> {
+    pub fn passed_on(&self, breadth: GossipScope<'_>, now: Timestamp, rng: &mut impl Rng) -> Vec<Told> {
         let patience = self.patience();
         let heard = || {
             self.known.values().filter(move |known| known.liveness(patience, now) != Liveness::Gone)
         };
         let others: Vec<&Known> = match breadth {
-            Breadth::News => Vec::new(),
-            Breadth::Regular => {
+            GossipScope::News => Vec::new(),
+            GossipScope::Regular => {
                 let most = PASSED_ON_MAX + self.known.len() / MEMBERS_PER_PASSED_ON;
                 heard().choose_multiple(rng, most.min(PASSED_ON_MOST))
             }
-            Breadth::Wide(hall) => {
+            GossipScope::Wide(hall) => {
                 let is_of_hall = |known: &Known| Some(&known.member.data_hall) == hall;
                 let of_hall = heard().filter(|known| is_of_hall(known));
                 let contacts = self.contacts_where(|known| {
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Members;
 use thymeshift_fleet::Phase;
@@ -124,7 +124,7 @@
         };
         process.next_ms = now_ms + self.rng.random_range(every * 4 / 5..every * 6 / 5);
         let picked = process.members.pick(1, now, &mut self.rng);
-        let summary = process.members.passed_on(Breadth::Regular, now, &mut self.rng);
+        let summary = process.members.passed_on(GossipScope::Regular, now, &mut self.rng);
         let (digest, is_new) = (process.members.digest(now), process.members.is_new());
         for address in picked {
             let other = number_at(address);
