--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -149,7 +149,7 @@
         let every = exchange_every(&shared);
         let is_news = timeout(every.mul_f64(spread), shared.news.notified()).await.is_ok();
         if is_news {
-            exchange_with(&shared, TOLD_AT_ONCE, GossipScope::News).await;
+            exchange_with(&shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
         } else {
             exchange_with(&shared, 1, GossipScope::Regular).await;
         }
@@ -169,7 +169,7 @@
 
 /// Tells a few peers that this process is stopping.
 pub(crate) async fn say_goodbye(shared: &Arc<Shared>) {
-    exchange_with(shared, TOLD_AT_ONCE, GossipScope::News).await;
+    exchange_with(shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
 }
 
 async fn exchange_with(shared: &Arc<Shared>, count: usize, breadth: GossipScope<'static>) {
--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -77,7 +77,7 @@
         let shared = self.shared.clone();
         tokio::spawn(async move {
             // A failure is counted and logged there; the next exchange tries again.
-            let _ = exchange_once(&shared, address, GossipScope::News).await;
+            let _ = exchange_once(&shared, address, GossipScope::SenderOnly).await;
         });
     }
 }
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -93,7 +93,7 @@
         sleep(shared.rest()).await;
         shared.is_resting.store(false, Ordering::Relaxed);
         // A failure is counted and logged there; the next heartbeat of a reader tries again.
-        let _ = exchange_once(&shared, address, GossipScope::News).await;
+        let _ = exchange_once(&shared, address, GossipScope::SenderOnly).await;
     });
 }
 
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -153,7 +153,7 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
-        let breadth = theirs.members.first().map_or(GossipScope::News, |sender| {
+        let breadth = theirs.members.first().map_or(GossipScope::SenderOnly, |sender| {
             let asked = ReceivedSummary {
                 sender: &sender.member,
                 digest: theirs.digest,
--- a/crates/thymeshift_fleet/src/members/telling.rs
+++ b/crates/thymeshift_fleet/src/members/telling.rs
@@ -31,7 +31,7 @@
     /// named: the receiver is new, or knows others than the sender.
     Wide(Option<&'a DataHallName>),
     /// The sender alone: the message is about something that changed.
-    News,
+    SenderOnly,
 }
 
 /// What a peer's message shows of the sender.
@@ -66,7 +66,7 @@
             return GossipScope::Wide(Some(hall));
         }
         if !asked.is_regular {
-            return GossipScope::News;
+            return GossipScope::SenderOnly;
         }
         let own = self.digest(now);
         if is_near && asked.digest.hall != own.hall {
@@ -96,7 +96,7 @@
             self.known.values().filter(move |known| known.liveness(patience, now) != Liveness::Gone)
         };
         let others: Vec<&Known> = match breadth {
-            GossipScope::News => Vec::new(),
+            GossipScope::SenderOnly => Vec::new(),
             GossipScope::Regular => {
                 let most = PASSED_ON_MAX + self.known.len() / MEMBERS_PER_PASSED_ON;
                 heard().choose_multiple(rng, most.min(PASSED_ON_MOST))
