--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -54,7 +54,7 @@
 pub use members::GossipScope;
 pub use members::Members;
 pub use members::Reach;
-pub use members::Told;
+pub use members::GossipMember;
 pub use orders::Order;
 pub use orders::OrderChange;
 pub use orders::OrderDraft;
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -45,7 +45,7 @@
 pub use reach::Reach;
 pub use telling::ReceivedSummary;
 pub use telling::GossipScope;
-pub use telling::Told;
+pub use telling::GossipMember;
 
 /// Members kept at most.
 const MEMBERS_MAX: usize = 4_096;
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what a peer passed on.
-    pub fn learn(&mut self, told: &Told, now: Timestamp) {
+    pub fn learn(&mut self, told: &GossipMember, now: Timestamp) {
         self.learn_from(&told.member, Duration::from_millis(told.silent_ms.into()), now);
     }
 
--- a/crates/thymeshift_fleet/src/members/telling.rs
+++ b/crates/thymeshift_fleet/src/members/telling.rs
@@ -49,7 +49,7 @@
 
 /// A member as it is passed on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct GossipMember {
     /// What it said of itself.
     pub member: Member,
     /// How long ago that was news to the sender, in milliseconds.
@@ -90,7 +90,7 @@
     }
 
     /// The members to pass on: this process first, then others as `breadth` says.
-    pub fn passed_on(&self, breadth: GossipScope<'_>, now: Timestamp, rng: &mut impl Rng) -> Vec<Told> {
+    pub fn passed_on(&self, breadth: GossipScope<'_>, now: Timestamp, rng: &mut impl Rng) -> Vec<GossipMember> {
         let patience = self.patience();
         let heard = || {
             self.known.values().filter(move |known| known.liveness(patience, now) != Liveness::Gone)
@@ -110,11 +110,11 @@
                 of_hall.chain(contacts).collect()
             }
         };
-        let own = Told { member: self.own.clone(), silent_ms: 0 };
+        let own = GossipMember { member: self.own.clone(), silent_ms: 0 };
         let others = others.into_iter().map(|known| {
             let silent_ms = now.since(known.last_seen_at).as_millis();
             let silent_ms = u32::try_from(silent_ms).unwrap_or(u32::MAX);
-            Told { member: known.member.clone(), silent_ms }
+            GossipMember { member: known.member.clone(), silent_ms }
         });
         [own].into_iter().chain(others).collect()
     }
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -14,7 +14,7 @@
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Members;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::Told;
+use thymeshift_fleet::GossipMember;
 use thymeshift_fleet::ranked;
 use thymeshift_types::Capacity;
 use thymeshift_types::DataHallName;
@@ -196,7 +196,7 @@
     }
 }
 
-fn take(members: &mut Members, message: &[Told], now: Timestamp) {
+fn take(members: &mut Members, message: &[GossipMember], now: Timestamp) {
     let (sender, others) = message.split_first().expect("a sender");
     members.answered(&sender.member, now);
     for other in others {
--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -7,7 +7,7 @@
 use thymeshift_fleet::Head;
 use thymeshift_fleet::Order;
 use thymeshift_fleet::SuspectReport;
-use thymeshift_fleet::Told;
+use thymeshift_fleet::GossipMember;
 use thymeshift_fleet::Transfer;
 use thymeshift_fleet::Watcher;
 use thymeshift_types::Incarnation;
@@ -35,7 +35,7 @@
     /// many.
     pub is_new: bool,
     /// Members, the sender first.
-    pub members: Vec<Told>,
+    pub members: Vec<GossipMember>,
     /// The fleet as the sender knows it.
     pub digest: FleetDigest,
     /// The configuration in force.
