--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -11,7 +11,7 @@
 use spdlog::warn;
 use thymeshift_fleet::Contender;
 use thymeshift_fleet::HallPlace;
-use thymeshift_fleet::Turn;
+use thymeshift_fleet::ReadAction;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
 use thymeshift_types::BootClock;
@@ -53,9 +53,9 @@
             turn(&shared.fleet.lock(), now)
         };
         let wait = match turn {
-            Turn::Watch => WATCH_WAIT,
-            Turn::Read => Duration::ZERO,
-            Turn::Rest(rest) => {
+            ReadAction::Watch => WATCH_WAIT,
+            ReadAction::Read => Duration::ZERO,
+            ReadAction::Rest(rest) => {
                 sleep(rest.min(REST_MAX)).await;
                 continue;
             }
@@ -69,7 +69,7 @@
     }
 }
 
-fn turn(fleet: &Fleet, now: Timestamp) -> Turn {
+fn turn(fleet: &Fleet, now: Timestamp) -> ReadAction {
     let own = &fleet.members.own().vm;
     let contacts = fleet.members.contacts(now);
     let others = contacts.iter().filter(|member| member.vm != *own);
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -76,7 +76,7 @@
 pub use rank::ranked;
 pub use readers::HallPlace;
 pub use readers::Readers;
-pub use readers::Turn;
+pub use readers::ReadAction;
 pub use relay::FAN_OUT;
 pub use relay::RELAY_PATIENCE;
 pub use relay::RelayPlace;
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -59,7 +59,7 @@
 
 /// What a process should do about the source now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReadAction {
     /// Read, and let the source hold the call until something changes.
     Watch,
     /// Read at once, without waiting for a change.
@@ -111,14 +111,14 @@
 
     /// What to do now; `contacts` are the other processes that may read all the time, `place`
     /// is this process's own.
-    pub fn turn(&self, contacts: &[Contender<'_>], place: HallPlace, now: Timestamp) -> Turn {
+    pub fn turn(&self, contacts: &[Contender<'_>], place: HallPlace, now: Timestamp) -> ReadAction {
         if now < self.not_before {
-            return Turn::Rest(now.until(self.not_before));
+            return ReadAction::Rest(now.until(self.not_before));
         }
         let is_young = !contacts.is_empty() && now.since(self.started_at) < YOUNG;
         let is_rested = self.failures == 0 && !is_young;
         if place.is_contact && is_rested && self.rank(contacts, now) < READERS {
-            return Turn::Watch;
+            return ReadAction::Watch;
         }
         let before = u32::try_from(place.before).unwrap_or(u32::MAX);
         let delay = PLACE_DELAY.saturating_mul(before).min(PLACE_DELAY_MAX);
@@ -129,7 +129,7 @@
             last_seen_at = last_seen_at.max(self.failure_seen_at.unwrap_or(last_seen_at));
         }
         let due = last_seen_at + SILENCE_MAX + delay;
-        if now >= due { Turn::Read } else { Turn::Rest(now.until(due)) }
+        if now >= due { ReadAction::Read } else { ReadAction::Rest(now.until(due)) }
     }
 
     fn rank(&self, alive: &[Contender<'_>], now: Timestamp) -> usize {
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -11,7 +11,7 @@
 use thymeshift_fleet::HallPlace;
 use thymeshift_fleet::PassingOn;
 use thymeshift_fleet::Readers;
-use thymeshift_fleet::Turn;
+use thymeshift_fleet::ReadAction;
 use thymeshift_fleet::ranked;
 use thymeshift_fleet::relay_place;
 use thymeshift_types::Capacity;
@@ -120,9 +120,9 @@
             let others: Vec<VmName> = others.copied().map(vm).collect();
             let contacts: Vec<Contender<'_>> = others.iter().map(contender).collect();
             let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
-                Turn::Watch => HOLD_MS,
-                Turn::Read => 4,
-                Turn::Rest(rest) => {
+                ReadAction::Watch => HOLD_MS,
+                ReadAction::Read => 4,
+                ReadAction::Rest(rest) => {
                     let rest_ms = (rest.as_millis() as u64).clamp(STEP_MS, 250);
                     processes[index].next_look = now_ms + rest_ms;
                     continue;
@@ -298,7 +298,7 @@
     let mut now = at(0);
     for _ in 0..6 {
         readers.failed(18, 0.5, now);
-        let Turn::Rest(rest) = readers.turn(&[], FIRST, now) else {
+        let ReadAction::Rest(rest) = readers.turn(&[], FIRST, now) else {
             panic!("no pause after a failure");
         };
         rests.push(rest);
@@ -307,7 +307,7 @@
     assert!(rests.is_sorted(), "{rests:?}");
     assert!(rests[5] <= Duration::from_millis(2_500), "{rests:?}");
     readers.succeeded(now);
-    assert_eq!(readers.turn(&[], FIRST, now), Turn::Watch);
+    assert_eq!(readers.turn(&[], FIRST, now), ReadAction::Watch);
 }
 
 #[test]
