--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -53,7 +53,7 @@
             turn(&shared.fleet.lock(), now)
         };
         let wait = match turn {
-            ReadAction::Watch => WATCH_WAIT,
+            ReadAction::LongPoll => WATCH_WAIT,
             ReadAction::Read => Duration::ZERO,
             ReadAction::Rest(rest) => {
                 sleep(rest.min(REST_MAX)).await;
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadAction {
     /// Read, and let the source hold the call until something changes.
-    Watch,
+    LongPoll,
     /// Read at once, without waiting for a change.
     Read,
     /// Look again after this time.
@@ -118,7 +118,7 @@
         let is_young = !contacts.is_empty() && now.since(self.started_at) < YOUNG;
         let is_rested = self.failures == 0 && !is_young;
         if place.is_contact && is_rested && self.rank(contacts, now) < READERS {
-            return ReadAction::Watch;
+            return ReadAction::LongPoll;
         }
         let before = u32::try_from(place.before).unwrap_or(u32::MAX);
         let delay = PLACE_DELAY.saturating_mul(before).min(PLACE_DELAY_MAX);
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -120,7 +120,7 @@
             let others: Vec<VmName> = others.copied().map(vm).collect();
             let contacts: Vec<Contender<'_>> = others.iter().map(contender).collect();
             let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
-                ReadAction::Watch => HOLD_MS,
+                ReadAction::LongPoll => HOLD_MS,
                 ReadAction::Read => 4,
                 ReadAction::Rest(rest) => {
                     let rest_ms = (rest.as_millis() as u64).clamp(STEP_MS, 250);
@@ -307,7 +307,7 @@
     assert!(rests.is_sorted(), "{rests:?}");
     assert!(rests[5] <= Duration::from_millis(2_500), "{rests:?}");
     readers.succeeded(now);
-    assert_eq!(readers.turn(&[], FIRST, now), ReadAction::Watch);
+    assert_eq!(readers.turn(&[], FIRST, now), ReadAction::LongPoll);
 }
 
 #[test]
