--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -54,7 +54,7 @@
         };
         let wait = match turn {
             ReadAction::LongPoll => WATCH_WAIT,
-            ReadAction::Read => Duration::ZERO,
+            ReadAction::Poll => Duration::ZERO,
             ReadAction::Rest(rest) => {
                 sleep(rest.min(REST_MAX)).await;
                 continue;
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -63,7 +63,7 @@
     /// Read, and let the source hold the call until something changes.
     LongPoll,
     /// Read at once, without waiting for a change.
-    Read,
+    Poll,
     /// Look again after this time.
     Rest(Duration),
 }
@@ -129,7 +129,7 @@
             last_seen_at = last_seen_at.max(self.failure_seen_at.unwrap_or(last_seen_at));
         }
         let due = last_seen_at + SILENCE_MAX + delay;
-        if now >= due { ReadAction::Read } else { ReadAction::Rest(now.until(due)) }
+        if now >= due { ReadAction::Poll } else { ReadAction::Rest(now.until(due)) }
     }
 
     fn rank(&self, alive: &[Contender<'_>], now: Timestamp) -> usize {
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -121,7 +121,7 @@
             let contacts: Vec<Contender<'_>> = others.iter().map(contender).collect();
             let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
                 ReadAction::LongPoll => HOLD_MS,
-                ReadAction::Read => 4,
+                ReadAction::Poll => 4,
                 ReadAction::Rest(rest) => {
                     let rest_ms = (rest.as_millis() as u64).clamp(STEP_MS, 250);
                     processes[index].next_look = now_ms + rest_ms;
