--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -55,7 +55,7 @@
         let wait = match turn {
             ReadAction::LongPoll => WATCH_WAIT,
             ReadAction::Poll => Duration::ZERO,
-            ReadAction::Rest(rest) => {
+            ReadAction::Wait(rest) => {
                 sleep(rest.min(REST_MAX)).await;
                 continue;
             }
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -65,7 +65,7 @@
     /// Read at once, without waiting for a change.
     Poll,
     /// Look again after this time.
-    Rest(Duration),
+    Wait(Duration),
 }
 
 /// A process's place among those of its data hall.
@@ -113,7 +113,7 @@
     /// is this process's own.
     pub fn turn(&self, contacts: &[Contender<'_>], place: HallPlace, now: Timestamp) -> ReadAction {
         if now < self.not_before {
-            return ReadAction::Rest(now.until(self.not_before));
+            return ReadAction::Wait(now.until(self.not_before));
         }
         let is_young = !contacts.is_empty() && now.since(self.started_at) < YOUNG;
         let is_rested = self.failures == 0 && !is_young;
@@ -129,7 +129,7 @@
             last_seen_at = last_seen_at.max(self.failure_seen_at.unwrap_or(last_seen_at));
         }
         let due = last_seen_at + SILENCE_MAX + delay;
-        if now >= due { ReadAction::Poll } else { ReadAction::Rest(now.until(due)) }
+        if now >= due { ReadAction::Poll } else { ReadAction::Wait(now.until(due)) }
     }
 
     fn rank(&self, alive: &[Contender<'_>], now: Timestamp) -> usize {
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -122,7 +122,7 @@
             let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
                 ReadAction::LongPoll => HOLD_MS,
                 ReadAction::Poll => 4,
-                ReadAction::Rest(rest) => {
+                ReadAction::Wait(rest) => {
                     let rest_ms = (rest.as_millis() as u64).clamp(STEP_MS, 250);
                     processes[index].next_look = now_ms + rest_ms;
                     continue;
@@ -298,7 +298,7 @@
     let mut now = at(0);
     for _ in 0..6 {
         readers.failed(18, 0.5, now);
-        let ReadAction::Rest(rest) = readers.turn(&[], FIRST, now) else {
+        let ReadAction::Wait(rest) = readers.turn(&[], FIRST, now) else {
             panic!("no pause after a failure");
         };
         rests.push(rest);
