--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -10,7 +10,7 @@
 use spdlog::info;
 use spdlog::warn;
 use thymeshift_fleet::Contender;
-use thymeshift_fleet::HallPlace;
+use thymeshift_fleet::HallRank;
 use thymeshift_fleet::ReadAction;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
@@ -74,7 +74,7 @@
     let contacts = fleet.members.contacts(now);
     let others = contacts.iter().filter(|member| member.vm != *own);
     let others: Vec<Contender<'_>> = others.map(|member| member.contender()).collect();
-    let place = HallPlace {
+    let place = HallRank {
         before: fleet.members.place_in_hall(now),
         is_contact: fleet.members.is_contact(now),
     };
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -74,7 +74,7 @@
 pub use quarantine::Verdict;
 pub use rank::Contender;
 pub use rank::ranked;
-pub use readers::HallPlace;
+pub use readers::HallRank;
 pub use readers::Readers;
 pub use readers::ReadAction;
 pub use relay::FAN_OUT;
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -70,7 +70,7 @@
 
 /// A process's place among those of its data hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HallPlace {
+pub struct HallRank {
     /// How many come before it.
     pub before: usize,
     /// Whether it is a contact, and so may read all the time.
@@ -111,7 +111,7 @@
 
     /// What to do now; `contacts` are the other processes that may read all the time, `place`
     /// is this process's own.
-    pub fn turn(&self, contacts: &[Contender<'_>], place: HallPlace, now: Timestamp) -> ReadAction {
+    pub fn turn(&self, contacts: &[Contender<'_>], place: HallRank, now: Timestamp) -> ReadAction {
         if now < self.not_before {
             return ReadAction::Wait(now.until(self.not_before));
         }
