--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -75,7 +75,7 @@
     let others = contacts.iter().filter(|member| member.vm != *own);
     let others: Vec<Contender<'_>> = others.map(|member| member.contender()).collect();
     let place = HallRank {
-        before: fleet.members.place_in_hall(now),
+        rank: fleet.members.place_in_hall(now),
         is_contact: fleet.members.is_contact(now),
     };
     fleet.readers.turn(&others, place, now)
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HallRank {
     /// How many come before it.
-    pub before: usize,
+    pub rank: usize,
     /// Whether it is a contact, and so may read all the time.
     pub is_contact: bool,
 }
@@ -120,7 +120,7 @@
         if place.is_contact && is_rested && self.rank(contacts, now) < READERS {
             return ReadAction::LongPoll;
         }
-        let before = u32::try_from(place.before).unwrap_or(u32::MAX);
+        let before = u32::try_from(place.rank).unwrap_or(u32::MAX);
         let delay = PLACE_DELAY.saturating_mul(before).min(PLACE_DELAY_MAX);
         let mut last_seen_at = self.confirmed_at.unwrap_or(self.started_at);
         if !place.is_contact && self.passed_over.len() >= FAILED_OTHERS_MIN {
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -40,7 +40,7 @@
 
 /// Contacts of a data hall.
 const CONTACTS: usize = 8;
-const FIRST: HallRank = HallRank { before: 0, is_contact: true };
+const FIRST: HallRank = HallRank { rank: 0, is_contact: true };
 
 struct Process {
     readers: Readers,
@@ -115,7 +115,7 @@
             let alive: Vec<usize> =
                 order.iter().copied().filter(|other| is_up(*other, now_ms)).collect();
             let before = alive.iter().position(|other| *other == index).unwrap_or(0);
-            let place = HallRank { before, is_contact: before < CONTACTS };
+            let place = HallRank { rank: before, is_contact: before < CONTACTS };
             let others = alive.iter().take(CONTACTS).filter(|other| **other != index);
             let others: Vec<VmName> = others.copied().map(vm).collect();
             let contacts: Vec<Contender<'_>> = others.iter().map(contender).collect();
