--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -10,7 +10,7 @@
 use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::Member;
-use thymeshift_fleet::RelayPlace;
+use thymeshift_fleet::RelayPosition;
 use thymeshift_fleet::relay_place;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
@@ -108,7 +108,7 @@
 }
 
 /// This process's place among those of its data hall.
-fn place(fleet: &Fleet) -> RelayPlace {
+fn place(fleet: &Fleet) -> RelayPosition {
     let own = fleet.members.own();
     let near = fleet.members.serving_in(&own.data_hall, BootClock.now());
     relay_place(&own.vm, near.into_iter().map(Member::contender))
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -79,7 +79,7 @@
 pub use readers::ReadAction;
 pub use relay::FAN_OUT;
 pub use relay::RELAY_PATIENCE;
-pub use relay::RelayPlace;
+pub use relay::RelayPosition;
 pub use relay::relay_place;
 pub use watch::WatchElection;
 pub use watch::Watcher;
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -26,14 +26,14 @@
 
 /// A process's place among those of its data hall.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RelayPlace {
+pub struct RelayPosition {
     /// How many of them come before it; the first fetches from the reader itself.
     pub before: usize,
     /// The processes to tell of something new.
     pub below: Vec<VmName>,
 }
 
-impl RelayPlace {
+impl RelayPosition {
     /// How long to wait for the process above this one, before a document is fetched from
     /// whoever told of it. The first of a hall follow each other soon: until one of them has a
     /// document nobody else in the hall has it.
@@ -44,10 +44,10 @@
 }
 
 /// The place of `own`, which is among `hall`, the processes of its data hall.
-pub fn relay_place<'a>(own: &VmName, hall: impl Iterator<Item = Contender<'a>>) -> RelayPlace {
+pub fn relay_place<'a>(own: &VmName, hall: impl Iterator<Item = Contender<'a>>) -> RelayPosition {
     let order = ranked(CONTACT_TASK, hall);
     let place = order.iter().position(|vm| *vm == own).unwrap_or(0);
     let first_below = place * FAN_OUT + 1;
     let below = order.iter().skip(first_below).take(FAN_OUT);
-    RelayPlace { before: place, below: below.map(|vm| (*vm).clone()).collect() }
+    RelayPosition { before: place, below: below.map(|vm| (*vm).clone()).collect() }
 }
