--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -1,6 +1,6 @@
 //! Passing new documents on within the data hall.
 //!
-//! See [`thymeshift_fleet::relay_place`] for who fetches from whom.
+//! See [`thymeshift_fleet::relay_position`] for who fetches from whom.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use thymeshift_fleet::Head;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::RelayPosition;
-use thymeshift_fleet::relay_place;
+use thymeshift_fleet::relay_position;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
 use thymeshift_types::VmName;
@@ -111,5 +111,5 @@
 fn place(fleet: &Fleet) -> RelayPosition {
     let own = fleet.members.own();
     let near = fleet.members.serving_in(&own.data_hall, BootClock.now());
-    relay_place(&own.vm, near.into_iter().map(Member::contender))
+    relay_position(&own.vm, near.into_iter().map(Member::contender))
 }
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //! * [`Members`]: who else is there, from direct evidence and passed-on heartbeats; all of the
 //!   own data hall, a few of every other.
 //! * [`Readers`]: who reads the source, a few at a time, by rank.
-//! * [`relay_place`]: how a document reaches all processes of a data hall.
+//! * [`relay_position`]: how a document reaches all processes of a data hall.
 //! * [`Quarantine`]: requests that crash the targets which run them.
 //! * [`Orders`]: operators' temporary orders, the same everywhere in any order of arrival.
 //!
@@ -80,6 +80,6 @@
 pub use relay::FAN_OUT;
 pub use relay::RELAY_PATIENCE;
 pub use relay::RelayPosition;
-pub use relay::relay_place;
+pub use relay::relay_position;
 pub use watch::WatchElection;
 pub use watch::Watcher;
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -13,7 +13,7 @@
 use thymeshift_fleet::Readers;
 use thymeshift_fleet::ReadAction;
 use thymeshift_fleet::ranked;
-use thymeshift_fleet::relay_place;
+use thymeshift_fleet::relay_position;
 use thymeshift_types::Capacity;
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
@@ -63,7 +63,7 @@
 /// All processes in the order in which they are contacts of the only data hall.
 fn contact_order(count: usize) -> Vec<usize> {
     let members: Vec<VmName> = (0..count).map(vm).collect();
-    let before = |index: &usize| relay_place(&vm(*index), members.iter().map(contender)).before;
+    let before = |index: &usize| relay_position(&vm(*index), members.iter().map(contender)).before;
     let mut order: Vec<usize> = (0..count).collect();
     order.sort_by_cached_key(before);
     order
@@ -238,7 +238,7 @@
 fn a_document_reaches_everybody_in_a_hall_over_a_tree() {
     for count in [1, 2, 5, 36, 200] {
         let members: Vec<VmName> = (0..count).map(vm).collect();
-        let place = |own: &VmName| relay_place(own, members.iter().map(contender));
+        let place = |own: &VmName| relay_position(own, members.iter().map(contender));
         let mut reached: Vec<VmName> =
             members.iter().filter(|vm| place(vm).before == 0).cloned().collect();
         assert_eq!(reached.len(), 1, "one fetches from the reader");
@@ -337,7 +337,7 @@
 #[test]
 fn the_first_of_a_hall_do_not_wait_long_for_each_other() {
     let members: Vec<VmName> = (0..80).map(vm).collect();
-    let place = |own: &VmName| relay_place(own, members.iter().map(contender));
+    let place = |own: &VmName| relay_position(own, members.iter().map(contender));
     let mut waits: Vec<(usize, Duration)> =
         members.iter().map(|vm| (place(vm).before, place(vm).patience())).collect();
     waits.sort();
