--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayPosition {
     /// How many of them come before it; the first fetches from the reader itself.
-    pub before: usize,
+    pub rank: usize,
     /// The processes to tell of something new.
     pub below: Vec<VmName>,
 }
@@ -38,7 +38,7 @@
     /// whoever told of it. The first of a hall follow each other soon: until one of them has a
     /// document nobody else in the hall has it.
     pub fn patience(&self) -> Duration {
-        let before = u32::try_from(self.before).unwrap_or(u32::MAX);
+        let before = u32::try_from(self.rank).unwrap_or(u32::MAX);
         if before <= FAN_OUT as u32 { STEP_PATIENCE * before } else { RELAY_PATIENCE }
     }
 }
@@ -49,5 +49,5 @@
     let place = order.iter().position(|vm| *vm == own).unwrap_or(0);
     let first_below = place * FAN_OUT + 1;
     let below = order.iter().skip(first_below).take(FAN_OUT);
-    RelayPosition { before: place, below: below.map(|vm| (*vm).clone()).collect() }
+    RelayPosition { rank: place, below: below.map(|vm| (*vm).clone()).collect() }
 }
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -63,7 +63,7 @@
 /// All processes in the order in which they are contacts of the only data hall.
 fn contact_order(count: usize) -> Vec<usize> {
     let members: Vec<VmName> = (0..count).map(vm).collect();
-    let before = |index: &usize| relay_position(&vm(*index), members.iter().map(contender)).before;
+    let before = |index: &usize| relay_position(&vm(*index), members.iter().map(contender)).rank;
     let mut order: Vec<usize> = (0..count).collect();
     order.sort_by_cached_key(before);
     order
@@ -240,7 +240,7 @@
         let members: Vec<VmName> = (0..count).map(vm).collect();
         let place = |own: &VmName| relay_position(own, members.iter().map(contender));
         let mut reached: Vec<VmName> =
-            members.iter().filter(|vm| place(vm).before == 0).cloned().collect();
+            members.iter().filter(|vm| place(vm).rank == 0).cloned().collect();
         assert_eq!(reached.len(), 1, "one fetches from the reader");
         let mut next = 0;
         while let Some(vm) = reached.get(next).cloned() {
@@ -339,7 +339,7 @@
     let members: Vec<VmName> = (0..80).map(vm).collect();
     let place = |own: &VmName| relay_position(own, members.iter().map(contender));
     let mut waits: Vec<(usize, Duration)> =
-        members.iter().map(|vm| (place(vm).before, place(vm).patience())).collect();
+        members.iter().map(|vm| (place(vm).rank, place(vm).patience())).collect();
     waits.sort();
     assert_eq!(waits[0].1, Duration::ZERO, "the first does not wait");
     assert!(waits.windows(2).all(|pair| pair[0].1 <= pair[1].1), "{waits:?}");
