--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -31,7 +31,7 @@
 pub(crate) fn tell_below(shared: &Shared) {
     let (heads, addresses) = {
         let fleet = shared.fleet.lock();
-        let below = place(&fleet).below;
+        let below = place(&fleet).children;
         let address = |vm: &VmName| fleet.members.find(vm)?.datagram_address;
         let addresses: Vec<SocketAddr> = below.iter().filter_map(address).collect();
         (heads(&fleet), addresses)
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -30,7 +30,7 @@
     /// How many of them come before it; the first fetches from the reader itself.
     pub rank: usize,
     /// The processes to tell of something new.
-    pub below: Vec<VmName>,
+    pub children: Vec<VmName>,
 }
 
 impl RelayPosition {
@@ -48,6 +48,6 @@
     let order = ranked(CONTACT_TASK, hall);
     let place = order.iter().position(|vm| *vm == own).unwrap_or(0);
     let first_below = place * FAN_OUT + 1;
-    let below = order.iter().skip(first_below).take(FAN_OUT);
-    RelayPosition { rank: place, below: below.map(|vm| (*vm).clone()).collect() }
+    let children = order.iter().skip(first_below).take(FAN_OUT);
+    RelayPosition { rank: place, children: children.map(|vm| (*vm).clone()).collect() }
 }
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -244,9 +244,9 @@
         assert_eq!(reached.len(), 1, "one fetches from the reader");
         let mut next = 0;
         while let Some(vm) = reached.get(next).cloned() {
-            let below = place(&vm).below;
-            assert!(below.len() <= FAN_OUT, "{vm} tells {}", below.len());
-            reached.extend(below);
+            let children = place(&vm).children;
+            assert!(children.len() <= FAN_OUT, "{vm} tells {}", children.len());
+            reached.extend(children);
             next += 1;
         }
         reached.sort();
