--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -64,7 +64,7 @@
     if !has_newer(shared, theirs) {
         return;
     }
-    let patience = place(&shared.fleet.lock()).patience();
+    let patience = place(&shared.fleet.lock()).wait_limit();
     if patience.is_zero() {
         fetch(shared, heartbeat.peer_address);
         return;
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -37,7 +37,7 @@
     /// How long to wait for the process above this one, before a document is fetched from
     /// whoever told of it. The first of a hall follow each other soon: until one of them has a
     /// document nobody else in the hall has it.
-    pub fn patience(&self) -> Duration {
+    pub fn wait_limit(&self) -> Duration {
         let before = u32::try_from(self.rank).unwrap_or(u32::MAX);
         if before <= FAN_OUT as u32 { STEP_PATIENCE * before } else { RELAY_PATIENCE }
     }
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -339,7 +339,7 @@
     let members: Vec<VmName> = (0..80).map(vm).collect();
     let place = |own: &VmName| relay_position(own, members.iter().map(contender));
     let mut waits: Vec<(usize, Duration)> =
-        members.iter().map(|vm| (place(vm).rank, place(vm).patience())).collect();
+        members.iter().map(|vm| (place(vm).rank, place(vm).wait_limit())).collect();
     waits.sort();
     assert_eq!(waits[0].1, Duration::ZERO, "the first does not wait");
     assert!(waits.windows(2).all(|pair| pair[0].1 <= pair[1].1), "{waits:?}");
