--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -78,7 +78,7 @@
 pub use readers::Readers;
 pub use readers::ReadAction;
 pub use relay::FAN_OUT;
-pub use relay::RELAY_PATIENCE;
+pub use relay::RELAY_WAIT_LIMIT;
 pub use relay::RelayPosition;
 pub use relay::relay_position;
 pub use watch::WatchElection;
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -7,7 +7,7 @@
 //!
 //! Nothing has to be agreed on. Processes that rank differently make a few more transfers; a
 //! process whose place above it is dead or cut off fetches from the reader after
-//! [`RELAY_PATIENCE`].
+//! [`RELAY_WAIT_LIMIT`].
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 /// Processes that one process tells.
 pub const FAN_OUT: usize = 4;
 /// How long a process waits for the one above it, after it heard that there is something new.
-pub const RELAY_PATIENCE: Duration = Duration::from_millis(400);
+pub const RELAY_WAIT_LIMIT: Duration = Duration::from_millis(400);
 /// The same for the first of a hall, for each that comes before.
 const STEP_PATIENCE: Duration = Duration::from_millis(80);
 
@@ -39,7 +39,7 @@
     /// document nobody else in the hall has it.
     pub fn wait_limit(&self) -> Duration {
         let before = u32::try_from(self.rank).unwrap_or(u32::MAX);
-        if before <= FAN_OUT as u32 { STEP_PATIENCE * before } else { RELAY_PATIENCE }
+        if before <= FAN_OUT as u32 { STEP_PATIENCE * before } else { RELAY_WAIT_LIMIT }
     }
 }
 
