--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -22,7 +22,7 @@
 use thymeshift_fleet::ListPace;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::Reach;
+use thymeshift_fleet::VisibleMembers;
 use thymeshift_fleet::ranked;
 use thymeshift_supervisor::Statuses;
 use thymeshift_telemetry::LineBudget;
@@ -287,7 +287,7 @@
     }
 }
 
-fn rank_in(fleet: &Fleet, task: &str, reach: &Reach<'_>) -> AllocatorRank {
+fn rank_in(fleet: &Fleet, task: &str, reach: &VisibleMembers<'_>) -> AllocatorRank {
     let own = &fleet.members.own().vm;
     let order = ranked(task, reach.heard.iter().map(|member| member.contender()));
     let before = order.iter().take_while(|vm| **vm != own).count();
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -53,7 +53,7 @@
 pub use members::ReceivedSummary;
 pub use members::GossipScope;
 pub use members::Members;
-pub use members::Reach;
+pub use members::VisibleMembers;
 pub use members::GossipMember;
 pub use orders::Order;
 pub use orders::OrderChange;
--- a/crates/thymeshift_fleet/src/members/reach.rs
+++ b/crates/thymeshift_fleet/src/members/reach.rs
@@ -10,7 +10,7 @@
 
 /// The processes that may be given a task, as far as their heartbeats tell.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reach<'a> {
+pub struct VisibleMembers<'a> {
     /// Those whose heartbeats arrive, directly or passed on by others, and this one if it may be
     /// given the task. Whether they answered this process the last time does not matter.
     pub heard: Vec<&'a Member>,
@@ -21,15 +21,15 @@
 
 impl Members {
     /// The contacts of all data halls.
-    pub fn reach(&self, now: Timestamp) -> Reach<'_> {
+    pub fn reach(&self, now: Timestamp) -> VisibleMembers<'_> {
         let patience = self.patience();
         let is_serving = |known: &Known| known.member.phase == Phase::Serving;
         let heard = self.contacts_of(|known| is_serving(known) && known.is_heard(patience, now));
-        Reach { heard, known: self.contacts_of(is_serving).len() }
+        VisibleMembers { heard, known: self.contacts_of(is_serving).len() }
     }
 
     /// The processes of one data hall.
-    pub fn reach_in(&self, hall: &DataHallName, now: Timestamp) -> Reach<'_> {
+    pub fn reach_in(&self, hall: &DataHallName, now: Timestamp) -> VisibleMembers<'_> {
         let patience = self.patience();
         let own = (self.own.data_hall == *hall).then_some(&self.own);
         let serving = self.known.values().filter(|known| {
@@ -37,6 +37,6 @@
         });
         let known = serving.clone().count() + usize::from(own.is_some());
         let heard = serving.filter(|known| known.is_heard(patience, now));
-        Reach { heard: heard.map(|known| &known.member).chain(own).collect(), known }
+        VisibleMembers { heard: heard.map(|known| &known.member).chain(own).collect(), known }
     }
 }
