--- a/crates/thymeshift_fleet/src/members/reach.rs
+++ b/crates/thymeshift_fleet/src/members/reach.rs
@@ -13,7 +13,7 @@
 pub struct VisibleMembers<'a> {
     /// Those whose heartbeats arrive, directly or passed on by others, and this one if it may be
     /// given the task. Whether they answered this process the last time does not matter.
-    pub heard: Vec<&'a Member>,
+    pub visible: Vec<&'a Member>,
     /// How many there are with those that fell silent and did not say that they stop: they may
     /// still serve others, behind a cut.
     pub known: usize,
@@ -24,8 +24,8 @@
     pub fn reach(&self, now: Timestamp) -> VisibleMembers<'_> {
         let patience = self.patience();
         let is_serving = |known: &Known| known.member.phase == Phase::Serving;
-        let heard = self.contacts_of(|known| is_serving(known) && known.is_heard(patience, now));
-        VisibleMembers { heard, known: self.contacts_of(is_serving).len() }
+        let visible = self.contacts_of(|known| is_serving(known) && known.is_heard(patience, now));
+        VisibleMembers { visible, known: self.contacts_of(is_serving).len() }
     }
 
     /// The processes of one data hall.
@@ -36,7 +36,7 @@
             known.member.phase == Phase::Serving && known.member.data_hall == *hall
         });
         let known = serving.clone().count() + usize::from(own.is_some());
-        let heard = serving.filter(|known| known.is_heard(patience, now));
-        VisibleMembers { heard: heard.map(|known| &known.member).chain(own).collect(), known }
+        let visible = serving.filter(|known| known.is_heard(patience, now));
+        VisibleMembers { visible: visible.map(|known| &known.member).chain(own).collect(), known }
     }
 }
