--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -232,7 +232,7 @@
         };
         // The processes of a hall that none is heard of may still allocate its group there.
         let is_hall_silent =
-            of_hall.as_ref().is_some_and(|reach| reach.visible.is_empty() && reach.known > 0);
+            of_hall.as_ref().is_some_and(|reach| reach.visible.is_empty() && reach.known_count > 0);
         let reach = of_hall.filter(|reach| !reach.visible.is_empty());
         let reach = reach.unwrap_or_else(|| fleet.members.reach(now));
         let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
@@ -291,7 +291,7 @@
     let own = &fleet.members.own().vm;
     let order = ranked(task, reach.visible.iter().map(|member| member.contender()));
     let before = order.iter().take_while(|vm| **vm != own).count();
-    AllocatorRank { before, heard: reach.visible.len(), known: reach.known }
+    AllocatorRank { before, heard: reach.visible.len(), known: reach.known_count }
 }
 
 /// What processes are ranked for as allocators of a group.
--- a/crates/thymeshift_fleet/src/members/reach.rs
+++ b/crates/thymeshift_fleet/src/members/reach.rs
@@ -16,7 +16,7 @@
     pub visible: Vec<&'a Member>,
     /// How many there are with those that fell silent and did not say that they stop: they may
     /// still serve others, behind a cut.
-    pub known: usize,
+    pub known_count: usize,
 }
 
 impl Members {
@@ -25,7 +25,7 @@
         let patience = self.patience();
         let is_serving = |known: &Known| known.member.phase == Phase::Serving;
         let visible = self.contacts_of(|known| is_serving(known) && known.is_heard(patience, now));
-        VisibleMembers { visible, known: self.contacts_of(is_serving).len() }
+        VisibleMembers { visible, known_count: self.contacts_of(is_serving).len() }
     }
 
     /// The processes of one data hall.
@@ -35,8 +35,8 @@
         let serving = self.known.values().filter(|known| {
             known.member.phase == Phase::Serving && known.member.data_hall == *hall
         });
-        let known = serving.clone().count() + usize::from(own.is_some());
+        let known_count = serving.clone().count() + usize::from(own.is_some());
         let visible = serving.filter(|known| known.is_heard(patience, now));
-        VisibleMembers { visible: visible.map(|known| &known.member).chain(own).collect(), known }
+        VisibleMembers { visible: visible.map(|known| &known.member).chain(own).collect(), known_count }
     }
 }
