--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -234,7 +234,7 @@
         let is_hall_silent =
             of_hall.as_ref().is_some_and(|reach| reach.visible.is_empty() && reach.known_count > 0);
         let reach = of_hall.filter(|reach| !reach.visible.is_empty());
-        let reach = reach.unwrap_or_else(|| fleet.members.reach(now));
+        let reach = reach.unwrap_or_else(|| fleet.members.visible_contacts(now));
         let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
         AllocatorRank { before: rank.before + usize::from(is_hall_silent), ..rank }
     }
@@ -242,7 +242,7 @@
     /// Where this process stands among those that do a task for the whole fleet.
     pub(crate) fn standing_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let reach = fleet.members.reach(now);
+        let reach = fleet.members.visible_contacts(now);
         rank_in(&fleet, task, &reach)
     }
 
--- a/crates/thymeshift_fleet/src/members/reach.rs
+++ b/crates/thymeshift_fleet/src/members/reach.rs
@@ -21,7 +21,7 @@
 
 impl Members {
     /// The contacts of all data halls.
-    pub fn reach(&self, now: Timestamp) -> VisibleMembers<'_> {
+    pub fn visible_contacts(&self, now: Timestamp) -> VisibleMembers<'_> {
         let patience = self.patience();
         let is_serving = |known: &Known| known.member.phase == Phase::Serving;
         let visible = self.contacts_of(|known| is_serving(known) && known.is_heard(patience, now));
