--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -228,7 +228,7 @@
         let fleet = self.fleet.lock();
         let of_hall = match group {
             Group::All => None,
-            Group::Hall(hall) => Some(fleet.members.reach_in(hall, now)),
+            Group::Hall(hall) => Some(fleet.members.visible_in(hall, now)),
         };
         // The processes of a hall that none is heard of may still allocate its group there.
         let is_hall_silent =
--- a/crates/thymeshift_fleet/src/members/reach.rs
+++ b/crates/thymeshift_fleet/src/members/reach.rs
@@ -29,7 +29,7 @@
     }
 
     /// The processes of one data hall.
-    pub fn reach_in(&self, hall: &DataHallName, now: Timestamp) -> VisibleMembers<'_> {
+    pub fn visible_in(&self, hall: &DataHallName, now: Timestamp) -> VisibleMembers<'_> {
         let patience = self.patience();
         let own = (self.own.data_hall == *hall).then_some(&self.own);
         let serving = self.known.values().filter(|known| {
