--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -20,7 +20,7 @@
 
 mod contacts;
 mod known;
-mod reach;
+mod visibility;
 mod telling;
 
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 use crate::members::known::Known;
 use crate::members::known::MEMBERS_PER_PATIENCE;
 
-pub use reach::VisibleMembers;
+pub use visibility::VisibleMembers;
 pub use telling::ReceivedSummary;
 pub use telling::GossipScope;
 pub use telling::GossipMember;
