--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -21,7 +21,7 @@
 mod contacts;
 mod known;
 mod visibility;
-mod telling;
+mod gossip;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,9 +43,9 @@
 use crate::members::known::MEMBERS_PER_PATIENCE;
 
 pub use visibility::VisibleMembers;
-pub use telling::ReceivedSummary;
-pub use telling::GossipScope;
-pub use telling::GossipMember;
+pub use gossip::ReceivedSummary;
+pub use gossip::GossipScope;
+pub use gossip::GossipMember;
 
 /// Members kept at most.
 const MEMBERS_MAX: usize = 4_096;
