--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -22,7 +22,7 @@
 use thymeshift_fleet::OrderChange;
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Orders;
-use thymeshift_fleet::PassingOn;
+use thymeshift_fleet::ForwardingFilter;
 use thymeshift_fleet::Phase;
 use thymeshift_fleet::Published;
 use thymeshift_fleet::Quarantine;
@@ -56,7 +56,7 @@
     discovery_reader: DiscoveryReader,
     pub(crate) readers: Readers,
     /// News of readers that was passed on within the data hall.
-    pub(crate) passing_on: PassingOn<Heads>,
+    pub(crate) passing_on: ForwardingFilter<Heads>,
     /// The configuration in force, without discovered targets.
     pub(crate) base: Option<Configuration>,
     /// The discovered targets in force: those listed, and those kept for a moment.
@@ -109,7 +109,7 @@
             targets: Adoption::default(),
             discovery_reader: DiscoveryReader::default(),
             readers: Readers::new(settings.vm.clone(), settings.processor_share, now),
-            passing_on: PassingOn::default(),
+            passing_on: ForwardingFilter::default(),
             base: None,
             discovery: None,
             listed: None,
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -62,7 +62,7 @@
 pub use orders::OrderSubject;
 pub use orders::Orders;
 pub use pace::ListPace;
-pub use passing_on::PassingOn;
+pub use passing_on::ForwardingFilter;
 pub use published::Head;
 pub use published::Published;
 pub use quarantine::Crash;
--- a/crates/thymeshift_fleet/src/passing_on.rs
+++ b/crates/thymeshift_fleet/src/passing_on.rs
@@ -14,18 +14,18 @@
 
 /// What was passed on last; `H` is what a reader tells of its documents.
 #[derive(Debug, Clone)]
-pub struct PassingOn<H> {
+pub struct ForwardingFilter<H> {
     answered: Option<(H, Timestamp)>,
     failed_at: Option<Timestamp>,
 }
 
-impl<H> Default for PassingOn<H> {
+impl<H> Default for ForwardingFilter<H> {
     fn default() -> Self {
         Self { answered: None, failed_at: None }
     }
 }
 
-impl<H: Copy + PartialEq> PassingOn<H> {
+impl<H: Copy + PartialEq> ForwardingFilter<H> {
     /// Whether news that arrives now is to be passed on; if so, it counts as passed on.
     pub fn is_due(&mut self, is_answered: bool, heads: H, now: Timestamp) -> bool {
         let is_old = |at: Timestamp| now.since(at) >= REPEATED_AFTER;
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -9,7 +9,7 @@
 use thymeshift_fleet::Contender;
 use thymeshift_fleet::FAN_OUT;
 use thymeshift_fleet::HallRank;
-use thymeshift_fleet::PassingOn;
+use thymeshift_fleet::ForwardingFilter;
 use thymeshift_fleet::Readers;
 use thymeshift_fleet::ReadAction;
 use thymeshift_fleet::ranked;
@@ -328,7 +328,7 @@
         Case { note: "again after a while", at_ms: 901, is_answered: true, heads: 2, is_due: true },
         Case { note: "a later failure", at_ms: 951, is_answered: false, heads: 2, is_due: true },
     ];
-    let mut passing_on = PassingOn::default();
+    let mut passing_on = ForwardingFilter::default();
     for Case { note, at_ms, is_answered, heads, is_due } in cases {
         assert_eq!(passing_on.is_due(is_answered, heads, at(at_ms)), is_due, "{note}");
     }
