--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use spdlog::info;
 use spdlog::warn;
-use thymeshift_fleet::Contender;
+use thymeshift_fleet::Candidate;
 use thymeshift_fleet::HallRank;
 use thymeshift_fleet::ReadAction;
 use thymeshift_supervisor::TaskError;
@@ -73,7 +73,7 @@
     let own = &fleet.members.own().vm;
     let contacts = fleet.members.contacts(now);
     let others = contacts.iter().filter(|member| member.vm != *own);
-    let others: Vec<Contender<'_>> = others.map(|member| member.contender()).collect();
+    let others: Vec<Candidate<'_>> = others.map(|member| member.contender()).collect();
     let place = HallRank {
         rank: fleet.members.place_in_hall(now),
         is_contact: fleet.members.is_contact(now),
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -72,7 +72,7 @@
 pub use quarantine::SuspectDump;
 pub use quarantine::SuspectReport;
 pub use quarantine::Verdict;
-pub use rank::Contender;
+pub use rank::Candidate;
 pub use rank::ranked;
 pub use readers::HallRank;
 pub use readers::Readers;
--- a/crates/thymeshift_fleet/src/member.rs
+++ b/crates/thymeshift_fleet/src/member.rs
@@ -10,7 +10,7 @@
 use thymeshift_types::Revision;
 use thymeshift_types::VmName;
 
-use crate::Contender;
+use crate::Candidate;
 
 /// Tells two starts of a process on one VM apart. Larger is later.
 #[derive(
@@ -72,8 +72,8 @@
 
 impl Member {
     /// This process as one that may be given a task.
-    pub fn contender(&self) -> Contender<'_> {
-        Contender { vm: &self.vm, capacity: self.capacity }
+    pub fn contender(&self) -> Candidate<'_> {
+        Candidate { vm: &self.vm, capacity: self.capacity }
     }
 
     /// Whether `other`, a later word of the same process, may be given other tasks.
--- a/crates/thymeshift_fleet/src/rank.rs
+++ b/crates/thymeshift_fleet/src/rank.rs
@@ -19,7 +19,7 @@
 
 /// A process that may be given a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Contender<'a> {
+pub struct Candidate<'a> {
     /// Its VM.
     pub vm: &'a VmName,
     /// Its VM's capacity.
@@ -27,7 +27,7 @@
 }
 
 /// `contenders` in the order in which they are asked to do `task`.
-pub fn ranked<'a>(task: &str, contenders: impl Iterator<Item = Contender<'a>>) -> Vec<&'a VmName> {
+pub fn ranked<'a>(task: &str, contenders: impl Iterator<Item = Candidate<'a>>) -> Vec<&'a VmName> {
     let seed = seed_of(task);
     let scored = contenders.map(|contender| (score(contender, seed), contender.vm));
     let mut scored: Vec<(f64, &VmName)> = scored.collect();
@@ -38,7 +38,7 @@
 }
 
 /// A process's place among the contacts of its data hall; the smaller, the earlier.
-pub(crate) fn contact_score(contender: Contender<'_>) -> f64 {
+pub(crate) fn contact_score(contender: Candidate<'_>) -> f64 {
     score(contender, seed_of(CONTACT_TASK))
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// The smaller, the earlier: an exponential variable whose rate is the weight.
-fn score(contender: Contender<'_>, seed: u64) -> f64 {
+fn score(contender: Candidate<'_>, seed: u64) -> f64 {
     let hash = xxh3_64_with_seed(contender.vm.as_str().as_bytes(), seed);
     let even = (hash as f64 + 0.5) / HASHES;
     -even.ln() / contender.capacity.processors().powi(CAPACITY_POWER)
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -18,7 +18,7 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 
-use crate::Contender;
+use crate::Candidate;
 use crate::ranked;
 
 /// Processes that read all the time: one may be cut off without anybody noticing at once.
@@ -111,7 +111,7 @@
 
     /// What to do now; `contacts` are the other processes that may read all the time, `place`
     /// is this process's own.
-    pub fn turn(&self, contacts: &[Contender<'_>], place: HallRank, now: Timestamp) -> ReadAction {
+    pub fn turn(&self, contacts: &[Candidate<'_>], place: HallRank, now: Timestamp) -> ReadAction {
         if now < self.not_before {
             return ReadAction::Wait(now.until(self.not_before));
         }
@@ -132,12 +132,12 @@
         if now >= due { ReadAction::Poll } else { ReadAction::Wait(now.until(due)) }
     }
 
-    fn rank(&self, alive: &[Contender<'_>], now: Timestamp) -> usize {
-        let is_eligible = |other: &Contender<'_>| {
+    fn rank(&self, alive: &[Candidate<'_>], now: Timestamp) -> usize {
+        let is_eligible = |other: &Candidate<'_>| {
             self.passed_over.get(other.vm).is_none_or(|until| *until <= now)
         };
         let others = alive.iter().copied().filter(is_eligible);
-        let own = Contender { vm: &self.own, capacity: self.capacity };
+        let own = Candidate { vm: &self.own, capacity: self.capacity };
         let order = ranked(TASK, others.chain([own]));
         order.iter().position(|vm| **vm == self.own).unwrap_or(0)
     }
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -13,7 +13,7 @@
 
 use thymeshift_types::VmName;
 
-use crate::Contender;
+use crate::Candidate;
 use crate::rank::CONTACT_TASK;
 use crate::ranked;
 
@@ -44,7 +44,7 @@
 }
 
 /// The place of `own`, which is among `hall`, the processes of its data hall.
-pub fn relay_position<'a>(own: &VmName, hall: impl Iterator<Item = Contender<'a>>) -> RelayPosition {
+pub fn relay_position<'a>(own: &VmName, hall: impl Iterator<Item = Candidate<'a>>) -> RelayPosition {
     let order = ranked(CONTACT_TASK, hall);
     let place = order.iter().position(|vm| *vm == own).unwrap_or(0);
     let first_below = place * FAN_OUT + 1;
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::Contender;
+use thymeshift_fleet::Candidate;
 use thymeshift_fleet::FAN_OUT;
 use thymeshift_fleet::HallRank;
 use thymeshift_fleet::ForwardingFilter;
@@ -34,8 +34,8 @@
     Timestamp::from_millis(1_000_000 + millis)
 }
 
-fn contender(vm: &VmName) -> Contender<'_> {
-    Contender { vm, capacity: Capacity::default() }
+fn contender(vm: &VmName) -> Candidate<'_> {
+    Candidate { vm, capacity: Capacity::default() }
 }
 
 /// Contacts of a data hall.
@@ -118,7 +118,7 @@
             let place = HallRank { rank: before, is_contact: before < CONTACTS };
             let others = alive.iter().take(CONTACTS).filter(|other| **other != index);
             let others: Vec<VmName> = others.copied().map(vm).collect();
-            let contacts: Vec<Contender<'_>> = others.iter().map(contender).collect();
+            let contacts: Vec<Candidate<'_>> = others.iter().map(contender).collect();
             let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
                 ReadAction::LongPoll => HOLD_MS,
                 ReadAction::Poll => 4,
@@ -225,7 +225,7 @@
         .map(|number| (vm(number), if number < 2 { share(0.5) } else { share(0.1) }))
         .collect();
     let first = |task: usize| {
-        let contenders = members.iter().map(|(vm, capacity)| Contender { vm, capacity: *capacity });
+        let contenders = members.iter().map(|(vm, capacity)| Candidate { vm, capacity: *capacity });
         ranked(&format!("service-{task}"), contenders)[0].clone()
     };
     let large = (0..200).filter(|task| [vm(0), vm(1)].contains(&first(*task))).count();
