--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -111,5 +111,5 @@
 fn place(fleet: &Fleet) -> RelayPosition {
     let own = fleet.members.own();
     let near = fleet.members.serving_in(&own.data_hall, BootClock.now());
-    relay_position(&own.vm, near.into_iter().map(Member::contender))
+    relay_position(&own.vm, near.into_iter().map(Member::candidate))
 }
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -73,7 +73,7 @@
     let own = &fleet.members.own().vm;
     let contacts = fleet.members.contacts(now);
     let others = contacts.iter().filter(|member| member.vm != *own);
-    let others: Vec<Candidate<'_>> = others.map(|member| member.contender()).collect();
+    let others: Vec<Candidate<'_>> = others.map(|member| member.candidate()).collect();
     let place = HallRank {
         rank: fleet.members.place_in_hall(now),
         is_contact: fleet.members.is_contact(now),
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -289,7 +289,7 @@
 
 fn rank_in(fleet: &Fleet, task: &str, reach: &VisibleMembers<'_>) -> AllocatorRank {
     let own = &fleet.members.own().vm;
-    let order = ranked(task, reach.visible.iter().map(|member| member.contender()));
+    let order = ranked(task, reach.visible.iter().map(|member| member.candidate()));
     let before = order.iter().take_while(|vm| **vm != own).count();
     AllocatorRank { before, heard: reach.visible.len(), known: reach.known_count }
 }
@@ -310,7 +310,7 @@
         let address = fleet.members.find(vm)?.datagram_address?;
         Some(AllocatorAddress { vm: vm.clone(), address })
     };
-    ranked(task, eligible.into_iter().map(Member::contender))
+    ranked(task, eligible.into_iter().map(Member::candidate))
         .into_iter()
         .filter_map(|vm| if *vm == own.vm { Some(None) } else { place(vm).map(Some) })
         .collect()
--- a/crates/thymeshift_fleet/src/member.rs
+++ b/crates/thymeshift_fleet/src/member.rs
@@ -72,7 +72,7 @@
 
 impl Member {
     /// This process as one that may be given a task.
-    pub fn contender(&self) -> Candidate<'_> {
+    pub fn candidate(&self) -> Candidate<'_> {
         Candidate { vm: &self.vm, capacity: self.capacity }
     }
 
--- a/crates/thymeshift_fleet/src/members/contacts.rs
+++ b/crates/thymeshift_fleet/src/members/contacts.rs
@@ -38,7 +38,7 @@
         let Some(last) = last else {
             return true;
         };
-        if last.contact_score <= contact_score(member.contender()) {
+        if last.contact_score <= contact_score(member.candidate()) {
             return false;
         }
         let vm = last.member.vm.clone();
@@ -56,7 +56,7 @@
     /// The contacts of all halls among those that are `wanted`, this process included if it is
     /// one.
     pub(super) fn contacts_of(&self, is_wanted: impl Fn(&Known) -> bool) -> Vec<&Member> {
-        let own = contact_score(self.own.contender());
+        let own = contact_score(self.own.candidate());
         let near = self.known.values().filter(|known| self.is_near(known) && is_wanted(known));
         let before = near.filter(|known| known.contact_score < own).count();
         let is_contact = before < CONTACTS_PER_HALL;
@@ -86,7 +86,7 @@
     /// How many serving processes of the own data hall rank before this one as contacts.
     pub fn place_in_hall(&self, now: Timestamp) -> usize {
         let patience = self.patience();
-        let own = contact_score(self.own.contender());
+        let own = contact_score(self.own.candidate());
         let is_before = |known: &&Known| {
             self.is_near(known) && known.is_serving(patience, now) && known.contact_score < own
         };
--- a/crates/thymeshift_fleet/src/members/known.rs
+++ b/crates/thymeshift_fleet/src/members/known.rs
@@ -28,7 +28,7 @@
 
 impl Known {
     pub(super) fn new(member: &Member, now: Timestamp) -> Self {
-        let contact_score = contact_score(member.contender());
+        let contact_score = contact_score(member.candidate());
         Self { member: member.clone(), last_seen_at: now, unanswered: 0, contact_score }
     }
 
--- a/crates/thymeshift_fleet/src/rank.rs
+++ b/crates/thymeshift_fleet/src/rank.rs
@@ -26,10 +26,10 @@
     pub capacity: Capacity,
 }
 
-/// `contenders` in the order in which they are asked to do `task`.
-pub fn ranked<'a>(task: &str, contenders: impl Iterator<Item = Candidate<'a>>) -> Vec<&'a VmName> {
+/// `candidates` in the order in which they are asked to do `task`.
+pub fn ranked<'a>(task: &str, candidates: impl Iterator<Item = Candidate<'a>>) -> Vec<&'a VmName> {
     let seed = seed_of(task);
-    let scored = contenders.map(|contender| (score(contender, seed), contender.vm));
+    let scored = candidates.map(|candidate| (score(candidate, seed), candidate.vm));
     let mut scored: Vec<(f64, &VmName)> = scored.collect();
     scored.sort_unstable_by(|(left, left_vm), (right, right_vm)| {
         left.total_cmp(right).then_with(|| left_vm.cmp(right_vm))
@@ -38,8 +38,8 @@
 }
 
 /// A process's place among the contacts of its data hall; the smaller, the earlier.
-pub(crate) fn contact_score(contender: Candidate<'_>) -> f64 {
-    score(contender, seed_of(CONTACT_TASK))
+pub(crate) fn contact_score(candidate: Candidate<'_>) -> f64 {
+    score(candidate, seed_of(CONTACT_TASK))
 }
 
 /// What makes the order of one task differ from that of another.
@@ -48,8 +48,8 @@
 }
 
 /// The smaller, the earlier: an exponential variable whose rate is the weight.
-fn score(contender: Candidate<'_>, seed: u64) -> f64 {
-    let hash = xxh3_64_with_seed(contender.vm.as_str().as_bytes(), seed);
+fn score(candidate: Candidate<'_>, seed: u64) -> f64 {
+    let hash = xxh3_64_with_seed(candidate.vm.as_str().as_bytes(), seed);
     let even = (hash as f64 + 0.5) / HASHES;
-    -even.ln() / contender.capacity.processors().powi(CAPACITY_POWER)
+    -even.ln() / candidate.capacity.processors().powi(CAPACITY_POWER)
 }
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -174,7 +174,7 @@
         for process in self.processes.iter().filter(|process| process.is_up) {
             let hall = &process.members.own().data_hall;
             let serving = process.members.serving_in(hall, at(now_ms));
-            let first = ranked("a group", serving.into_iter().map(Member::contender))[0];
+            let first = ranked("a group", serving.into_iter().map(Member::candidate))[0];
             opinions.entry(hall.clone()).or_default().insert(first.clone());
         }
         opinions.values().map(BTreeSet::len).max().unwrap_or_default()
@@ -185,7 +185,7 @@
         let up = self.processes.iter().filter(|process| process.is_up);
         let first = |process: &Process| {
             let contacts = process.members.contacts(at(now_ms));
-            ranked("read", contacts.into_iter().map(Member::contender))[0].clone()
+            ranked("read", contacts.into_iter().map(Member::candidate))[0].clone()
         };
         up.map(first).collect::<BTreeSet<VmName>>().len()
     }
@@ -284,6 +284,6 @@
 fn first_of_hall(fleet: &Fleet, now_ms: u64) -> usize {
     let members = &fleet.processes[0].members;
     let serving = members.serving_in(&hall(0, 6), at(now_ms));
-    let first = ranked("a group", serving.into_iter().map(Member::contender))[0].clone();
+    let first = ranked("a group", serving.into_iter().map(Member::candidate))[0].clone();
     (0..fleet.processes.len()).find(|number| vm(*number) == first).expect("a member")
 }
