--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -11,7 +11,7 @@
 
 use metrics::counter;
 use spdlog::warn;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::Published;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
@@ -76,7 +76,7 @@
     }
     if let Some(published) = fetch(shared, Document::Configuration, wait).await? {
         let offered = offer(shared, Document::Configuration, &published, "platform");
-        if offered != Offer::Adopted {
+        if offered != OfferOutcome::Adopted {
             // The platform answers older or refused content at once: do not ask in a loop.
             sleep(WAIT).await;
         }
@@ -118,7 +118,7 @@
     document: Document,
     published: &Published,
     source: &str,
-) -> Offer {
+) -> OfferOutcome {
     match document {
         Document::Configuration => shared.offer_configuration(published, source),
         Document::VmList => offer_vm_list(shared, published),
@@ -127,7 +127,7 @@
 }
 
 /// The VM list is one peer address a line; a line that is none makes the list invalid.
-fn offer_vm_list(shared: &Shared, published: &Published) -> Offer {
+fn offer_vm_list(shared: &Shared, published: &Published) -> OfferOutcome {
     let mut fleet = shared.fleet.lock();
     let parse = |text: &str| -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
         text.lines()
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -18,7 +18,7 @@
 use thymeshift_fleet::LeavingRegister;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Members;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::OrderChange;
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Orders;
@@ -204,7 +204,7 @@
         &mut self,
         published: &Published,
         now: Timestamp,
-    ) -> (Offer, Option<Discovery>) {
+    ) -> (OfferOutcome, Option<Discovery>) {
         let reader = &mut self.discovery_reader;
         self.targets.offer(published, now, |text| reader.parse(text))
     }
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -12,7 +12,7 @@
 use thymeshift_config::Configuration;
 use thymeshift_config::Discovery;
 use thymeshift_config::TargetState;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Published;
 use thymeshift_telemetry::metric;
@@ -35,7 +35,7 @@
 
 impl Shared {
     /// Offers a configuration from any source.
-    pub(crate) fn offer_configuration(&self, published: &Published, source: &str) -> Offer {
+    pub(crate) fn offer_configuration(&self, published: &Published, source: &str) -> OfferOutcome {
         let now = BootClock.now();
         let mut fleet = self.fleet.lock();
         let (offer, adopted) = fleet.configuration.offer(published, now, Configuration::parse);
@@ -46,7 +46,7 @@
         let rejection = fleet.configuration.rejection().map(|rejection| rejection.mistakes.clone());
         drop(fleet);
         log_offer("configuration", offer, published, source, rejection);
-        if offer == Offer::Adopted {
+        if offer == OfferOutcome::Adopted {
             gauge!(metric::REVISION).set(published.head().revision.as_u64() as f64);
             self.pass_on();
         }
@@ -54,7 +54,7 @@
     }
 
     /// Offers discovered targets from any source.
-    pub(crate) fn offer_targets(&self, published: &Published, source: &str) -> Offer {
+    pub(crate) fn offer_targets(&self, published: &Published, source: &str) -> OfferOutcome {
         let now = BootClock.now();
         let mut fleet = self.fleet.lock();
         let (offer, adopted) = fleet.offer_targets(published, now);
@@ -69,7 +69,7 @@
         let rejection = fleet.targets.rejection().map(|rejection| rejection.mistakes.clone());
         drop(fleet);
         log_offer("targets", offer, published, source, rejection);
-        if offer == Offer::Adopted {
+        if offer == OfferOutcome::Adopted {
             let ended = BootClock.now();
             self.list_pace.lock().taken(ended.since(now), ended);
             self.pass_on();
@@ -235,31 +235,31 @@
 
 fn log_offer(
     document: &str,
-    offer: Offer,
+    offer: OfferOutcome,
     published: &Published,
     source: &str,
     rejection: Option<String>,
 ) {
     let head = published.head();
     match offer {
-        Offer::Adopted => {
+        OfferOutcome::Adopted => {
             info!("document_in_force", kv: {
                 document, revision: = head.revision, digest: = head.digest, source
             });
         }
-        Offer::Conflicting => {
+        OfferOutcome::Conflicting => {
             counter!(metric::DOCUMENTS_REFUSED, "offer" => "conflicting").increment(1);
             error!("document_conflicting", kv: {
                 document, revision: = head.revision, digest: = head.digest, source
             });
         }
-        Offer::Rejected => {
+        OfferOutcome::Rejected => {
             counter!(metric::DOCUMENTS_REFUSED, "offer" => "rejected").increment(1);
             let mistakes = rejection.unwrap_or_default();
             error!("document_rejected", kv: {
                 document, revision: = head.revision, source, mistakes
             });
         }
-        Offer::Confirmed | Offer::Older => {}
+        OfferOutcome::Confirmed | OfferOutcome::Older => {}
     }
 }
--- a/crates/thymeshift_fleet/src/adoption.rs
+++ b/crates/thymeshift_fleet/src/adoption.rs
@@ -22,7 +22,7 @@
 
 /// What became of an offered document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It is in force now.
     Adopted,
     /// It is in force already.
@@ -65,38 +65,38 @@
 
 impl Adoption {
     /// Offers a document. `check` is called only for a larger revision that was not
-    /// rejected before; its value is handed to the caller with [`Offer::Adopted`].
+    /// rejected before; its value is handed to the caller with [`OfferOutcome::Adopted`].
     pub fn offer<V, E: ToString>(
         &mut self,
         offered: &Published,
         now: Timestamp,
         check: impl FnOnce(&str) -> Result<V, E>,
-    ) -> (Offer, Option<V>) {
+    ) -> (OfferOutcome, Option<V>) {
         if let Some(in_force) = &self.in_force {
             let (ours, theirs) = (in_force.head(), offered.head());
             if theirs.revision < ours.revision {
-                return (Offer::Older, None);
+                return (OfferOutcome::Older, None);
             }
             if theirs == ours {
-                return (Offer::Confirmed, None);
+                return (OfferOutcome::Confirmed, None);
             }
             if theirs.revision == ours.revision {
                 self.conflict = Some(Conflict { in_force: ours, offered: theirs });
-                return (Offer::Conflicting, None);
+                return (OfferOutcome::Conflicting, None);
             }
         }
         if self.is_rejected(offered.head()) {
-            return (Offer::Rejected, None);
+            return (OfferOutcome::Rejected, None);
         }
         match check(offered.text()) {
             Ok(value) => {
                 self.adopt(offered, now);
-                (Offer::Adopted, Some(value))
+                (OfferOutcome::Adopted, Some(value))
             }
             Err(mistakes) => {
                 let mistakes = mistakes.to_string();
                 self.rejection = Some(Rejection { head: offered.head(), mistakes });
-                (Offer::Rejected, None)
+                (OfferOutcome::Rejected, None)
             }
         }
     }
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -36,7 +36,7 @@
 
 pub use adoption::Adoption;
 pub use adoption::Conflict;
-pub use adoption::Offer;
+pub use adoption::OfferOutcome;
 pub use adoption::Rejection;
 pub use delta::Delta;
 pub use delta::DeltaError;
--- a/crates/thymeshift_fleet/tests/documents.rs
+++ b/crates/thymeshift_fleet/tests/documents.rs
@@ -11,7 +11,7 @@
 use thymeshift_fleet::Delta;
 use thymeshift_fleet::DeltaError;
 use thymeshift_fleet::History;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::Published;
 use thymeshift_fleet::Transfer;
 use thymeshift_types::Revision;
@@ -28,7 +28,7 @@
     if text.contains("bad") { Err("bad".to_owned()) } else { Ok(()) }
 }
 
-fn offer(adoption: &mut Adoption, published: &Published) -> Offer {
+fn offer(adoption: &mut Adoption, published: &Published) -> OfferOutcome {
     adoption.offer(published, NOW, check).0
 }
 
@@ -129,21 +129,21 @@
 struct Case {
     name: &'static str,
     offered: (u64, &'static str),
-    expected: Offer,
+    expected: OfferOutcome,
     in_force: u64,
 }
 
 #[test]
 fn offers_in_turn() {
     let cases = [
-        Case { name: "the first", offered: (5, "five"), expected: Offer::Adopted, in_force: 5 },
-        Case { name: "again", offered: (5, "five"), expected: Offer::Confirmed, in_force: 5 },
-        Case { name: "older", offered: (4, "four"), expected: Offer::Older, in_force: 5 },
-        Case { name: "other", offered: (5, "5"), expected: Offer::Conflicting, in_force: 5 },
-        Case { name: "invalid", offered: (6, "bad"), expected: Offer::Rejected, in_force: 5 },
-        Case { name: "still", offered: (6, "bad"), expected: Offer::Rejected, in_force: 5 },
-        Case { name: "mended", offered: (7, "seven"), expected: Offer::Adopted, in_force: 7 },
-        Case { name: "late", offered: (6, "bad"), expected: Offer::Older, in_force: 7 },
+        Case { name: "the first", offered: (5, "five"), expected: OfferOutcome::Adopted, in_force: 5 },
+        Case { name: "again", offered: (5, "five"), expected: OfferOutcome::Confirmed, in_force: 5 },
+        Case { name: "older", offered: (4, "four"), expected: OfferOutcome::Older, in_force: 5 },
+        Case { name: "other", offered: (5, "5"), expected: OfferOutcome::Conflicting, in_force: 5 },
+        Case { name: "invalid", offered: (6, "bad"), expected: OfferOutcome::Rejected, in_force: 5 },
+        Case { name: "still", offered: (6, "bad"), expected: OfferOutcome::Rejected, in_force: 5 },
+        Case { name: "mended", offered: (7, "seven"), expected: OfferOutcome::Adopted, in_force: 7 },
+        Case { name: "late", offered: (6, "bad"), expected: OfferOutcome::Older, in_force: 7 },
     ];
     let mut adoption = Adoption::default();
     for case in cases {
