--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -29,7 +29,7 @@
 use thymeshift_fleet::Readers;
 use thymeshift_fleet::SuspectReport;
 use thymeshift_fleet::Verdict;
-use thymeshift_fleet::WatchElection;
+use thymeshift_fleet::WatcherSelection;
 use thymeshift_types::Fingerprint;
 use thymeshift_types::LeavingMark;
 use thymeshift_types::Timestamp;
@@ -63,7 +63,7 @@
     pub(crate) discovery: Option<Discovery>,
     /// The discovered targets as listed, while others are kept beside them.
     listed: Option<Discovery>,
-    pub(crate) election: WatchElection,
+    pub(crate) election: WatcherSelection,
     pub(crate) members: Members,
     pub(crate) leaving: LeavingRegister,
     pub(crate) orders: Orders,
@@ -113,7 +113,7 @@
             base: None,
             discovery: None,
             listed: None,
-            election: WatchElection::new(settings.vm.clone(), boot),
+            election: WatcherSelection::new(settings.vm.clone(), boot),
             members: Members::new(own, settings.peers.clone()),
             leaving: LeavingRegister::default(),
             orders: Orders::default(),
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! * [`Adoption`]: which published revision is in force; it never goes down.
 //! * [`History`] and [`Delta`]: what is sent to a process that runs an older revision.
-//! * [`WatchElection`]: who reads the platform, a few at a time, without an election.
+//! * [`WatcherSelection`]: who reads the platform, a few at a time, without an election.
 //! * [`LeavingRegister`]: targets that get no new work, sticky for each incarnation.
 //! * [`Members`]: who else is there, from direct evidence and passed-on heartbeats; all of the
 //!   own data hall, a few of every other.
@@ -81,5 +81,5 @@
 pub use relay::RELAY_WAIT_LIMIT;
 pub use relay::RelayPosition;
 pub use relay::relay_position;
-pub use watch::WatchElection;
+pub use watch::WatcherSelection;
 pub use watch::Watcher;
--- a/crates/thymeshift_fleet/src/watch.rs
+++ b/crates/thymeshift_fleet/src/watch.rs
@@ -62,7 +62,7 @@
 
 /// Decides whether this process watches.
 #[derive(Debug)]
-pub struct WatchElection {
+pub struct WatcherSelection {
     vm: VmName,
     boot: Boot,
     turn: u64,
@@ -75,7 +75,7 @@
     lease: Duration,
 }
 
-impl WatchElection {
+impl WatcherSelection {
     /// The election as seen by the process `vm` started as `boot`.
     pub fn new(vm: VmName, boot: Boot) -> Self {
         let turn = turn_of(&vm, boot);
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -25,7 +25,7 @@
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Orders;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::WatchElection;
+use thymeshift_fleet::WatcherSelection;
 use thymeshift_types::Capacity;
 use thymeshift_types::DataHallName;
 use thymeshift_types::Incarnation;
@@ -280,7 +280,7 @@
 
 /// Processes that tell one another at random, some of which cannot.
 struct Watching {
-    elections: Vec<WatchElection>,
+    elections: Vec<WatcherSelection>,
     is_running: Vec<bool>,
     rng: SmallRng,
     now: Timestamp,
@@ -291,7 +291,7 @@
 
     fn new(count: usize) -> Self {
         let elections =
-            (0..count).map(|number| WatchElection::new(vm(number), Boot::new(1))).collect();
+            (0..count).map(|number| WatcherSelection::new(vm(number), Boot::new(1))).collect();
         let rng = SmallRng::seed_from_u64(9);
         Self { elections, is_running: vec![true; count], rng, now: at(0) }
     }
@@ -348,7 +348,7 @@
 
 #[test]
 fn a_watcher_that_fails_stands_back_longer_each_time() {
-    let mut election = WatchElection::new(vm(0), Boot::new(1));
+    let mut election = WatcherSelection::new(vm(0), Boot::new(1));
     let mut calls = 0;
     for step in 0..3_000 {
         let now = at(step * 100);
