--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -276,7 +276,7 @@
         let (member, addresses) = {
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
-            fleet.members.beat(self.phase(), revision);
+            fleet.members.advance_heartbeat(self.phase(), revision);
             let near = fleet.members.neighbours(BootClock.now());
             let addresses: Vec<_> = near.filter_map(|member| member.datagram_address).collect();
             (fleet.members.own().clone(), addresses)
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -86,7 +86,7 @@
     }
 
     /// Counts a heartbeat and says what holds now.
-    pub fn beat(&mut self, phase: Phase, revision: Option<Revision>) {
+    pub fn advance_heartbeat(&mut self, phase: Phase, revision: Option<Revision>) {
         self.own.heartbeat += 1;
         self.own.phase = phase;
         self.own.revision = revision;
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -386,7 +386,7 @@
         }
         // Heartbeats while nobody answers do not make a process settled.
         for _ in 0..50 {
-            members.beat(Phase::Serving, None);
+            members.advance_heartbeat(Phase::Serving, None);
         }
         let alone = MembersDigest::of([member(1)].iter());
         let other = FleetDigest { hall: alone, contacts: alone };
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -114,7 +114,7 @@
     fn exchange(&mut self, number: usize, now_ms: u64) {
         let now = at(now_ms);
         let process = &mut self.processes[number];
-        process.members.beat(Phase::Serving, None);
+        process.members.advance_heartbeat(Phase::Serving, None);
         let every = if process.members.is_new() {
             NEW_MS
         } else if now_ms - process.started_ms < YOUNG_FOR_MS {
