--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -255,7 +255,7 @@
         if let Some((sender, others)) = exchange.members.split_first() {
             self.members.answered(&sender.member, now);
             for told in others {
-                self.members.learn(told, now);
+                self.members.merge(told, now);
             }
         }
         for watcher in &exchange.watchers {
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what a peer passed on.
-    pub fn learn(&mut self, told: &GossipMember, now: Timestamp) {
+    pub fn merge(&mut self, told: &GossipMember, now: Timestamp) {
         self.learn_from(&told.member, Duration::from_millis(told.silent_ms.into()), now);
     }
 
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -200,7 +200,7 @@
     let (sender, others) = message.split_first().expect("a sender");
     members.answered(&sender.member, now);
     for other in others {
-        members.learn(other, now);
+        members.merge(other, now);
     }
 }
 
