--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -253,7 +253,7 @@
     /// Takes in a summary.
     pub(crate) fn take(&mut self, exchange: &Exchange, now: Timestamp) -> Taken {
         if let Some((sender, others)) = exchange.members.split_first() {
-            self.members.answered(&sender.member, now);
+            self.members.record_answer(&sender.member, now);
             for told in others {
                 self.members.merge(told, now);
             }
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -121,7 +121,7 @@
     }
 
     /// A peer answered: direct evidence.
-    pub fn answered(&mut self, member: &Member, now: Timestamp) {
+    pub fn record_answer(&mut self, member: &Member, now: Timestamp) {
         self.heard = self.heard.saturating_add(1);
         self.introduced(member, now);
         if let Some(known) = self.known.get_mut(&member.vm) {
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -255,7 +255,7 @@
     // A call without answer is direct evidence, and so is one with an answer.
     members.unanswered(member(1).peer_address);
     assert_eq!(liveness(&members, 1, at(5_700)), Some(Liveness::Suspect));
-    members.answered(&Member { heartbeat: 6, ..member(1) }, at(5_800));
+    members.record_answer(&Member { heartbeat: 6, ..member(1) }, at(5_800));
     assert_eq!(liveness(&members, 1, at(5_800)), Some(Liveness::Alive));
     assert_eq!(liveness(&members, 1, at(30_000)), Some(Liveness::Gone));
 }
@@ -382,7 +382,7 @@
             members.introduced(&member(number), at(0));
         }
         for number in 1..=heard {
-            members.answered(&member(number), at(0));
+            members.record_answer(&member(number), at(0));
         }
         // Heartbeats while nobody answers do not make a process settled.
         for _ in 0..50 {
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -198,7 +198,7 @@
 
 fn take(members: &mut Members, message: &[GossipMember], now: Timestamp) {
     let (sender, others) = message.split_first().expect("a sender");
-    members.answered(&sender.member, now);
+    members.record_answer(&sender.member, now);
     for other in others {
         members.merge(other, now);
     }
