--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -49,7 +49,7 @@
     match message {
         Message::SourceHeartbeat(heartbeat) => take_heartbeat(shared, &heartbeat),
         Message::Phase(member) => {
-            shared.fleet.lock().members.introduced(&member, BootClock.now());
+            shared.fleet.lock().members.record_announcement(&member, BootClock.now());
         }
         Message::News(heads) => take_news(shared, &sender, heads),
         Message::Suspect(told) => take_suspect(shared, &sender, &told),
@@ -84,7 +84,7 @@
             client.replied(number, Reply::Redirected(group, allocator));
         }
         Message::AskInstead(number, member) => {
-            shared.fleet.lock().members.introduced(&member, BootClock.now());
+            shared.fleet.lock().members.record_announcement(&member, BootClock.now());
             client.replied(number, Reply::AskInstead(member));
         }
         Message::Refused(number, reason, retry_after) => {
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -123,7 +123,7 @@
     /// A peer answered: direct evidence.
     pub fn record_answer(&mut self, member: &Member, now: Timestamp) {
         self.heard = self.heard.saturating_add(1);
-        self.introduced(member, now);
+        self.record_announcement(member, now);
         if let Some(known) = self.known.get_mut(&member.vm) {
             known.last_seen_at = now;
             known.unanswered = 0;
@@ -131,7 +131,7 @@
     }
 
     /// A member said something of itself.
-    pub fn introduced(&mut self, member: &Member, now: Timestamp) {
+    pub fn record_announcement(&mut self, member: &Member, now: Timestamp) {
         self.learn_from(member, Duration::ZERO, now);
     }
 
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -243,7 +243,7 @@
 fn a_member_lives_as_long_as_its_heartbeat_goes_on() {
     let mut members = Members::new(member(0), Vec::new());
     let beat = |members: &mut Members, heartbeat: u64, now| {
-        members.introduced(&Member { heartbeat, ..member(1) }, now);
+        members.record_announcement(&Member { heartbeat, ..member(1) }, now);
     };
     beat(&mut members, 5, at(0));
     assert_eq!(liveness(&members, 1, at(4_000)), Some(Liveness::Alive));
@@ -263,7 +263,7 @@
 #[test]
 fn a_process_that_was_paused_does_not_blame_the_others() {
     let mut members = Members::new(member(0), Vec::new());
-    members.introduced(&Member { heartbeat: 1, ..member(1) }, at(0));
+    members.record_announcement(&Member { heartbeat: 1, ..member(1) }, at(0));
     members.paused(Duration::from_mins(1));
     assert_eq!(liveness(&members, 1, at(61_000)), Some(Liveness::Alive));
 }
@@ -273,7 +273,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut members = Members::new(member(0), vec![member(0).peer_address, member(1).peer_address]);
     assert_eq!(members.pick(5, at(0), &mut rng), [member(1).peer_address], "not itself");
-    members.introduced(&member(1), at(0));
+    members.record_announcement(&member(1), at(0));
     assert_eq!(members.pick(5, at(0), &mut rng), [member(1).peer_address], "once");
     assert_eq!(members.pick(5, at(60_000), &mut rng), [], "gone");
 }
@@ -379,7 +379,7 @@
     for Case { note, heard, is_other_new, is_same, passed_on } in cases {
         let mut members = Members::new(member(0), Vec::new());
         for number in 1..=30 {
-            members.introduced(&member(number), at(0));
+            members.record_announcement(&member(number), at(0));
         }
         for number in 1..=heard {
             members.record_answer(&member(number), at(0));
@@ -430,7 +430,7 @@
     let mut members = Members::new(member(0), Vec::new());
     for Case { note, told, is_change } in cases {
         let before = members.changes();
-        members.introduced(&told, at(0));
+        members.record_announcement(&told, at(0));
         assert_eq!(members.changes() > before, is_change, "{note}");
     }
 }
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -164,7 +164,7 @@
         let near: Vec<usize> = near.collect();
         let own = members.own().clone();
         for other in near {
-            self.processes[other].members.introduced(&own, at(now_ms));
+            self.processes[other].members.record_announcement(&own, at(now_ms));
         }
     }
 
