--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -45,7 +45,7 @@
 fn take(shared: &Arc<Shared>, datagram: Datagram, from: SocketAddr) {
     let Datagram { sender, boot, message } = datagram;
     let client = &shared.allocation;
-    shared.fleet.lock().members.heard(&sender, boot, BootClock.now());
+    shared.fleet.lock().members.record_message(&sender, boot, BootClock.now());
     match message {
         Message::SourceHeartbeat(heartbeat) => take_heartbeat(shared, &heartbeat),
         Message::Phase(member) => {
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -136,7 +136,7 @@
     }
 
     /// A process sent something by itself: direct evidence, if it is the start known here.
-    pub fn heard(&mut self, vm: &VmName, boot: Boot, now: Timestamp) {
+    pub fn record_message(&mut self, vm: &VmName, boot: Boot, now: Timestamp) {
         if let Some(known) = self.known.get_mut(vm).filter(|known| known.member.boot == boot) {
             known.last_seen_at = now;
             known.unanswered = 0;
