--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -197,7 +197,7 @@
         let peer = address.to_string();
         debug!("peer_exchange_failed", kv: { peer, error: = error });
         shared.links.forget(address);
-        shared.fleet.lock().members.unanswered(address);
+        shared.fleet.lock().members.record_no_answer(address);
     }
     answered
 }
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -144,7 +144,7 @@
     }
 
     /// A peer did not answer.
-    pub fn unanswered(&mut self, address: SocketAddr) {
+    pub fn record_no_answer(&mut self, address: SocketAddr) {
         for known in self.known.values_mut() {
             if known.member.peer_address == address {
                 known.unanswered += 1;
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -253,7 +253,7 @@
     beat(&mut members, 6, at(5_600));
     assert_eq!(liveness(&members, 1, at(5_600)), Some(Liveness::Alive));
     // A call without answer is direct evidence, and so is one with an answer.
-    members.unanswered(member(1).peer_address);
+    members.record_no_answer(member(1).peer_address);
     assert_eq!(liveness(&members, 1, at(5_700)), Some(Liveness::Suspect));
     members.record_answer(&Member { heartbeat: 6, ..member(1) }, at(5_800));
     assert_eq!(liveness(&members, 1, at(5_800)), Some(Liveness::Alive));
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -130,7 +130,7 @@
             let other = number_at(address);
             let Some(other) = self.processes.get(other).filter(|other| other.is_up).map(|_| other)
             else {
-                self.processes[number].members.unanswered(address);
+                self.processes[number].members.record_no_answer(address);
                 continue;
             };
             let asked =
