--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -178,7 +178,7 @@
         let mut fleet = shared.fleet.lock();
         let revision = fleet.configuration.head().map(|head| head.revision);
         fleet.members.advance_heartbeat(shared.phase(), revision);
-        fleet.members.pick(count, now, &mut rand::rng())
+        fleet.members.pick_peers(count, now, &mut rand::rng())
     };
     let exchanges = picked.into_iter().map(|address| exchange_once(shared, address, breadth));
     join_all(exchanges).await;
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -171,7 +171,7 @@
     /// address from settings or the platform's list that belongs to no known member is
     /// tried like a member. In a large fleet most talk stays within the data hall: the ways
     /// between halls are longer and may cost.
-    pub fn pick(&self, count: usize, now: Timestamp, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn pick_peers(&self, count: usize, now: Timestamp, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let patience = self.patience();
         let is_large = self.known.len() >= MEMBERS_PER_PATIENCE;
         let is_local = !rng.random_ratio(1, PICKS_PER_OTHER_HALL);
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -272,10 +272,10 @@
 fn hints_are_tried_only_while_nobody_is_known_there() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut members = Members::new(member(0), vec![member(0).peer_address, member(1).peer_address]);
-    assert_eq!(members.pick(5, at(0), &mut rng), [member(1).peer_address], "not itself");
+    assert_eq!(members.pick_peers(5, at(0), &mut rng), [member(1).peer_address], "not itself");
     members.record_announcement(&member(1), at(0));
-    assert_eq!(members.pick(5, at(0), &mut rng), [member(1).peer_address], "once");
-    assert_eq!(members.pick(5, at(60_000), &mut rng), [], "gone");
+    assert_eq!(members.pick_peers(5, at(0), &mut rng), [member(1).peer_address], "once");
+    assert_eq!(members.pick_peers(5, at(60_000), &mut rng), [], "gone");
 }
 
 /// Processes that tell one another at random, some of which cannot.
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -123,7 +123,7 @@
             SETTLED_MS
         };
         process.next_ms = now_ms + self.rng.random_range(every * 4 / 5..every * 6 / 5);
-        let picked = process.members.pick(1, now, &mut self.rng);
+        let picked = process.members.pick_peers(1, now, &mut self.rng);
         let summary = process.members.passed_on(GossipScope::Regular, now, &mut self.rng);
         let (digest, is_new) = (process.members.digest(now), process.members.is_new());
         for address in picked {
