--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -255,7 +255,7 @@
     let picked = {
         let members = &shared.fleet.lock().members;
         let rng = &mut rand::rng();
-        let mut picked = members.pick_informed(INFORMED_ASKED, rng);
+        let mut picked = members.pick_document_holders(INFORMED_ASKED, rng);
         let mut others = members.pick_peers(PEERS_ASKED, now, rng);
         others.retain(|address| !picked.contains(address));
         picked.extend(others);
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -193,7 +193,7 @@
 
     /// Up to `count` addresses of members that hold documents, for a process that has none:
     /// those of the own data hall, if there are any.
-    pub fn pick_informed(&self, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn pick_document_holders(&self, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let informed = || self.known.values().filter(|known| known.member.revision.is_some());
         let mut drawn = informed().filter(|known| self.is_near(known)).choose_multiple(rng, count);
         if drawn.is_empty() {
