--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -147,7 +147,7 @@
             data_hall: own.data_hall.clone(),
             peer_address: own.peer_address,
         };
-        let told = fleet.members.neighbours(now).chain(fleet.members.hubs(now));
+        let told = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
         let addresses = told.filter_map(|member| member.datagram_address);
         (heartbeat, addresses.collect::<Vec<SocketAddr>>())
     };
@@ -169,7 +169,7 @@
                 peer_address: own.peer_address,
                 ..heartbeat.clone()
             };
-            let near = fleet.members.neighbours(now).filter_map(|member| member.datagram_address);
+            let near = fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
             (passed_on, near.collect::<Vec<SocketAddr>>())
         })
     };
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -67,7 +67,7 @@
         }
         let own_hall = &fleet.members.own().data_hall;
         let is_near = fleet.members.find(sender).is_none_or(|member| member.data_hall == *own_hall);
-        let near = fleet.members.neighbours(now).filter_map(|member| member.datagram_address);
+        let near = fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
         if is_near { Vec::new() } else { near.collect() }
     };
     log_verdict(shared, told.fingerprint, "peer");
@@ -99,7 +99,7 @@
         let Some(told) = fleet.quarantine.told(fingerprint, now) else {
             return;
         };
-        let members = fleet.members.neighbours(now).chain(fleet.members.hubs(now));
+        let members = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
         let addresses: Vec<_> = members.filter_map(|member| member.datagram_address).collect();
         (told, addresses)
     };
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -277,7 +277,7 @@
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
             fleet.members.advance_heartbeat(self.phase(), revision);
-            let near = fleet.members.neighbours(BootClock.now());
+            let near = fleet.members.hall_peers(BootClock.now());
             let addresses: Vec<_> = near.filter_map(|member| member.datagram_address).collect();
             (fleet.members.own().clone(), addresses)
         };
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -219,7 +219,7 @@
 
     /// The other processes of the own data hall that are not known to be gone: news is worth
     /// telling them, also those that have not answered for a moment.
-    pub fn neighbours(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
+    pub fn hall_peers(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
         let patience = self.patience();
         let is_present = move |known: &&Known| known.liveness(patience, now) != Liveness::Gone;
         let near = self.known.values().filter(|known| self.is_near(known));
--- a/crates/thymeshift_fleet/src/members/gossip.rs
+++ b/crates/thymeshift_fleet/src/members/gossip.rs
@@ -80,7 +80,7 @@
 
     /// The fleet as known here.
     pub fn digest(&self, now: Timestamp) -> FleetDigest {
-        let neighbours = self.neighbours(now).chain([&self.own]);
+        let neighbours = self.hall_peers(now).chain([&self.own]);
         let patience = self.patience();
         let contacts = self.contacts_of(|known| known.liveness(patience, now) != Liveness::Gone);
         FleetDigest {
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -160,7 +160,7 @@
     /// A process tells its hall by datagrams that it serves.
     fn tell_phase(&mut self, number: usize, now_ms: u64) {
         let members = &self.processes[number].members;
-        let near = members.neighbours(at(now_ms)).map(|member| number_at(member.peer_address));
+        let near = members.hall_peers(at(now_ms)).map(|member| number_at(member.peer_address));
         let near: Vec<usize> = near.collect();
         let own = members.own().clone();
         for other in near {
