--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -75,7 +75,7 @@
     let others = contacts.iter().filter(|member| member.vm != *own);
     let others: Vec<Candidate<'_>> = others.map(|member| member.candidate()).collect();
     let place = HallRank {
-        rank: fleet.members.place_in_hall(now),
+        rank: fleet.members.rank_in_hall(now),
         is_contact: fleet.members.is_contact(now),
     };
     fleet.readers.turn(&others, place, now)
--- a/crates/thymeshift_fleet/src/members/contacts.rs
+++ b/crates/thymeshift_fleet/src/members/contacts.rs
@@ -84,7 +84,7 @@
     }
 
     /// How many serving processes of the own data hall rank before this one as contacts.
-    pub fn place_in_hall(&self, now: Timestamp) -> usize {
+    pub fn rank_in_hall(&self, now: Timestamp) -> usize {
         let patience = self.patience();
         let own = contact_score(self.own.candidate());
         let is_before = |known: &&Known| {
@@ -95,7 +95,7 @@
 
     /// Whether other processes know this one as a contact of its data hall.
     pub fn is_contact(&self, now: Timestamp) -> bool {
-        self.place_in_hall(now) < CONTACTS_PER_HALL
+        self.rank_in_hall(now) < CONTACTS_PER_HALL
     }
 
     /// Of each other data hall the contacts that pass on what concerns all there.
