--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -133,7 +133,7 @@
     ) -> Exchange {
         Exchange {
             is_new: self.members.is_new(),
-            members: self.members.passed_on(breadth, now, rng),
+            members: self.members.members_to_send(breadth, now, rng),
             digest: self.members.digest(now),
             configuration: self.configuration.head(),
             vm_list: self.vm_list.head(),
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -124,7 +124,7 @@
         };
         process.next_ms = now_ms + self.rng.random_range(every * 4 / 5..every * 6 / 5);
         let picked = process.members.pick_peers(1, now, &mut self.rng);
-        let summary = process.members.passed_on(GossipScope::Regular, now, &mut self.rng);
+        let summary = process.members.members_to_send(GossipScope::Regular, now, &mut self.rng);
         let (digest, is_new) = (process.members.digest(now), process.members.is_new());
         for address in picked {
             let other = number_at(address);
@@ -138,7 +138,7 @@
             let members = &mut self.processes[other].members;
             take(members, &summary, now);
             let breadth = members.answer_breadth(&asked, now);
-            let answer = members.passed_on(breadth, now, &mut self.rng);
+            let answer = members.members_to_send(breadth, now, &mut self.rng);
             self.told += (summary.len() + answer.len()) as u64;
             take(&mut self.processes[number].members, &answer, now);
         }
