--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -160,7 +160,7 @@
                 is_new: theirs.is_new,
                 is_regular: theirs.members.len() > 1,
             };
-            self.members.answer_breadth(&asked, now)
+            self.members.answer_scope(&asked, now)
         });
         let mut answer = self.summary(breadth, now, rng);
         if theirs.is_new {
--- a/crates/thymeshift_fleet/src/members/gossip.rs
+++ b/crates/thymeshift_fleet/src/members/gossip.rs
@@ -59,7 +59,7 @@
 impl Members {
     /// How much to answer to a peer's message. One that is new, or knows other members of its
     /// data hall than this process does, is told of all.
-    pub fn answer_breadth<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> GossipScope<'a> {
+    pub fn answer_scope<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> GossipScope<'a> {
         let hall = &asked.sender.data_hall;
         let is_near = *hall == self.own.data_hall;
         if asked.is_new {
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -396,7 +396,7 @@
             is_new: is_other_new,
             is_regular: true,
         };
-        let breadth = members.answer_breadth(&asked, at(1));
+        let breadth = members.answer_scope(&asked, at(1));
         let passed = members.members_to_send(breadth, at(1), &mut SmallRng::seed_from_u64(3));
         assert_eq!(passed.len(), passed_on, "{note}");
     }
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -137,7 +137,7 @@
                 ReceivedSummary { sender: &summary[0].member, digest, is_new, is_regular: summary.len() > 1 };
             let members = &mut self.processes[other].members;
             take(members, &summary, now);
-            let breadth = members.answer_breadth(&asked, now);
+            let breadth = members.answer_scope(&asked, now);
             let answer = members.members_to_send(breadth, now, &mut self.rng);
             self.told += (summary.len() + answer.len()) as u64;
             take(&mut self.processes[number].members, &answer, now);
