--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -274,7 +274,7 @@
                 suspects.push(told.fingerprint);
             }
         }
-        let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
+        let seen = exchange.configuration.filter(|head| self.configuration.observe_peer_head(*head));
         Taken { wanted: self.wanted(exchange), marks, has_new_orders, suspects, conflicting: seen }
     }
 
--- a/crates/thymeshift_fleet/src/adoption.rs
+++ b/crates/thymeshift_fleet/src/adoption.rs
@@ -103,7 +103,7 @@
 
     /// Takes in what another process runs. Returns whether it runs other content under the
     /// revision in force here, and that is news.
-    pub fn see(&mut self, theirs: Head) -> bool {
+    pub fn observe_peer_head(&mut self, theirs: Head) -> bool {
         let Some(ours) = self.head() else {
             return false;
         };
--- a/crates/thymeshift_fleet/tests/documents.rs
+++ b/crates/thymeshift_fleet/tests/documents.rs
@@ -161,12 +161,12 @@
 fn other_content_under_the_same_revision_at_a_peer_is_noticed_once() {
     let mut adoption = Adoption::default();
     let (one, other) = (published(5, "five"), published(5, "5"));
-    assert!(!adoption.see(other.head()), "nothing is in force");
+    assert!(!adoption.observe_peer_head(other.head()), "nothing is in force");
     offer(&mut adoption, &one);
-    assert!(!adoption.see(one.head()));
-    assert!(!adoption.see(published(4, "four").head()));
-    assert!(adoption.see(other.head()));
-    assert!(!adoption.see(other.head()), "no news");
+    assert!(!adoption.observe_peer_head(one.head()));
+    assert!(!adoption.observe_peer_head(published(4, "four").head()));
+    assert!(adoption.observe_peer_head(other.head()));
+    assert!(!adoption.observe_peer_head(other.head()), "no news");
     assert_eq!(adoption.conflict().map(|conflict| conflict.offered), Some(other.head()));
     offer(&mut adoption, &published(6, "six"));
     assert_eq!(adoption.conflict(), None, "ended by a larger revision");
