--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -39,7 +39,7 @@
         fingerprint: = fingerprint, service: = crash.service, target: = crash.target,
         incarnation: = crash.incarnation, ran_ms = reported.began_ago_ms - reported.ended_ago_ms
     });
-    if shared.fleet.lock().quarantine.crashed(fingerprint, &reported, now) {
+    if shared.fleet.lock().quarantine.record_crash(fingerprint, &reported, now) {
         log_verdict(shared, fingerprint, "own");
         tell(shared, fingerprint);
     }
--- a/crates/thymeshift_fleet/tests/quarantine.rs
+++ b/crates/thymeshift_fleet/tests/quarantine.rs
@@ -198,10 +198,10 @@
 #[test]
 fn many_suspects_do_not_make_room_for_one_that_is_refused() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(GUILTY, &crash(0, 1_000, 900), NOW);
-    quarantine.crashed(GUILTY, &crash(1, 890, 800), NOW);
+    quarantine.record_crash(GUILTY, &crash(0, 1_000, 900), NOW);
+    quarantine.record_crash(GUILTY, &crash(1, 890, 800), NOW);
     for number in 0..5_000 {
-        quarantine.crashed(fingerprint(number), &crash(u64::from(number) + 2, 700, 600), NOW);
+        quarantine.record_crash(fingerprint(number), &crash(u64::from(number) + 2, 700, 600), NOW);
     }
     assert!(quarantine.len() <= 1_024, "{} suspects", quarantine.len());
     assert!(matches!(quarantine.verdict(GUILTY, NOW), Verdict::Refused(_)));
@@ -213,7 +213,7 @@
     let mut now = NOW;
     let mut refused_for = Vec::new();
     for number in 0..6 {
-        quarantine.crashed(GUILTY, &crash(number, 50, 0), now);
+        quarantine.record_crash(GUILTY, &crash(number, 50, 0), now);
         match quarantine.verdict(GUILTY, now) {
             Verdict::Refused(left) => {
                 refused_for.push(left.as_secs());
@@ -229,7 +229,7 @@
 #[test]
 fn suspects_are_forgotten_in_the_end() {
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(GUILTY, &crash(0, 1_000, 900), NOW);
+    quarantine.record_crash(GUILTY, &crash(0, 1_000, 900), NOW);
     quarantine.forget_old(NOW + Duration::from_mins(59));
     assert_eq!(quarantine.verdict(GUILTY, NOW + Duration::from_mins(59)), Verdict::Suspected);
     quarantine.forget_old(NOW + Duration::from_hours(2));
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -341,7 +341,7 @@
             began_ago_ms: self.now.since(began_at).as_millis() as u64,
             ended_ago_ms: self.now.since(ended_at).as_millis() as u64,
         };
-        if self.processes[tried.process].crashed(tried.fingerprint, &crash, self.now) {
+        if self.processes[tried.process].record_crash(tried.fingerprint, &crash, self.now) {
             self.tell(tried.process, tried.fingerprint);
         }
         if self.policy.retries && tried.attempts_left > 0 && !self.is_refused(&tried) {
