--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -49,7 +49,7 @@
 pub(crate) fn note_answered(shared: &Shared, fingerprint: Fingerprint) {
     let is_cleared = {
         let quarantine = &mut shared.fleet.lock().quarantine;
-        !quarantine.is_empty() && quarantine.answered(fingerprint, BootClock.now())
+        !quarantine.is_empty() && quarantine.record_answer(fingerprint, BootClock.now())
     };
     if is_cleared {
         log_verdict(shared, fingerprint, "own");
--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -83,7 +83,7 @@
     }
 
     /// A target answered the request. Returns whether that clears it of anything.
-    pub fn answered(&mut self, fingerprint: Fingerprint, now: Timestamp) -> bool {
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.add_answer(now))
     }
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -308,7 +308,7 @@
         self.targets[run.target].runs.retain(|known| *known != number);
         self.result.served += 1;
         let Try { fingerprint, process, .. } = run.tried;
-        if self.processes[process].answered(fingerprint, self.now) {
+        if self.processes[process].record_answer(fingerprint, self.now) {
             self.tell(process, fingerprint);
         }
     }
