--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -62,7 +62,7 @@
     let now = BootClock.now();
     let near = {
         let mut fleet = shared.fleet.lock();
-        if !fleet.quarantine.take(told, now) {
+        if !fleet.quarantine.merge(told, now) {
             return;
         }
         let own_hall = &fleet.members.own().data_hall;
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -270,7 +270,7 @@
         }
         let mut suspects = Vec::new();
         for told in &exchange.suspects {
-            if self.quarantine.take(told, now) {
+            if self.quarantine.merge(told, now) {
                 suspects.push(told.fingerprint);
             }
         }
--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -89,7 +89,7 @@
     }
 
     /// Takes in what a peer tells. Returns whether any of it is news.
-    pub fn take(&mut self, told: &SuspectReport, now: Timestamp) -> bool {
+    pub fn merge(&mut self, told: &SuspectReport, now: Timestamp) -> bool {
         if !self.suspects.contains_key(&told.fingerprint) && !self.make_room(now) {
             return false;
         }
--- a/crates/thymeshift_fleet/tests/quarantine.rs
+++ b/crates/thymeshift_fleet/tests/quarantine.rs
@@ -117,7 +117,7 @@
         let mut quarantine = Quarantine::default();
         let runs = runs_ms.iter().zip(0..);
         let crashes = runs.map(|((began, ended), number)| crash(number, *began, *ended)).collect();
-        quarantine.take(&SuspectReport { fingerprint: GUILTY, crashes, answered_ago_ms }, NOW);
+        quarantine.merge(&SuspectReport { fingerprint: GUILTY, crashes, answered_ago_ms }, NOW);
         let left = match quarantine.verdict(GUILTY, NOW) {
             Verdict::Refused(left) => Some(left),
             Verdict::Free | Verdict::Suspected => None,
@@ -174,19 +174,19 @@
         let told = history.told();
         let mut in_order = Quarantine::default();
         for one in &told {
-            in_order.take(one, NOW);
+            in_order.merge(one, NOW);
         }
         let mut shuffled = Quarantine::default();
         let mut relay = Quarantine::default();
         for index in &history.order {
-            relay.take(&told[*index], NOW);
+            relay.merge(&told[*index], NOW);
             if let Some(passed_on) = relay.told(GUILTY, NOW) {
-                shuffled.take(&passed_on, NOW);
+                shuffled.merge(&passed_on, NOW);
             }
         }
         // Whatever was not drawn arrives at last.
         for one in told.iter().rev() {
-            shuffled.take(one, NOW);
+            shuffled.merge(one, NOW);
         }
         shuffled.verdict(GUILTY, NOW) == in_order.verdict(GUILTY, NOW)
     }
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -195,7 +195,7 @@
             }
             Event::Lost(run, ended_at) => self.lost(run, ended_at),
             Event::Told(process, told) => {
-                self.processes[process].take(&told, self.now);
+                self.processes[process].merge(&told, self.now);
             }
         }
     }
