--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -96,7 +96,7 @@
     let (told, addresses) = {
         let now = BootClock.now();
         let fleet = shared.fleet.lock();
-        let Some(told) = fleet.quarantine.told(fingerprint, now) else {
+        let Some(told) = fleet.quarantine.report(fingerprint, now) else {
             return;
         };
         let members = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -106,8 +106,8 @@
     }
 
     /// One suspect as it is told to peers.
-    pub fn told(&self, fingerprint: Fingerprint, now: Timestamp) -> Option<SuspectReport> {
-        self.suspects.get(&fingerprint).map(|suspect| suspect.told(fingerprint, now))
+    pub fn report(&self, fingerprint: Fingerprint, now: Timestamp) -> Option<SuspectReport> {
+        self.suspects.get(&fingerprint).map(|suspect| suspect.report(fingerprint, now))
     }
 
     /// Up to `count` suspects behind `after`, in a fixed order, as they are told to peers.
@@ -119,7 +119,7 @@
     ) -> Vec<SuspectReport> {
         let is_behind = |fingerprint: &Fingerprint| after.is_none_or(|after| *fingerprint > after);
         let suspects = self.suspects.iter().filter(|(fingerprint, _)| is_behind(fingerprint));
-        suspects.take(count).map(|(key, suspect)| suspect.told(*key, now)).collect()
+        suspects.take(count).map(|(key, suspect)| suspect.report(*key, now)).collect()
     }
 
     /// What operators are shown, the longest refused first.
--- a/crates/thymeshift_fleet/src/quarantine/suspect.rs
+++ b/crates/thymeshift_fleet/src/quarantine/suspect.rs
@@ -145,7 +145,7 @@
         telling
     }
 
-    pub(super) fn told(&self, fingerprint: Fingerprint, now: Timestamp) -> SuspectReport {
+    pub(super) fn report(&self, fingerprint: Fingerprint, now: Timestamp) -> SuspectReport {
         let ago_ms = |at: Timestamp| now.since(at).as_millis() as u64;
         let told = |(id, crash): &(&CrashId, &HeldCrash)| Crash {
             id: (*id).clone(),
--- a/crates/thymeshift_fleet/tests/quarantine.rs
+++ b/crates/thymeshift_fleet/tests/quarantine.rs
@@ -180,7 +180,7 @@
         let mut relay = Quarantine::default();
         for index in &history.order {
             relay.merge(&told[*index], NOW);
-            if let Some(passed_on) = relay.told(GUILTY, NOW) {
+            if let Some(passed_on) = relay.report(GUILTY, NOW) {
                 shuffled.merge(&passed_on, NOW);
             }
         }
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -352,7 +352,7 @@
     }
 
     fn tell(&mut self, process: usize, fingerprint: Fingerprint) {
-        let Some(told) = self.processes[process].told(fingerprint, self.now) else {
+        let Some(told) = self.processes[process].report(fingerprint, self.now) else {
             return;
         };
         let at = self.now + Duration::from_millis(MESSAGE_MS);
