--- a/crates/thymeshift_fleet/src/quarantine/rules.rs
+++ b/crates/thymeshift_fleet/src/quarantine/rules.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineRules {
     /// Crashes from which on it is refused, in number.
-    pub refused_from: usize,
+    pub refusal_strikes_min: usize,
     /// For how long at first. It may still be an innocent one that met two crashes by chance, which
     /// its next run shows.
     pub first_bar: Duration,
@@ -29,7 +29,7 @@
 impl Default for QuarantineRules {
     fn default() -> Self {
         Self {
-            refused_from: 2,
+            refusal_strikes_min: 2,
             first_bar: Duration::from_secs(3),
             second_bar: Duration::from_mins(5),
         }
@@ -39,7 +39,7 @@
 impl QuarantineRules {
     /// How long a request is refused after the last of its crashes, of which `strikes` count.
     pub(super) fn bar(&self, strikes: usize) -> Duration {
-        let Some(beyond) = strikes.checked_sub(self.refused_from) else {
+        let Some(beyond) = strikes.checked_sub(self.refusal_strikes_min) else {
             return Duration::ZERO;
         };
         let Some(doublings) = beyond.checked_sub(1) else {
--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -150,7 +150,7 @@
     /// The ways that are compared.
     pub fn all() -> [Self; 8] {
         let usual = Self::usual();
-        let from = |refused_from| QuarantineRules { refused_from, ..usual.rules };
+        let from = |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..usual.rules };
         let bar = |first_bar| QuarantineRules { first_bar, ..usual.rules };
         [
             Self { name: "nothing remembered", refuses: false, ..usual },
