--- a/crates/thymeshift_fleet/src/quarantine/rules.rs
+++ b/crates/thymeshift_fleet/src/quarantine/rules.rs
@@ -16,7 +16,7 @@
     pub refusal_strikes_min: usize,
     /// For how long at first. It may still be an innocent one that met two crashes by chance, which
     /// its next run shows.
-    pub first_bar: Duration,
+    pub first_refusal: Duration,
     /// For how long after one more crash; each further one doubles it.
     pub second_bar: Duration,
 }
@@ -30,7 +30,7 @@
     fn default() -> Self {
         Self {
             refusal_strikes_min: 2,
-            first_bar: Duration::from_secs(3),
+            first_refusal: Duration::from_secs(3),
             second_bar: Duration::from_mins(5),
         }
     }
@@ -43,7 +43,7 @@
             return Duration::ZERO;
         };
         let Some(doublings) = beyond.checked_sub(1) else {
-            return self.first_bar;
+            return self.first_refusal;
         };
         let factor = 1 << doublings.min(DOUBLINGS_MAX);
         (self.second_bar * factor).min(BAR_MAX)
--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -151,7 +151,7 @@
     pub fn all() -> [Self; 8] {
         let usual = Self::usual();
         let from = |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..usual.rules };
-        let bar = |first_bar| QuarantineRules { first_bar, ..usual.rules };
+        let bar = |first_refusal| QuarantineRules { first_refusal, ..usual.rules };
         [
             Self { name: "nothing remembered", refuses: false, ..usual },
             usual,
