--- a/crates/thymeshift_fleet/src/quarantine/rules.rs
+++ b/crates/thymeshift_fleet/src/quarantine/rules.rs
@@ -18,7 +18,7 @@
     /// its next run shows.
     pub first_refusal: Duration,
     /// For how long after one more crash; each further one doubles it.
-    pub second_bar: Duration,
+    pub second_refusal: Duration,
 }
 
 /// Chosen by replays of a request that comes 2.5 times a second in the mean to 13 processes and 7
@@ -31,7 +31,7 @@
         Self {
             refusal_strikes_min: 2,
             first_refusal: Duration::from_secs(3),
-            second_bar: Duration::from_mins(5),
+            second_refusal: Duration::from_mins(5),
         }
     }
 }
@@ -46,7 +46,7 @@
             return self.first_refusal;
         };
         let factor = 1 << doublings.min(DOUBLINGS_MAX);
-        (self.second_bar * factor).min(BAR_MAX)
+        (self.second_refusal * factor).min(BAR_MAX)
     }
 
     /// How long after the last of them crashes are remembered: so long that a request
