--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -78,7 +78,7 @@
         rank: fleet.members.rank_in_hall(now),
         is_contact: fleet.members.is_contact(now),
     };
-    fleet.readers.turn(&others, place, now)
+    fleet.readers.next_action(&others, place, now)
 }
 
 /// Makes one call and puts in force what it brought. Returns how many documents changed.
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -119,7 +119,7 @@
             let others = alive.iter().take(CONTACTS).filter(|other| **other != index);
             let others: Vec<VmName> = others.copied().map(vm).collect();
             let contacts: Vec<Candidate<'_>> = others.iter().map(contender).collect();
-            let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
+            let hold_ms = match processes[index].readers.next_action(&contacts, place, at(now_ms)) {
                 ReadAction::LongPoll => HOLD_MS,
                 ReadAction::Poll => 4,
                 ReadAction::Wait(rest) => {
@@ -298,7 +298,7 @@
     let mut now = at(0);
     for _ in 0..6 {
         readers.failed(18, 0.5, now);
-        let ReadAction::Wait(rest) = readers.turn(&[], FIRST, now) else {
+        let ReadAction::Wait(rest) = readers.next_action(&[], FIRST, now) else {
             panic!("no pause after a failure");
         };
         rests.push(rest);
@@ -307,7 +307,7 @@
     assert!(rests.is_sorted(), "{rests:?}");
     assert!(rests[5] <= Duration::from_millis(2_500), "{rests:?}");
     readers.succeeded(now);
-    assert_eq!(readers.turn(&[], FIRST, now), ReadAction::LongPoll);
+    assert_eq!(readers.next_action(&[], FIRST, now), ReadAction::LongPoll);
 }
 
 #[test]
