--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -161,7 +161,7 @@
         let mut fleet = shared.fleet.lock();
         let SourceHeartbeat { reader, is_answered, heads, .. } = heartbeat;
         let is_due = fleet.passing_on.is_due(*is_answered, *heads, now);
-        fleet.readers.heard(reader, *is_answered, now);
+        fleet.readers.record_report(reader, *is_answered, now);
         let own = fleet.members.own();
         (heartbeat.data_hall != own.data_hall && is_due).then(|| {
             let passed_on = SourceHeartbeat {
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -180,7 +180,7 @@
     }
 
     /// Another process told that its call was answered, or failed.
-    pub fn heard(&mut self, vm: &VmName, is_answered: bool, now: Timestamp) {
+    pub fn record_report(&mut self, vm: &VmName, is_answered: bool, now: Timestamp) {
         if is_answered {
             self.confirm(now);
             self.passed_over.remove(vm);
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -105,7 +105,7 @@
                 for other in (0..count).filter(|other| *other != index && is_up(*other, now_ms)) {
                     // One heartbeat in twenty is lost.
                     if !rng.random_ratio(1, 20) {
-                        processes[other].readers.heard(&vm(index), is_good, at(now_ms));
+                        processes[other].readers.record_report(&vm(index), is_good, at(now_ms));
                     }
                 }
             }
@@ -273,17 +273,17 @@
     for Case { note, silent_ms, paused_ms, is_back } in cases {
         for own in [true, false] {
             let mut readers = Readers::new(vm(0), Capacity::default(), at(0));
-            readers.heard(&vm(1), true, at(1_000));
+            readers.record_report(&vm(1), true, at(1_000));
             readers.paused(Duration::from_millis(paused_ms));
             let answered = at(1_000 + silent_ms);
             if own {
                 readers.succeeded(answered);
             } else {
-                readers.heard(&vm(1), true, answered);
+                readers.record_report(&vm(1), true, answered);
             }
             assert_eq!(readers.is_just_back(answered), is_back, "{note}, own call: {own}");
             let later = at(1_000 + silent_ms + 1_000);
-            readers.heard(&vm(1), true, later);
+            readers.record_report(&vm(1), true, later);
             assert_eq!(readers.is_just_back(later), is_back, "{note}: still after a second");
             let too_late = at(1_000 + silent_ms + 2_500);
             assert!(!readers.is_just_back(too_late), "{note}: that ends");
