--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -214,7 +214,7 @@
     /// forgotten them meanwhile, and those that live are listed again soon. Returns how many
     /// are kept.
     pub(crate) fn take_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
-        let before = self.discovery.take().filter(|_| self.readers.is_just_back(now));
+        let before = self.discovery.take().filter(|_| self.readers.has_just_recovered(now));
         let Some(before) = before else {
             self.listed = None;
             self.discovery = Some(listed);
@@ -228,7 +228,7 @@
 
     /// Drops kept targets that were not listed again in time. Returns whether there were any.
     pub(crate) fn drop_kept(&mut self, now: Timestamp) -> bool {
-        if self.readers.is_just_back(now) {
+        if self.readers.has_just_recovered(now) {
             return false;
         }
         let Some(listed) = self.listed.take() else {
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -158,7 +158,7 @@
 
     /// Whether the source has just returned from an outage, so that what it no longer lists
     /// may still be there.
-    pub fn is_just_back(&self, now: Timestamp) -> bool {
+    pub fn has_just_recovered(&self, now: Timestamp) -> bool {
         self.returned_at.is_some_and(|at| now.since(at) < LISTED_AGAIN_WITHIN)
     }
 
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -281,12 +281,12 @@
             } else {
                 readers.record_report(&vm(1), true, answered);
             }
-            assert_eq!(readers.is_just_back(answered), is_back, "{note}, own call: {own}");
+            assert_eq!(readers.has_just_recovered(answered), is_back, "{note}, own call: {own}");
             let later = at(1_000 + silent_ms + 1_000);
             readers.record_report(&vm(1), true, later);
-            assert_eq!(readers.is_just_back(later), is_back, "{note}: still after a second");
+            assert_eq!(readers.has_just_recovered(later), is_back, "{note}: still after a second");
             let too_late = at(1_000 + silent_ms + 2_500);
-            assert!(!readers.is_just_back(too_late), "{note}: that ends");
+            assert!(!readers.has_just_recovered(too_late), "{note}: that ends");
         }
     }
 }
