--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -259,7 +259,7 @@
             }
         }
         for watcher in &exchange.watchers {
-            self.election.learn(watcher, now);
+            self.election.merge(watcher, now);
         }
         let marks = exchange.leaving.iter();
         let marks = marks.filter(|mark| self.is_wanted(mark) && self.add_mark(mark));
--- a/crates/thymeshift_fleet/src/watch.rs
+++ b/crates/thymeshift_fleet/src/watch.rs
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a watcher that a peer named.
-    pub fn learn(&mut self, watcher: &Watcher, now: Timestamp) {
+    pub fn merge(&mut self, watcher: &Watcher, now: Timestamp) {
         if watcher.vm == self.vm {
             return;
         }
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -317,7 +317,7 @@
 
     fn tell(&mut self, from: usize, to: usize) {
         for watcher in self.elections[from].watchers(self.now) {
-            self.elections[to].learn(&watcher, self.now);
+            self.elections[to].merge(&watcher, self.now);
         }
     }
 
