--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -71,7 +71,7 @@
         log_offer("targets", offer, published, source, rejection);
         if offer == OfferOutcome::Adopted {
             let ended = BootClock.now();
-            self.list_pace.lock().taken(ended.since(now), ended);
+            self.list_pace.lock().record_applied(ended.since(now), ended);
             self.pass_on();
         }
         offer
--- a/crates/thymeshift_fleet/src/pace.rs
+++ b/crates/thymeshift_fleet/src/pace.rs
@@ -24,7 +24,7 @@
 
 impl ListPace {
     /// A list was taken in; it took `spent`.
-    pub fn taken(&mut self, spent: Duration, now: Timestamp) {
+    pub fn record_applied(&mut self, spent: Duration, now: Timestamp) {
         self.not_before = now + (spent * REST_FACTOR).min(REST_MAX);
     }
 
--- a/crates/thymeshift_fleet/tests/pace.rs
+++ b/crates/thymeshift_fleet/tests/pace.rs
@@ -29,7 +29,7 @@
             assert!(rest <= Duration::from_millis(rest_max_ms), "{cost_ms} ms: {rest:?}");
             now = now + rest + cost;
             spent += cost;
-            pace.taken(cost, now);
+            pace.record_applied(cost, now);
         }
         now = now + pace.rest(now);
         let share = spent.as_micros() as u64 * 100 / now.since(begin).as_micros() as u64;
