--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -179,7 +179,7 @@
 
     /// How long this process rests before it takes in another list of targets.
     pub(crate) fn rest(&self) -> Duration {
-        self.list_pace.lock().rest(BootClock.now())
+        self.list_pace.lock().remaining_delay(BootClock.now())
     }
 
     /// Numbers the reports of crashed targets that this process makes.
--- a/crates/thymeshift_fleet/src/pace.rs
+++ b/crates/thymeshift_fleet/src/pace.rs
@@ -29,7 +29,7 @@
     }
 
     /// Time until the next one may be.
-    pub fn rest(&self, now: Timestamp) -> Duration {
+    pub fn remaining_delay(&self, now: Timestamp) -> Duration {
         now.until(self.not_before)
     }
 }
--- a/crates/thymeshift_fleet/tests/pace.rs
+++ b/crates/thymeshift_fleet/tests/pace.rs
@@ -25,13 +25,13 @@
         let begin = Timestamp::from_millis(10_000);
         let (mut now, mut spent) = (begin, Duration::ZERO);
         for _ in 0..100 {
-            let rest = pace.rest(now);
+            let rest = pace.remaining_delay(now);
             assert!(rest <= Duration::from_millis(rest_max_ms), "{cost_ms} ms: {rest:?}");
             now = now + rest + cost;
             spent += cost;
             pace.record_applied(cost, now);
         }
-        now = now + pace.rest(now);
+        now = now + pace.remaining_delay(now);
         let share = spent.as_micros() as u64 * 100 / now.since(begin).as_micros() as u64;
         assert!(share <= share_max, "{cost_ms} ms: {share} in 100");
     }
