--- a/crates/thymeshift_allocation/tests/drained_order.rs
+++ b/crates/thymeshift_allocation/tests/drained_order.rs
@@ -28,7 +28,7 @@
 use thymeshift_dispatch::Tried;
 use thymeshift_dispatch::View;
 use thymeshift_fleet::Adoption;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::Published;
 use thymeshift_types::DataHallName;
 use thymeshift_types::Revision;
@@ -141,7 +141,7 @@
 
     fn offer(&mut self, published: &Published, now: Timestamp) {
         let (offer, read) = self.lists.offer(published, now, Discovery::parse);
-        if offer != Offer::Adopted {
+        if offer != OfferOutcome::Adopted {
             return;
         }
         let joined = base().with_discovered(&read.expect("an adopted list"));
