--- a/crates/thymeshift_supervisor/src/supervisor.rs
+++ b/crates/thymeshift_supervisor/src/supervisor.rs
@@ -20,7 +20,7 @@
 
 /// A task that failed too often for its supervisor to go on.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("task {path} ended {end_count} times within {window:?}, last_reason: {last_reason}")]
+#[display("task {path} ended {end_count} times within {window:?}, last: {last_reason}")]
 pub struct Escalation {
     /// Names of its supervisors and its own, joined by `/`.
     pub path: String,
