--- a/crates/thymeshift_entry/src/control_plane/operators.rs
+++ b/crates/thymeshift_entry/src/control_plane/operators.rs
@@ -100,7 +100,8 @@
         let there = |member: &MemberDump| member.liveness != Liveness::Gone;
         let there: Vec<MemberDump> = members.into_iter().filter(there).collect();
         let addresses = there.iter().map(|there| there.member.peer_address);
-        let told = addresses.map(|address| exchange_once(&self.shared, address, GossipScope::SenderOnly));
+        let told =
+            addresses.map(|address| exchange_once(&self.shared, address, GossipScope::SenderOnly));
         let answers = join_all(told).await;
         let mut confirmed = vec![self.shared.settings().vm.clone()];
         let mut unconfirmed = Vec::new();
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -11,8 +11,8 @@
 use thymeshift_config::Settings;
 use thymeshift_config::Target;
 use thymeshift_fleet::Adoption;
-use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
+use thymeshift_fleet::ForwardingFilter;
 use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::LeavingRegister;
@@ -22,11 +22,11 @@
 use thymeshift_fleet::OrderChange;
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Orders;
-use thymeshift_fleet::ForwardingFilter;
 use thymeshift_fleet::Phase;
 use thymeshift_fleet::Published;
 use thymeshift_fleet::Quarantine;
 use thymeshift_fleet::Readers;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::SuspectReport;
 use thymeshift_fleet::Verdict;
 use thymeshift_fleet::WatcherSelection;
@@ -274,7 +274,8 @@
                 suspects.push(told.fingerprint);
             }
         }
-        let seen = exchange.configuration.filter(|head| self.configuration.observe_peer_head(*head));
+        let seen =
+            exchange.configuration.filter(|head| self.configuration.observe_peer_head(*head));
         Taken { wanted: self.wanted(exchange), marks, has_new_orders, suspects, conflicting: seen }
     }
 
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -179,7 +179,12 @@
 }
 
 fn ended(last_reason: &str) -> Escalation {
-    Escalation { path: "entry".to_owned(), end_count: 1, window: Duration::ZERO, last_reason: last_reason.to_owned() }
+    Escalation {
+        path: "entry".to_owned(),
+        end_count: 1,
+        window: Duration::ZERO,
+        last_reason: last_reason.to_owned(),
+    }
 }
 
 /// The planned stop. In order: readiness fails; callers are still accepted for a while,
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -19,9 +19,9 @@
 //! The platform's list is a hint: it names addresses to try, and it ends nothing.
 
 mod contacts;
+mod gossip;
 mod known;
 mod visibility;
-mod gossip;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,10 +42,10 @@
 use crate::members::known::Known;
 use crate::members::known::MEMBERS_PER_PATIENCE;
 
-pub use visibility::VisibleMembers;
-pub use gossip::ReceivedSummary;
-pub use gossip::GossipScope;
 pub use gossip::GossipMember;
+pub use gossip::GossipScope;
+pub use gossip::ReceivedSummary;
+pub use visibility::VisibleMembers;
 
 /// Members kept at most.
 const MEMBERS_MAX: usize = 4_096;
--- a/crates/thymeshift_fleet/src/members/gossip.rs
+++ b/crates/thymeshift_fleet/src/members/gossip.rs
@@ -90,7 +90,12 @@
     }
 
     /// The members to pass on: this process first, then others as `breadth` says.
-    pub fn members_to_send(&self, breadth: GossipScope<'_>, now: Timestamp, rng: &mut impl Rng) -> Vec<GossipMember> {
+    pub fn members_to_send(
+        &self,
+        breadth: GossipScope<'_>,
+        now: Timestamp,
+        rng: &mut impl Rng,
+    ) -> Vec<GossipMember> {
         let patience = self.patience();
         let heard = || {
             self.known.values().filter(move |known| known.liveness(patience, now) != Liveness::Gone)
--- a/crates/thymeshift_fleet/src/members/visibility.rs
+++ b/crates/thymeshift_fleet/src/members/visibility.rs
@@ -37,6 +37,9 @@
         });
         let known_count = serving.clone().count() + usize::from(own.is_some());
         let visible = serving.filter(|known| known.is_heard(patience, now));
-        VisibleMembers { visible: visible.map(|known| &known.member).chain(own).collect(), known_count }
+        VisibleMembers {
+            visible: visible.map(|known| &known.member).chain(own).collect(),
+            known_count,
+        }
     }
 }
--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -75,7 +75,12 @@
     }
 
     /// A target ended while it ran the request. Returns whether that is news.
-    pub fn record_crash(&mut self, fingerprint: Fingerprint, crash: &Crash, now: Timestamp) -> bool {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crash: &Crash,
+        now: Timestamp,
+    ) -> bool {
         if !self.suspects.contains_key(&fingerprint) && !self.make_room(now) {
             return false;
         }
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -111,7 +111,12 @@
 
     /// What to do now; `contacts` are the other processes that may read all the time, `place`
     /// is this process's own.
-    pub fn next_action(&self, contacts: &[Candidate<'_>], place: HallRank, now: Timestamp) -> ReadAction {
+    pub fn next_action(
+        &self,
+        contacts: &[Candidate<'_>],
+        place: HallRank,
+        now: Timestamp,
+    ) -> ReadAction {
         if now < self.not_before {
             return ReadAction::Wait(now.until(self.not_before));
         }
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -44,7 +44,10 @@
 }
 
 /// The place of `own`, which is among `hall`, the processes of its data hall.
-pub fn relay_position<'a>(own: &VmName, hall: impl Iterator<Item = Candidate<'a>>) -> RelayPosition {
+pub fn relay_position<'a>(
+    own: &VmName,
+    hall: impl Iterator<Item = Candidate<'a>>,
+) -> RelayPosition {
     let order = ranked(CONTACT_TASK, hall);
     let place = order.iter().position(|vm| *vm == own).unwrap_or(0);
     let first_below = place * FAN_OUT + 1;
--- a/crates/thymeshift_fleet/tests/documents.rs
+++ b/crates/thymeshift_fleet/tests/documents.rs
@@ -136,13 +136,33 @@
 #[test]
 fn offers_in_turn() {
     let cases = [
-        Case { name: "the first", offered: (5, "five"), expected: OfferOutcome::Adopted, in_force: 5 },
-        Case { name: "again", offered: (5, "five"), expected: OfferOutcome::Confirmed, in_force: 5 },
+        Case {
+            name: "the first",
+            offered: (5, "five"),
+            expected: OfferOutcome::Adopted,
+            in_force: 5,
+        },
+        Case {
+            name: "again",
+            offered: (5, "five"),
+            expected: OfferOutcome::Confirmed,
+            in_force: 5,
+        },
         Case { name: "older", offered: (4, "four"), expected: OfferOutcome::Older, in_force: 5 },
         Case { name: "other", offered: (5, "5"), expected: OfferOutcome::Conflicting, in_force: 5 },
-        Case { name: "invalid", offered: (6, "bad"), expected: OfferOutcome::Rejected, in_force: 5 },
+        Case {
+            name: "invalid",
+            offered: (6, "bad"),
+            expected: OfferOutcome::Rejected,
+            in_force: 5,
+        },
         Case { name: "still", offered: (6, "bad"), expected: OfferOutcome::Rejected, in_force: 5 },
-        Case { name: "mended", offered: (7, "seven"), expected: OfferOutcome::Adopted, in_force: 7 },
+        Case {
+            name: "mended",
+            offered: (7, "seven"),
+            expected: OfferOutcome::Adopted,
+            in_force: 7,
+        },
         Case { name: "late", offered: (6, "bad"), expected: OfferOutcome::Older, in_force: 7 },
     ];
     let mut adoption = Adoption::default();
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -8,13 +8,13 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::Boot;
+use thymeshift_fleet::GossipMember;
 use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Members;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::GossipMember;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::ranked;
 use thymeshift_types::Capacity;
 use thymeshift_types::DataHallName;
@@ -133,8 +133,12 @@
                 self.processes[number].members.record_no_answer(address);
                 continue;
             };
-            let asked =
-                ReceivedSummary { sender: &summary[0].member, digest, is_new, is_regular: summary.len() > 1 };
+            let asked = ReceivedSummary {
+                sender: &summary[0].member,
+                digest,
+                is_new,
+                is_regular: summary.len() > 1,
+            };
             let members = &mut self.processes[other].members;
             take(members, &summary, now);
             let breadth = members.answer_scope(&asked, now);
--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -23,7 +23,12 @@
 }
 
 /// A task that misbehaves `times` times and then runs on; counts its starts.
-fn task(restart: RestartPolicy, behaviour: Behaviour, times: usize, starts: &Arc<AtomicUsize>) -> Task {
+fn task(
+    restart: RestartPolicy,
+    behaviour: Behaviour,
+    times: usize,
+    starts: &Arc<AtomicUsize>,
+) -> Task {
     let starts = starts.clone();
     Task::new("odd", restart, move || {
         let start = starts.fetch_add(1, Ordering::SeqCst);
