--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -11,25 +11,25 @@
 use thymeshift_config::Settings;
 use thymeshift_config::Target;
 use thymeshift_fleet::Adoption;
-use thymeshift_fleet::Asked;
 use thymeshift_fleet::Boot;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::ForwardingFilter;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::LeavingRegister;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Members;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::OrderChange;
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Orders;
-use thymeshift_fleet::PassingOn;
 use thymeshift_fleet::Phase;
 use thymeshift_fleet::Published;
 use thymeshift_fleet::Quarantine;
 use thymeshift_fleet::Readers;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::SuspectReport;
 use thymeshift_fleet::Verdict;
-use thymeshift_fleet::WatchElection;
+use thymeshift_fleet::WatcherSelection;
 use thymeshift_types::Fingerprint;
 use thymeshift_types::LeavingMark;
 use thymeshift_types::Timestamp;
@@ -56,14 +56,14 @@
     discovery_reader: DiscoveryReader,
     pub(crate) readers: Readers,
     /// News of readers that was passed on within the data hall.
-    pub(crate) passing_on: PassingOn<Heads>,
+    pub(crate) passing_on: ForwardingFilter<Heads>,
     /// The configuration in force, without discovered targets.
     pub(crate) base: Option<Configuration>,
     /// The discovered targets in force: those listed, and those kept for a moment.
     pub(crate) discovery: Option<Discovery>,
     /// The discovered targets as listed, while others are kept beside them.
     listed: Option<Discovery>,
-    pub(crate) election: WatchElection,
+    pub(crate) election: WatcherSelection,
     pub(crate) members: Members,
     pub(crate) leaving: LeavingRegister,
     pub(crate) orders: Orders,
@@ -109,11 +109,11 @@
             targets: Adoption::default(),
             discovery_reader: DiscoveryReader::default(),
             readers: Readers::new(settings.vm.clone(), settings.processor_share, now),
-            passing_on: PassingOn::default(),
+            passing_on: ForwardingFilter::default(),
             base: None,
             discovery: None,
             listed: None,
-            election: WatchElection::new(settings.vm.clone(), boot),
+            election: WatcherSelection::new(settings.vm.clone(), boot),
             members: Members::new(own, settings.peers.clone()),
             leaving: LeavingRegister::default(),
             orders: Orders::default(),
@@ -127,13 +127,13 @@
     /// The summary to send.
     pub(crate) fn summary(
         &mut self,
-        breadth: Breadth<'_>,
+        breadth: GossipScope<'_>,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
         Exchange {
             is_new: self.members.is_new(),
-            members: self.members.passed_on(breadth, now, rng),
+            members: self.members.members_to_send(breadth, now, rng),
             digest: self.members.digest(now),
             configuration: self.configuration.head(),
             vm_list: self.vm_list.head(),
@@ -153,14 +153,14 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
-        let breadth = theirs.members.first().map_or(Breadth::News, |sender| {
-            let asked = Asked {
+        let breadth = theirs.members.first().map_or(GossipScope::SenderOnly, |sender| {
+            let asked = ReceivedSummary {
                 sender: &sender.member,
                 digest: theirs.digest,
                 is_new: theirs.is_new,
                 is_regular: theirs.members.len() > 1,
             };
-            self.members.answer_breadth(&asked, now)
+            self.members.answer_scope(&asked, now)
         });
         let mut answer = self.summary(breadth, now, rng);
         if theirs.is_new {
@@ -204,7 +204,7 @@
         &mut self,
         published: &Published,
         now: Timestamp,
-    ) -> (Offer, Option<Discovery>) {
+    ) -> (OfferOutcome, Option<Discovery>) {
         let reader = &mut self.discovery_reader;
         self.targets.offer(published, now, |text| reader.parse(text))
     }
@@ -214,7 +214,7 @@
     /// forgotten them meanwhile, and those that live are listed again soon. Returns how many
     /// are kept.
     pub(crate) fn take_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
-        let before = self.discovery.take().filter(|_| self.readers.is_just_back(now));
+        let before = self.discovery.take().filter(|_| self.readers.has_just_recovered(now));
         let Some(before) = before else {
             self.listed = None;
             self.discovery = Some(listed);
@@ -228,7 +228,7 @@
 
     /// Drops kept targets that were not listed again in time. Returns whether there were any.
     pub(crate) fn drop_kept(&mut self, now: Timestamp) -> bool {
-        if self.readers.is_just_back(now) {
+        if self.readers.has_just_recovered(now) {
             return false;
         }
         let Some(listed) = self.listed.take() else {
@@ -253,13 +253,13 @@
     /// Takes in a summary.
     pub(crate) fn take(&mut self, exchange: &Exchange, now: Timestamp) -> Taken {
         if let Some((sender, others)) = exchange.members.split_first() {
-            self.members.answered(&sender.member, now);
+            self.members.record_answer(&sender.member, now);
             for told in others {
-                self.members.learn(told, now);
+                self.members.merge(told, now);
             }
         }
         for watcher in &exchange.watchers {
-            self.election.learn(watcher, now);
+            self.election.merge(watcher, now);
         }
         let marks = exchange.leaving.iter();
         let marks = marks.filter(|mark| self.is_wanted(mark) && self.add_mark(mark));
@@ -270,11 +270,12 @@
         }
         let mut suspects = Vec::new();
         for told in &exchange.suspects {
-            if self.quarantine.take(told, now) {
+            if self.quarantine.merge(told, now) {
                 suspects.push(told.fingerprint);
             }
         }
-        let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
+        let seen =
+            exchange.configuration.filter(|head| self.configuration.observe_peer_head(*head));
         Taken { wanted: self.wanted(exchange), marks, has_new_orders, suspects, conflicting: seen }
     }
 
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -22,7 +22,7 @@
 use thymeshift_fleet::ListPace;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::Reach;
+use thymeshift_fleet::VisibleMembers;
 use thymeshift_fleet::ranked;
 use thymeshift_supervisor::Statuses;
 use thymeshift_telemetry::LineBudget;
@@ -179,7 +179,7 @@
 
     /// How long this process rests before it takes in another list of targets.
     pub(crate) fn rest(&self) -> Duration {
-        self.list_pace.lock().rest(BootClock.now())
+        self.list_pace.lock().remaining_delay(BootClock.now())
     }
 
     /// Numbers the reports of crashed targets that this process makes.
@@ -228,13 +228,13 @@
         let fleet = self.fleet.lock();
         let of_hall = match group {
             Group::All => None,
-            Group::Hall(hall) => Some(fleet.members.reach_in(hall, now)),
+            Group::Hall(hall) => Some(fleet.members.visible_in(hall, now)),
         };
         // The processes of a hall that none is heard of may still allocate its group there.
         let is_hall_silent =
-            of_hall.as_ref().is_some_and(|reach| reach.heard.is_empty() && reach.known > 0);
-        let reach = of_hall.filter(|reach| !reach.heard.is_empty());
-        let reach = reach.unwrap_or_else(|| fleet.members.reach(now));
+            of_hall.as_ref().is_some_and(|reach| reach.visible.is_empty() && reach.known_count > 0);
+        let reach = of_hall.filter(|reach| !reach.visible.is_empty());
+        let reach = reach.unwrap_or_else(|| fleet.members.visible_contacts(now));
         let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
         AllocatorRank { better_ranked: rank.better_ranked + usize::from(is_hall_silent), ..rank }
     }
@@ -242,7 +242,7 @@
     /// Where this process stands among those that do a task for the whole fleet.
     pub(crate) fn standing_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let reach = fleet.members.reach(now);
+        let reach = fleet.members.visible_contacts(now);
         rank_in(&fleet, task, &reach)
     }
 
@@ -276,8 +276,8 @@
         let (member, addresses) = {
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
-            fleet.members.beat(self.phase(), revision);
-            let near = fleet.members.neighbours(BootClock.now());
+            fleet.members.advance_heartbeat(self.phase(), revision);
+            let near = fleet.members.hall_peers(BootClock.now());
             let addresses: Vec<_> = near.filter_map(|member| member.datagram_address).collect();
             (fleet.members.own().clone(), addresses)
         };
@@ -287,11 +287,15 @@
     }
 }
 
-fn rank_in(fleet: &Fleet, task: &str, reach: &Reach<'_>) -> AllocatorRank {
+fn rank_in(fleet: &Fleet, task: &str, reach: &VisibleMembers<'_>) -> AllocatorRank {
     let own = &fleet.members.own().vm;
-    let order = ranked(task, reach.heard.iter().map(|member| member.contender()));
+    let order = ranked(task, reach.visible.iter().map(|member| member.candidate()));
     let before = order.iter().take_while(|vm| **vm != own).count();
-    AllocatorRank { better_ranked: before, reachable: reach.heard.len(), known: reach.known }
+    AllocatorRank {
+        better_ranked: before,
+        reachable: reach.visible.len(),
+        known: reach.known_count,
+    }
 }
 
 /// What processes are ranked for as allocators of a group.
@@ -310,7 +314,7 @@
         let address = fleet.members.find(vm)?.datagram_address?;
         Some(AllocatorAddress { vm: vm.clone(), address })
     };
-    ranked(task, eligible.into_iter().map(Member::contender))
+    ranked(task, eligible.into_iter().map(Member::candidate))
         .into_iter()
         .filter_map(|vm| if *vm == own.vm { Some(None) } else { place(vm).map(Some) })
         .collect()
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -19,9 +19,9 @@
 //! The platform's list is a hint: it names addresses to try, and it ends nothing.
 
 mod contacts;
+mod gossip;
 mod known;
-mod reach;
-mod telling;
+mod visibility;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,10 +42,10 @@
 use crate::members::known::Known;
 use crate::members::known::MEMBERS_PER_PATIENCE;
 
-pub use reach::Reach;
-pub use telling::Asked;
-pub use telling::Breadth;
-pub use telling::Told;
+pub use gossip::GossipMember;
+pub use gossip::GossipScope;
+pub use gossip::ReceivedSummary;
+pub use visibility::VisibleMembers;
 
 /// Members kept at most.
 const MEMBERS_MAX: usize = 4_096;
@@ -86,7 +86,7 @@
     }
 
     /// Counts a heartbeat and says what holds now.
-    pub fn beat(&mut self, phase: Phase, revision: Option<Revision>) {
+    pub fn advance_heartbeat(&mut self, phase: Phase, revision: Option<Revision>) {
         self.own.heartbeat += 1;
         self.own.phase = phase;
         self.own.revision = revision;
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what a peer passed on.
-    pub fn learn(&mut self, told: &Told, now: Timestamp) {
+    pub fn merge(&mut self, told: &GossipMember, now: Timestamp) {
         self.learn_from(&told.member, Duration::from_millis(told.silent_ms.into()), now);
     }
 
@@ -121,9 +121,9 @@
     }
 
     /// A peer answered: direct evidence.
-    pub fn answered(&mut self, member: &Member, now: Timestamp) {
+    pub fn record_answer(&mut self, member: &Member, now: Timestamp) {
         self.heard = self.heard.saturating_add(1);
-        self.introduced(member, now);
+        self.record_announcement(member, now);
         if let Some(known) = self.known.get_mut(&member.vm) {
             known.last_seen_at = now;
             known.unanswered = 0;
@@ -131,12 +131,12 @@
     }
 
     /// A member said something of itself.
-    pub fn introduced(&mut self, member: &Member, now: Timestamp) {
+    pub fn record_announcement(&mut self, member: &Member, now: Timestamp) {
         self.learn_from(member, Duration::ZERO, now);
     }
 
     /// A process sent something by itself: direct evidence, if it is the start known here.
-    pub fn heard(&mut self, vm: &VmName, boot: Boot, now: Timestamp) {
+    pub fn record_message(&mut self, vm: &VmName, boot: Boot, now: Timestamp) {
         if let Some(known) = self.known.get_mut(vm).filter(|known| known.member.boot == boot) {
             known.last_seen_at = now;
             known.unanswered = 0;
@@ -144,7 +144,7 @@
     }
 
     /// A peer did not answer.
-    pub fn unanswered(&mut self, address: SocketAddr) {
+    pub fn record_no_answer(&mut self, address: SocketAddr) {
         for known in self.known.values_mut() {
             if known.member.peer_address == address {
                 known.unanswered += 1;
@@ -171,7 +171,7 @@
     /// address from settings or the platform's list that belongs to no known member is
     /// tried like a member. In a large fleet most talk stays within the data hall: the ways
     /// between halls are longer and may cost.
-    pub fn pick(&self, count: usize, now: Timestamp, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn pick_peers(&self, count: usize, now: Timestamp, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let patience = self.patience();
         let is_large = self.known.len() >= MEMBERS_PER_PATIENCE;
         let is_local = !rng.random_ratio(1, PICKS_PER_OTHER_HALL);
@@ -193,7 +193,7 @@
 
     /// Up to `count` addresses of members that hold documents, for a process that has none:
     /// those of the own data hall, if there are any.
-    pub fn pick_informed(&self, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn pick_document_holders(&self, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let informed = || self.known.values().filter(|known| known.member.revision.is_some());
         let mut drawn = informed().filter(|known| self.is_near(known)).choose_multiple(rng, count);
         if drawn.is_empty() {
@@ -219,7 +219,7 @@
 
     /// The other processes of the own data hall that are not known to be gone: news is worth
     /// telling them, also those that have not answered for a moment.
-    pub fn neighbours(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
+    pub fn hall_peers(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
         let patience = self.patience();
         let is_present = move |known: &&Known| known.liveness(patience, now) != Liveness::Gone;
         let near = self.known.values().filter(|known| self.is_near(known));
--- a/crates/thymeshift_fleet/src/members/telling.rs
+++ b/crates/thymeshift_fleet/src/members/gossip.rs
@@ -24,19 +24,19 @@
 
 /// How much a message says of members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breadth<'a> {
+pub enum GossipScope<'a> {
     /// The sender and a few others.
     Regular,
     /// The sender, the contacts of all data halls, and all known members of this one, if one is
     /// named: the receiver is new, or knows others than the sender.
     Wide(Option<&'a DataHallName>),
     /// The sender alone: the message is about something that changed.
-    News,
+    SenderOnly,
 }
 
 /// What a peer's message shows of the sender.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct ReceivedSummary<'a> {
     /// The sender.
     pub sender: &'a Member,
     /// The fleet as it knows it.
@@ -49,7 +49,7 @@
 
 /// A member as it is passed on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct GossipMember {
     /// What it said of itself.
     pub member: Member,
     /// How long ago that was news to the sender, in milliseconds.
@@ -59,28 +59,28 @@
 impl Members {
     /// How much to answer to a peer's message. One that is new, or knows other members of its
     /// data hall than this process does, is told of all.
-    pub fn answer_breadth<'a>(&self, asked: &Asked<'a>, now: Timestamp) -> Breadth<'a> {
+    pub fn answer_scope<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> GossipScope<'a> {
         let hall = &asked.sender.data_hall;
         let is_near = *hall == self.own.data_hall;
         if asked.is_new {
-            return Breadth::Wide(Some(hall));
+            return GossipScope::Wide(Some(hall));
         }
         if !asked.is_regular {
-            return Breadth::News;
+            return GossipScope::SenderOnly;
         }
         let own = self.digest(now);
         if is_near && asked.digest.hall != own.hall {
-            Breadth::Wide(Some(hall))
+            GossipScope::Wide(Some(hall))
         } else if asked.digest.contacts != own.contacts {
-            Breadth::Wide(None)
+            GossipScope::Wide(None)
         } else {
-            Breadth::Regular
+            GossipScope::Regular
         }
     }
 
     /// The fleet as known here.
     pub fn digest(&self, now: Timestamp) -> FleetDigest {
-        let neighbours = self.neighbours(now).chain([&self.own]);
+        let neighbours = self.hall_peers(now).chain([&self.own]);
         let patience = self.patience();
         let contacts = self.contacts_of(|known| known.liveness(patience, now) != Liveness::Gone);
         FleetDigest {
@@ -90,18 +90,23 @@
     }
 
     /// The members to pass on: this process first, then others as `breadth` says.
-    pub fn passed_on(&self, breadth: Breadth<'_>, now: Timestamp, rng: &mut impl Rng) -> Vec<Told> {
+    pub fn members_to_send(
+        &self,
+        breadth: GossipScope<'_>,
+        now: Timestamp,
+        rng: &mut impl Rng,
+    ) -> Vec<GossipMember> {
         let patience = self.patience();
         let heard = || {
             self.known.values().filter(move |known| known.liveness(patience, now) != Liveness::Gone)
         };
         let others: Vec<&Known> = match breadth {
-            Breadth::News => Vec::new(),
-            Breadth::Regular => {
+            GossipScope::SenderOnly => Vec::new(),
+            GossipScope::Regular => {
                 let most = PASSED_ON_MAX + self.known.len() / MEMBERS_PER_PASSED_ON;
                 heard().choose_multiple(rng, most.min(PASSED_ON_MOST))
             }
-            Breadth::Wide(hall) => {
+            GossipScope::Wide(hall) => {
                 let is_of_hall = |known: &Known| Some(&known.member.data_hall) == hall;
                 let of_hall = heard().filter(|known| is_of_hall(known));
                 let contacts = self.contacts_where(|known| {
@@ -110,11 +115,11 @@
                 of_hall.chain(contacts).collect()
             }
         };
-        let own = Told { member: self.own.clone(), silent_ms: 0 };
+        let own = GossipMember { member: self.own.clone(), silent_ms: 0 };
         let others = others.into_iter().map(|known| {
             let silent_ms = now.since(known.last_seen_at).as_millis();
             let silent_ms = u32::try_from(silent_ms).unwrap_or(u32::MAX);
-            Told { member: known.member.clone(), silent_ms }
+            GossipMember { member: known.member.clone(), silent_ms }
         });
         [own].into_iter().chain(others).collect()
     }
--- a/crates/thymeshift_fleet/src/pace.rs
+++ b/crates/thymeshift_fleet/src/pace.rs
@@ -24,12 +24,12 @@
 
 impl ListPace {
     /// A list was taken in; it took `spent`.
-    pub fn taken(&mut self, spent: Duration, now: Timestamp) {
+    pub fn record_applied(&mut self, spent: Duration, now: Timestamp) {
         self.not_before = now + (spent * REST_FACTOR).min(REST_MAX);
     }
 
     /// Time until the next one may be.
-    pub fn rest(&self, now: Timestamp) -> Duration {
+    pub fn remaining_delay(&self, now: Timestamp) -> Duration {
         now.until(self.not_before)
     }
 }
--- a/crates/thymeshift_fleet/src/quarantine/rules.rs
+++ b/crates/thymeshift_fleet/src/quarantine/rules.rs
@@ -13,12 +13,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineRules {
     /// Crashes from which on it is refused, in number.
-    pub refused_from: usize,
+    pub refusal_strikes_min: usize,
     /// For how long at first. It may still be an innocent one that met two crashes by chance, which
     /// its next run shows.
-    pub first_bar: Duration,
+    pub first_refusal: Duration,
     /// For how long after one more crash; each further one doubles it.
-    pub second_bar: Duration,
+    pub second_refusal: Duration,
 }
 
 /// Chosen by replays of a request that comes 2.5 times a second in the mean to 13 processes and 7
@@ -29,9 +29,9 @@
 impl Default for QuarantineRules {
     fn default() -> Self {
         Self {
-            refused_from: 2,
-            first_bar: Duration::from_secs(3),
-            second_bar: Duration::from_mins(5),
+            refusal_strikes_min: 2,
+            first_refusal: Duration::from_secs(3),
+            second_refusal: Duration::from_mins(5),
         }
     }
 }
@@ -39,14 +39,14 @@
 impl QuarantineRules {
     /// How long a request is refused after the last of its crashes, of which `strikes` count.
     pub(super) fn bar(&self, strikes: usize) -> Duration {
-        let Some(beyond) = strikes.checked_sub(self.refused_from) else {
+        let Some(beyond) = strikes.checked_sub(self.refusal_strikes_min) else {
             return Duration::ZERO;
         };
         let Some(doublings) = beyond.checked_sub(1) else {
-            return self.first_bar;
+            return self.first_refusal;
         };
         let factor = 1 << doublings.min(DOUBLINGS_MAX);
-        (self.second_bar * factor).min(BAR_MAX)
+        (self.second_refusal * factor).min(BAR_MAX)
     }
 
     /// How long after the last of them crashes are remembered: so long that a request
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -18,7 +18,7 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 
-use crate::Contender;
+use crate::Candidate;
 use crate::ranked;
 
 /// Processes that read all the time: one may be cut off without anybody noticing at once.
@@ -59,20 +59,20 @@
 
 /// What a process should do about the source now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReadAction {
     /// Read, and let the source hold the call until something changes.
-    Watch,
+    LongPoll,
     /// Read at once, without waiting for a change.
-    Read,
+    Poll,
     /// Look again after this time.
-    Rest(Duration),
+    Wait(Duration),
 }
 
 /// A process's place among those of its data hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HallPlace {
+pub struct HallRank {
     /// How many come before it.
-    pub before: usize,
+    pub rank: usize,
     /// Whether it is a contact, and so may read all the time.
     pub is_contact: bool,
 }
@@ -111,16 +111,21 @@
 
     /// What to do now; `contacts` are the other processes that may read all the time, `place`
     /// is this process's own.
-    pub fn turn(&self, contacts: &[Contender<'_>], place: HallPlace, now: Timestamp) -> Turn {
+    pub fn next_action(
+        &self,
+        contacts: &[Candidate<'_>],
+        place: HallRank,
+        now: Timestamp,
+    ) -> ReadAction {
         if now < self.not_before {
-            return Turn::Rest(now.until(self.not_before));
+            return ReadAction::Wait(now.until(self.not_before));
         }
         let is_young = !contacts.is_empty() && now.since(self.started_at) < YOUNG;
         let is_rested = self.failures == 0 && !is_young;
         if place.is_contact && is_rested && self.rank(contacts, now) < READERS {
-            return Turn::Watch;
+            return ReadAction::LongPoll;
         }
-        let before = u32::try_from(place.before).unwrap_or(u32::MAX);
+        let before = u32::try_from(place.rank).unwrap_or(u32::MAX);
         let delay = PLACE_DELAY.saturating_mul(before).min(PLACE_DELAY_MAX);
         let mut last_seen_at = self.confirmed_at.unwrap_or(self.started_at);
         if !place.is_contact && self.passed_over.len() >= FAILED_OTHERS_MIN {
@@ -129,15 +134,15 @@
             last_seen_at = last_seen_at.max(self.failure_seen_at.unwrap_or(last_seen_at));
         }
         let due = last_seen_at + SILENCE_MAX + delay;
-        if now >= due { Turn::Read } else { Turn::Rest(now.until(due)) }
+        if now >= due { ReadAction::Poll } else { ReadAction::Wait(now.until(due)) }
     }
 
-    fn rank(&self, alive: &[Contender<'_>], now: Timestamp) -> usize {
-        let is_eligible = |other: &Contender<'_>| {
+    fn rank(&self, alive: &[Candidate<'_>], now: Timestamp) -> usize {
+        let is_eligible = |other: &Candidate<'_>| {
             self.passed_over.get(other.vm).is_none_or(|until| *until <= now)
         };
         let others = alive.iter().copied().filter(is_eligible);
-        let own = Contender { vm: &self.own, capacity: self.capacity };
+        let own = Candidate { vm: &self.own, capacity: self.capacity };
         let order = ranked(TASK, others.chain([own]));
         order.iter().position(|vm| **vm == self.own).unwrap_or(0)
     }
@@ -158,7 +163,7 @@
 
     /// Whether the source has just returned from an outage, so that what it no longer lists
     /// may still be there.
-    pub fn is_just_back(&self, now: Timestamp) -> bool {
+    pub fn has_just_recovered(&self, now: Timestamp) -> bool {
         self.returned_at.is_some_and(|at| now.since(at) < LISTED_AGAIN_WITHIN)
     }
 
@@ -180,7 +185,7 @@
     }
 
     /// Another process told that its call was answered, or failed.
-    pub fn heard(&mut self, vm: &VmName, is_answered: bool, now: Timestamp) {
+    pub fn record_report(&mut self, vm: &VmName, is_answered: bool, now: Timestamp) {
         if is_answered {
             self.confirm(now);
             self.passed_over.remove(vm);
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -8,13 +8,13 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::Asked;
 use thymeshift_fleet::Boot;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipMember;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Member;
 use thymeshift_fleet::Members;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::Told;
+use thymeshift_fleet::ReceivedSummary;
 use thymeshift_fleet::ranked;
 use thymeshift_types::Capacity;
 use thymeshift_types::DataHallName;
@@ -114,7 +114,7 @@
     fn exchange(&mut self, number: usize, now_ms: u64) {
         let now = at(now_ms);
         let process = &mut self.processes[number];
-        process.members.beat(Phase::Serving, None);
+        process.members.advance_heartbeat(Phase::Serving, None);
         let every = if process.members.is_new() {
             NEW_MS
         } else if now_ms - process.started_ms < YOUNG_FOR_MS {
@@ -123,22 +123,26 @@
             SETTLED_MS
         };
         process.next_ms = now_ms + self.rng.random_range(every * 4 / 5..every * 6 / 5);
-        let picked = process.members.pick(1, now, &mut self.rng);
-        let summary = process.members.passed_on(Breadth::Regular, now, &mut self.rng);
+        let picked = process.members.pick_peers(1, now, &mut self.rng);
+        let summary = process.members.members_to_send(GossipScope::Regular, now, &mut self.rng);
         let (digest, is_new) = (process.members.digest(now), process.members.is_new());
         for address in picked {
             let other = number_at(address);
             let Some(other) = self.processes.get(other).filter(|other| other.is_up).map(|_| other)
             else {
-                self.processes[number].members.unanswered(address);
+                self.processes[number].members.record_no_answer(address);
                 continue;
             };
-            let asked =
-                Asked { sender: &summary[0].member, digest, is_new, is_regular: summary.len() > 1 };
+            let asked = ReceivedSummary {
+                sender: &summary[0].member,
+                digest,
+                is_new,
+                is_regular: summary.len() > 1,
+            };
             let members = &mut self.processes[other].members;
             take(members, &summary, now);
-            let breadth = members.answer_breadth(&asked, now);
-            let answer = members.passed_on(breadth, now, &mut self.rng);
+            let breadth = members.answer_scope(&asked, now);
+            let answer = members.members_to_send(breadth, now, &mut self.rng);
             self.told += (summary.len() + answer.len()) as u64;
             take(&mut self.processes[number].members, &answer, now);
         }
@@ -160,11 +164,11 @@
     /// A process tells its hall by datagrams that it serves.
     fn tell_phase(&mut self, number: usize, now_ms: u64) {
         let members = &self.processes[number].members;
-        let near = members.neighbours(at(now_ms)).map(|member| number_at(member.peer_address));
+        let near = members.hall_peers(at(now_ms)).map(|member| number_at(member.peer_address));
         let near: Vec<usize> = near.collect();
         let own = members.own().clone();
         for other in near {
-            self.processes[other].members.introduced(&own, at(now_ms));
+            self.processes[other].members.record_announcement(&own, at(now_ms));
         }
     }
 
@@ -174,7 +178,7 @@
         for process in self.processes.iter().filter(|process| process.is_up) {
             let hall = &process.members.own().data_hall;
             let serving = process.members.serving_in(hall, at(now_ms));
-            let first = ranked("a group", serving.into_iter().map(Member::contender))[0];
+            let first = ranked("a group", serving.into_iter().map(Member::candidate))[0];
             opinions.entry(hall.clone()).or_default().insert(first.clone());
         }
         opinions.values().map(BTreeSet::len).max().unwrap_or_default()
@@ -185,7 +189,7 @@
         let up = self.processes.iter().filter(|process| process.is_up);
         let first = |process: &Process| {
             let contacts = process.members.contacts(at(now_ms));
-            ranked("read", contacts.into_iter().map(Member::contender))[0].clone()
+            ranked("read", contacts.into_iter().map(Member::candidate))[0].clone()
         };
         up.map(first).collect::<BTreeSet<VmName>>().len()
     }
@@ -196,11 +200,11 @@
     }
 }
 
-fn take(members: &mut Members, message: &[Told], now: Timestamp) {
+fn take(members: &mut Members, message: &[GossipMember], now: Timestamp) {
     let (sender, others) = message.split_first().expect("a sender");
-    members.answered(&sender.member, now);
+    members.record_answer(&sender.member, now);
     for other in others {
-        members.learn(other, now);
+        members.merge(other, now);
     }
 }
 
@@ -284,6 +288,6 @@
 fn first_of_hall(fleet: &Fleet, now_ms: u64) -> usize {
     let members = &fleet.processes[0].members;
     let serving = members.serving_in(&hall(0, 6), at(now_ms));
-    let first = ranked("a group", serving.into_iter().map(Member::contender))[0].clone();
+    let first = ranked("a group", serving.into_iter().map(Member::candidate))[0].clone();
     (0..fleet.processes.len()).find(|number| vm(*number) == first).expect("a member")
 }
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -195,7 +195,7 @@
             }
             Event::Lost(run, ended_at) => self.lost(run, ended_at),
             Event::Told(process, told) => {
-                self.processes[process].take(&told, self.now);
+                self.processes[process].merge(&told, self.now);
             }
         }
     }
@@ -308,7 +308,7 @@
         self.targets[run.target].runs.retain(|known| *known != number);
         self.result.served += 1;
         let Try { fingerprint, process, .. } = run.tried;
-        if self.processes[process].answered(fingerprint, self.now) {
+        if self.processes[process].record_answer(fingerprint, self.now) {
             self.tell(process, fingerprint);
         }
     }
@@ -341,7 +341,7 @@
             began_ago_ms: self.now.since(began_at).as_millis() as u64,
             ended_ago_ms: self.now.since(ended_at).as_millis() as u64,
         };
-        if self.processes[tried.process].crashed(tried.fingerprint, &crash, self.now) {
+        if self.processes[tried.process].record_crash(tried.fingerprint, &crash, self.now) {
             self.tell(tried.process, tried.fingerprint);
         }
         if self.policy.retries && tried.attempts_left > 0 && !self.is_refused(&tried) {
@@ -352,7 +352,7 @@
     }
 
     fn tell(&mut self, process: usize, fingerprint: Fingerprint) {
-        let Some(told) = self.processes[process].told(fingerprint, self.now) else {
+        let Some(told) = self.processes[process].report(fingerprint, self.now) else {
             return;
         };
         let at = self.now + Duration::from_millis(MESSAGE_MS);
