--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -55,7 +55,7 @@
     bound: Bound,
     share: RateShare,
     costs: MarginalCosts,
-    is_exact: bool,
+    counts_whole_fleet: bool,
 }
 
 impl<'a> Candidates<'a> {
@@ -78,14 +78,14 @@
             bound: table.bound(view, now),
             share: table.rate_share(view),
             costs: table.marginal_costs(view, now),
-            is_exact: view == View::Fleet,
+            counts_whole_fleet: view == View::Fleet,
         }
     }
 
     /// Whether the counts hold the requests of all processes, so that the best target may
     /// be taken without all others taking it too.
-    pub fn is_exact(&self) -> bool {
-        self.is_exact
+    pub fn counts_whole_fleet(&self) -> bool {
+        self.counts_whole_fleet
     }
 
     /// Time in which an answer of a candidate is expected, in microseconds, the cost of the
--- a/crates/thymeshift_dispatch/src/strategy/expected_time.rs
+++ b/crates/thymeshift_dispatch/src/strategy/expected_time.rs
@@ -26,7 +26,7 @@
 impl Strategy for ExpectedTime {
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
         let cost = |candidate: &Candidate<'_>| candidates.expected_us(candidate);
-        if candidates.is_exact() {
+        if candidates.counts_whole_fleet() {
             return least(candidates.iter(), cost, rng);
         }
         let sample = candidates.sample::<COMPARED, R>(rng);
