--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -144,17 +144,17 @@
 
 impl<'a, const N: usize> Sample<'a, N> {
     /// The drawn candidate with the smallest cost; equal ones are decided at random.
-    pub(crate) fn least<R: Rng>(
+    pub(crate) fn min_by_cost<R: Rng>(
         &self,
         cost: impl Fn(&Candidate<'a>) -> f64,
         rng: &mut R,
     ) -> Option<TargetIndex> {
-        least(self.drawn.iter().flatten().copied(), cost, rng)
+        min_by_cost(self.drawn.iter().flatten().copied(), cost, rng)
     }
 }
 
 /// The candidate with the smallest cost; equal ones are decided at random.
-pub(crate) fn least<'a, R: Rng>(
+pub(crate) fn min_by_cost<'a, R: Rng>(
     candidates: impl Iterator<Item = Candidate<'a>>,
     cost: impl Fn(&Candidate<'a>) -> f64,
     rng: &mut R,
--- a/crates/thymeshift_dispatch/src/strategy/expected_time.rs
+++ b/crates/thymeshift_dispatch/src/strategy/expected_time.rs
@@ -14,7 +14,7 @@
 use crate::strategy::Candidate;
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
-use crate::strategy::candidates::least;
+use crate::strategy::candidates::min_by_cost;
 
 /// Targets compared for one request. `docs/DESIGN.md` gives the figures behind it.
 const COMPARED: usize = 4;
@@ -27,9 +27,9 @@
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
         let cost = |candidate: &Candidate<'_>| candidates.expected_us(candidate);
         if candidates.counts_whole_fleet() {
-            return least(candidates.iter(), cost, rng);
+            return min_by_cost(candidates.iter(), cost, rng);
         }
         let sample = candidates.sample::<COMPARED, R>(rng);
-        sample.least(cost, rng)
+        sample.min_by_cost(cost, rng)
     }
 }
--- a/crates/thymeshift_dispatch/src/strategy/latency_two_choices.rs
+++ b/crates/thymeshift_dispatch/src/strategy/latency_two_choices.rs
@@ -14,7 +14,7 @@
 impl Strategy for LatencyTwoChoices {
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
         let sample = candidates.sample::<2, R>(rng);
-        sample.least(
+        sample.min_by_cost(
             |candidate| candidate.latency_us() * (f64::from(candidate.in_flight()) + 1.0),
             rng,
         )
--- a/crates/thymeshift_dispatch/src/strategy/least_in_flight.rs
+++ b/crates/thymeshift_dispatch/src/strategy/least_in_flight.rs
@@ -6,7 +6,7 @@
 use crate::TargetIndex;
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
-use crate::strategy::candidates::least;
+use crate::strategy::candidates::min_by_cost;
 
 /// Chooses the fewest own requests in flight.
 #[derive(Debug, Clone, Copy, Default)]
@@ -14,6 +14,6 @@
 
 impl Strategy for LeastInFlight {
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
-        least(candidates.iter(), |candidate| f64::from(candidate.in_flight()), rng)
+        min_by_cost(candidates.iter(), |candidate| f64::from(candidate.in_flight()), rng)
     }
 }
--- a/crates/thymeshift_dispatch/src/strategy/random.rs
+++ b/crates/thymeshift_dispatch/src/strategy/random.rs
@@ -12,6 +12,6 @@
 
 impl Strategy for Random {
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
-        candidates.sample::<1, R>(rng).least(|_| 0.0, rng)
+        candidates.sample::<1, R>(rng).min_by_cost(|_| 0.0, rng)
     }
 }
--- a/crates/thymeshift_dispatch/src/strategy/round_robin.rs
+++ b/crates/thymeshift_dispatch/src/strategy/round_robin.rs
@@ -16,7 +16,7 @@
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
         let chosen = match self.last {
             // Each VM starts elsewhere, so that a fleet that starts together spreads.
-            None => candidates.sample::<1, R>(rng).least(|_| 0.0, rng),
+            None => candidates.sample::<1, R>(rng).min_by_cost(|_| 0.0, rng),
             Some(last) => {
                 let behind = candidates.iter().find(|candidate| candidate.index() > last);
                 let next = behind.or_else(|| candidates.iter().next());
--- a/crates/thymeshift_dispatch/src/strategy/two_choices.rs
+++ b/crates/thymeshift_dispatch/src/strategy/two_choices.rs
@@ -14,6 +14,6 @@
 impl Strategy for TwoChoices {
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
         let sample = candidates.sample::<2, R>(rng);
-        sample.least(|candidate| f64::from(candidate.in_flight()), rng)
+        sample.min_by_cost(|candidate| f64::from(candidate.in_flight()), rng)
     }
 }
