--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -99,6 +99,6 @@
     };
     assert!(expected(&dispatcher, 0, 5_001) > 3 * expected(&dispatcher, 2, 5_001), "cold");
     assert!(expected(&dispatcher, 0, 8_001) <= expected(&dispatcher, 2, 8_001), "ramp over");
-    let _ = dispatcher.learn_probe(&name(1), support::told_cold(0), at(5_002));
+    let _ = dispatcher.learn_probe(&name(1), support::cold_report(0), at(5_002));
     assert!(expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003), "tells it is warm");
 }
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -22,7 +22,7 @@
 use crate::support::request;
 use crate::support::rng;
 use crate::support::sent;
-use crate::support::told_cold;
+use crate::support::cold_report;
 
 /// Targets of the service; the first one starts again.
 const TARGETS: usize = 3;
@@ -95,7 +95,7 @@
         Case {
             believed: "that it is cold for a minute",
             learn: |dispatcher| {
-                dispatcher.learn_probe(&name(0), told_cold(60_000), at(1));
+                dispatcher.learn_probe(&name(0), cold_report(60_000), at(1));
             },
         },
         Case {
--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -102,7 +102,7 @@
 }
 
 /// A report of an idle target that is cold for so much longer.
-pub(crate) fn told_cold(left_ms: u32) -> LoadReport {
+pub(crate) fn cold_report(left_ms: u32) -> LoadReport {
     LoadReport { cold_for_ms: Some(left_ms), ..report(0, 0) }
 }
 
