--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -22,7 +22,7 @@
 use crate::support::dispatcher;
 use crate::support::hall;
 use crate::support::ms;
-use crate::support::name;
+use crate::support::target_name;
 use crate::support::request;
 use crate::support::rng;
 use crate::support::sent;
@@ -36,7 +36,7 @@
 
 /// A target refuses a request that is sent now, and asks for a backoff.
 fn refuses(dispatcher: &mut TestDispatcher, index: usize, wait: Duration, now: Timestamp) {
-    let grant = dispatcher.grant_at(&name(index), None, now).expect("a grant");
+    let grant = dispatcher.grant_at(&target_name(index), None, now).expect("a grant");
     dispatcher.back_off(&grant, wait, now);
     dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
     dispatcher.release(grant, now);
@@ -47,7 +47,7 @@
     let mut rng = rng();
     let mut tries = (0..50).map(|_| {
         let grant = sent(dispatcher, request(1, now + ms(900)), now, &mut rng);
-        let is_meant = dispatcher.target_name(&grant) == name(index);
+        let is_meant = dispatcher.target_name(&grant) == target_name(index);
         dispatcher.release(grant, now);
         is_meant
     });
@@ -74,7 +74,7 @@
             let mut dispatcher = service(2);
             dispatcher.set_view(view);
             let grants: Vec<_> = (0..asked.len())
-                .map(|_| dispatcher.grant_at(&name(0), None, at(0)).expect("a grant"))
+                .map(|_| dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant"))
                 .collect();
             for (grant, (at_s, wait_s)) in grants.into_iter().zip(asked) {
                 dispatcher.back_off(&grant, Duration::from_secs_f64(*wait_s), moment(*at_s));
@@ -83,7 +83,7 @@
             let note = format!("{asked:?}, {view}");
             assert!(!is_used(&mut dispatcher, 0, moment(ends_s - 0.001)), "{note}: too soon");
             assert!(
-                dispatcher.grant_at(&name(0), None, moment(ends_s - 0.001)).is_none(),
+                dispatcher.grant_at(&target_name(0), None, moment(ends_s - 0.001)).is_none(),
                 "{note}"
             );
             assert!(is_used(&mut dispatcher, 0, moment(ends_s + 0.2)), "{note}: not used again");
@@ -94,7 +94,7 @@
 #[test]
 fn a_grant_in_hand_is_void_once_its_target_asks_for_a_backoff() {
     let mut dispatcher = service(2);
-    let held = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let held = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
     assert!(dispatcher.may_send(&held, at(900), at(1)));
     refuses(&mut dispatcher, 0, BACKOFF, at(2));
     assert!(!dispatcher.may_send(&held, at(900), at(3)));
@@ -105,7 +105,7 @@
 #[test]
 fn an_answer_in_between_does_not_end_a_backoff() {
     let mut dispatcher = service(2);
-    let slow = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let slow = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
     refuses(&mut dispatcher, 0, BACKOFF, at(2));
     dispatcher.learn(&slow, Observation::Answered(None), at(50));
     dispatcher.release(slow, at(50));
@@ -120,9 +120,9 @@
     }
     refuses(&mut dispatcher, 0, BACKOFF, at(100));
     let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
-    assert_eq!(probed, [name(1)]);
+    assert_eq!(probed, [target_name(1)]);
     let unheard = dispatcher.stale_targets(Duration::ZERO, 9, at(200));
-    assert!(unheard.iter().all(|(target, _)| *target != name(0)), "{unheard:?}");
+    assert!(unheard.iter().all(|(target, _)| *target != target_name(0)), "{unheard:?}");
     let after = dispatcher.dump(at(3_200)).targets;
     assert_eq!((after[0].ejected_for_ms, after[0].usability), (None, Usability::Open));
 }
@@ -186,7 +186,7 @@
     let mut dispatcher = service(2);
     dispatcher.set_view(View::Fleet);
     let excluded = |indices: &[usize]| -> Excluded {
-        let names = indices.iter().map(|index| name(*index));
+        let names = indices.iter().map(|index| target_name(*index));
         names.filter_map(|name| dispatcher.index_of(&name)).collect()
     };
     let (one, both) = (excluded(&[0]), excluded(&[0, 1]));
@@ -194,7 +194,7 @@
     for moment in 0..50 {
         let request = Request { excluded: one, ..request(1, at(5_000)) };
         let grant = sent(&mut dispatcher, request, at(moment), &mut rng);
-        assert_eq!(dispatcher.target_name(&grant), name(1));
+        assert_eq!(dispatcher.target_name(&grant), target_name(1));
         dispatcher.release(grant, at(moment));
     }
     let request = Request { excluded: both, ..request(1, at(5_000)) };
@@ -207,8 +207,8 @@
     let mut dispatcher = dispatcher(&configuration(4, 2, ""));
     refuses(&mut dispatcher, 1, BACKOFF, at(0));
     refuses(&mut dispatcher, 3, BACKOFF, at(0));
-    assert_eq!(dispatcher.backing_off(None, at(10)), [name(1), name(3)]);
-    assert_eq!(dispatcher.backing_off(Some(&hall()), at(10)), [name(1)]);
+    assert_eq!(dispatcher.backing_off(None, at(10)), [target_name(1), target_name(3)]);
+    assert_eq!(dispatcher.backing_off(Some(&hall()), at(10)), [target_name(1)]);
     assert_eq!(dispatcher.backing_off(None, at(3_001)), []);
 }
 
@@ -219,7 +219,7 @@
     for moment in (from..from + 1_000).step_by(5) {
         let now = at(moment);
         let grant = sent(dispatcher, request(1, now + ms(900)), now, rng);
-        if dispatcher.target_name(&grant) == name(0) {
+        if dispatcher.target_name(&grant) == target_name(0) {
             trials += 1;
             dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
         } else {
@@ -237,7 +237,7 @@
     let mut rng = rng();
     let trials = trials_in_a_second(&mut dispatcher, 0, &mut rng);
     assert!((5..=13).contains(&trials), "{trials} trials");
-    let grant = dispatcher.grant_at(&name(0), None, at(1_200)).expect("a grant");
+    let grant = dispatcher.grant_at(&target_name(0), None, at(1_200)).expect("a grant");
     dispatcher.learn(&grant, Observation::Answered(None), at(1_210));
     dispatcher.release(grant, at(1_210));
     assert!(is_used(&mut dispatcher, 0, at(1_211)), "one answer ends the streak");
@@ -260,7 +260,7 @@
         Case {
             name: "that it leaves",
             say: |dispatcher| {
-                let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 assert!(dispatcher.mark_granted_leaving(&grant).is_some());
                 dispatcher.release(grant, at(0));
             },
@@ -280,7 +280,7 @@
         let dump = dispatcher.dump(at(300)).targets;
         let current = dump
             .iter()
-            .find(|target| target.name == name(0) && target.usability != Usability::Removed);
+            .find(|target| target.name == target_name(0) && target.usability != Usability::Removed);
         assert_eq!(current.map(|target| target.usability), Some(expected), "{said}");
     }
 }
--- a/crates/thymeshift_dispatch/tests/cold_targets.rs
+++ b/crates/thymeshift_dispatch/tests/cold_targets.rs
@@ -9,7 +9,7 @@
 use support::configuration;
 use support::dispatcher;
 use support::hall;
-use support::name;
+use support::target_name;
 use support::request;
 use support::rng;
 use support::cold_report;
@@ -43,7 +43,7 @@
 fn cold(view: View) -> TestDispatcher {
     let mut dispatcher = dispatcher(&one_target());
     dispatcher.set_view(view);
-    let _ = dispatcher.learn_probe(&name(0), cold_report(3_000), at(0));
+    let _ = dispatcher.learn_probe(&target_name(0), cold_report(3_000), at(0));
     dispatcher
 }
 
@@ -113,10 +113,10 @@
 #[test]
 fn a_target_may_become_cold_at_any_moment_and_again() {
     let mut dispatcher = cold(View::Fleet);
-    let _ = dispatcher.learn_probe(&name(0), cold_report(0), at(10));
+    let _ = dispatcher.learn_probe(&target_name(0), cold_report(0), at(10));
     let busy: Vec<u64> = (11..111).collect();
     assert_eq!(send(&mut dispatcher, &busy).len(), 100, "it told that it is warm");
-    let _ = dispatcher.learn_probe(&name(0), cold_report(3_000), at(120));
+    let _ = dispatcher.learn_probe(&target_name(0), cold_report(3_000), at(120));
     let after: Vec<u64> = (120..620).collect();
     let sent = send(&mut dispatcher, &after);
     assert_eq!(sent.len(), 1, "one in 400 ms, counted from the last one before: {sent:?}");
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -6,7 +6,7 @@
 use support::configuration;
 use support::dispatcher;
 use support::hall;
-use support::name;
+use support::target_name;
 use support::request;
 use support::rng;
 use support::sent;
@@ -33,13 +33,13 @@
         for step in 0..100 {
             let grant = sent(&mut dispatcher, request(1, at(1_000)), at(step), &mut rng);
             let chosen = dispatcher.target_name(&grant);
-            assert!(chosen == name(2) || chosen == name(3), "{view}: {chosen}");
+            assert!(chosen == target_name(2) || chosen == target_name(3), "{view}: {chosen}");
             dispatcher.release(grant, at(step));
         }
-        assert!(dispatcher.grant_at(&name(0), None, at(200)).is_none(), "{view}: another's choice");
-        assert!(dispatcher.grant_at(&name(2), None, at(200)).is_some(), "{view}");
+        assert!(dispatcher.grant_at(&target_name(0), None, at(200)).is_none(), "{view}: another's choice");
+        assert!(dispatcher.grant_at(&target_name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
-        assert_eq!(probed, [name(2), name(3)], "{view}");
+        assert_eq!(probed, [target_name(2), target_name(3)], "{view}");
     }
 }
 
@@ -99,6 +99,6 @@
     };
     assert!(expected(&dispatcher, 0, 5_001) > 3 * expected(&dispatcher, 2, 5_001), "cold");
     assert!(expected(&dispatcher, 0, 8_001) <= expected(&dispatcher, 2, 8_001), "ramp over");
-    let _ = dispatcher.learn_probe(&name(1), support::cold_report(0), at(5_002));
+    let _ = dispatcher.learn_probe(&target_name(1), support::cold_report(0), at(5_002));
     assert!(expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003), "tells it is warm");
 }
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -9,7 +9,7 @@
 use support::configuration;
 use support::dispatcher;
 use support::ms;
-use support::name;
+use support::target_name;
 use support::report;
 use support::request;
 use support::rng;
@@ -134,7 +134,7 @@
         // Which target is the best one does not matter here.
         while let Decision::Send(grant) = dispatcher.request(at_once(now), now, rng) {
             let target = (0..targets)
-                .find(|index| dispatcher.target_name(&grant) == name(*index))
+                .find(|index| dispatcher.target_name(&grant) == target_name(*index))
                 .expect("a target");
             let number = dispatcher.in_flight(grant.target()) as usize;
             most[target] = most[target].max(number);
@@ -231,7 +231,7 @@
             in_flight.push(dispatcher.target_name(&grant));
         }
         for index in 0..4 {
-            let count = in_flight.iter().filter(|target| **target == name(index)).count();
+            let count = in_flight.iter().filter(|target| **target == target_name(index)).count();
             // The first one explores, up to its slots.
             let expected = if index == 0 { (told + 1).min(3) } else { told };
             assert_eq!(count, expected as usize, "target {index}, told {told}");
@@ -263,18 +263,18 @@
         // The mean pace is far above the usual.
         for step in 0..200 {
             let pace = if step % 2 == 0 { 100 } else { 500 };
-            let _ = dispatcher.learn_probe(&name(0), paced(pace), at(step));
+            let _ = dispatcher.learn_probe(&target_name(0), paced(pace), at(step));
         }
         let now = at(600 + seed);
         // A gap in the process's own time would make it forget what it hears next.
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&name(1), paced(100), now);
-        let _ = dispatcher.learn_probe(&name(2), paced(500), now);
+        let _ = dispatcher.learn_probe(&target_name(1), paced(100), now);
+        let _ = dispatcher.learn_probe(&target_name(2), paced(500), now);
         let first = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
-        assert_eq!(dispatcher.target_name(&first), name(1), "the one known to be fast");
+        assert_eq!(dispatcher.target_name(&first), target_name(1), "the one known to be fast");
         let later = now + ms(200);
         let again = sent(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
-        assert_ne!(dispatcher.target_name(&again), name(1), "old news; and it has a request");
+        assert_ne!(dispatcher.target_name(&again), target_name(1), "old news; and it has a request");
     }
 }
 
@@ -320,7 +320,7 @@
             // Old news when the next request comes.
             now = now + ms(200);
         }
-        let _ = dispatcher.learn_probe(&name(0), paced(pace_percent), now);
+        let _ = dispatcher.learn_probe(&target_name(0), paced(pace_percent), now);
         now = now + ms(age_ms);
         let decision = dispatcher.request(request(1, now + ms(10_000)), now, &mut rng);
         match decision {
@@ -332,7 +332,7 @@
             continue;
         }
         assert!(dispatcher.next_wake(now + ms(20), &mut rng).is_none(), "{note}: still slow");
-        let _ = dispatcher.learn_probe(&name(0), paced(before_percent), now + ms(30));
+        let _ = dispatcher.learn_probe(&target_name(0), paced(before_percent), now + ms(30));
         let woken = dispatcher.next_wake(now + ms(30), &mut rng);
         assert!(matches!(woken, Some(Wake::Send(..))), "{note}: fast again: {woken:?}");
     }
@@ -379,14 +379,14 @@
             now = now + ms(200);
             let _ = dispatcher.tick(now);
             for (index, pace) in paces.into_iter().enumerate() {
-                let _ = dispatcher.learn_probe(&name(index), paced(pace), now);
+                let _ = dispatcher.learn_probe(&target_name(index), paced(pace), now);
             }
         }
         // All others are leaving.
         for index in 1..5 {
-            dispatcher.mark_leaving(&name(index), Incarnation::new(1));
+            dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
-        let _ = dispatcher.learn_probe(&name(0), paced(pace_percent), now);
+        let _ = dispatcher.learn_probe(&target_name(0), paced(pace_percent), now);
         match dispatcher.request(request(1, now + ms(10_000)), now, &mut rng) {
             Decision::Send(_) => assert!(is_sent, "{note}: sent"),
             Decision::Wait(_) => assert!(!is_sent, "{note}: waits"),
@@ -404,7 +404,7 @@
         // Two at a time take twice as long as one, but only because the target is slow then.
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&name(0), paced(pace), now);
+        let _ = dispatcher.learn_probe(&target_name(0), paced(pace), now);
         let grants: Vec<_> =
             (0..count).map(|_| sent(&mut dispatcher, at_once(now), now, &mut rng)).collect();
         for grant in grants {
@@ -440,12 +440,12 @@
         let mut dispatcher = fleet_dispatcher(3, 3);
         let mut rng = rng();
         for index in 0..2 {
-            dispatcher.mark_leaving(&name(index), Incarnation::new(1));
+            dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
         // It was used a moment ago.
         let grant = sent(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
         dispatcher.release(grant, at(10));
-        let _ = dispatcher.learn_probe(&name(2), report(running, queued), at(20));
+        let _ = dispatcher.learn_probe(&target_name(2), report(running, queued), at(20));
         let now = at(20 + age_ms);
         let mut granted = 0;
         while let Decision::Send(_) = dispatcher.request(at_once(now), now, &mut rng) {
@@ -462,7 +462,7 @@
     let mut granted = 0;
     for step in 0..100 {
         let now = at(step * 50);
-        let _ = dispatcher.learn_probe(&name(0), report(3, 4), now);
+        let _ = dispatcher.learn_probe(&target_name(0), report(3, 4), now);
         if let Decision::Send(grant) = dispatcher.request(at_once(now), now, &mut rng) {
             granted += 1;
             dispatcher.release(grant, now + ms(40));
@@ -485,7 +485,7 @@
             let wanted = Request { origin, ..request(1, at(500)) };
             let grant = sent(&mut dispatcher, wanted, at(0), &mut rng);
             let chosen = dispatcher.target_name(&grant);
-            assert!(halls.map(name).contains(&chosen), "{chosen} for {origin:?}");
+            assert!(halls.map(target_name).contains(&chosen), "{chosen} for {origin:?}");
         }
     }
 }
@@ -493,16 +493,16 @@
 #[test]
 fn a_grant_at_a_named_target_is_refused_once_it_is_leaving() {
     let mut dispatcher = fleet_dispatcher(2, 2);
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_some());
-    assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_none());
-    assert!(dispatcher.grant_at(&name(9), None, at(0)).is_none(), "unknown here");
+    assert!(dispatcher.grant_at(&target_name(0), None, at(0)).is_some());
+    assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
+    assert!(dispatcher.grant_at(&target_name(0), None, at(0)).is_none());
+    assert!(dispatcher.grant_at(&target_name(9), None, at(0)).is_none(), "unknown here");
 }
 
 #[test]
 fn only_targets_that_were_silent_are_to_be_probed() {
     let mut dispatcher = fleet_dispatcher(3, 3);
-    let _ = dispatcher.learn_probe(&name(1), paced(100), at(0));
+    let _ = dispatcher.learn_probe(&target_name(1), paced(100), at(0));
     let silent = dispatcher.stale_targets(ms(50), usize::MAX, at(40));
     assert_eq!(silent.len(), 2, "{silent:?}");
     assert_eq!(dispatcher.stale_targets(ms(50), usize::MAX, at(60)).len(), 3);
--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -6,7 +6,7 @@
 use support::configuration;
 use support::dispatcher;
 use support::ms;
-use support::name;
+use support::target_name;
 use support::request;
 use support::rng;
 use support::sent;
@@ -54,7 +54,7 @@
             let wanted = Request { answer_kib, ..request(1, at(100_000)) };
             let grant = sent(&mut dispatcher, wanted, now, &mut rng);
             let chosen = dispatcher.target_name(&grant);
-            crossed += usize::from(chosen == name(2) || chosen == name(3));
+            crossed += usize::from(chosen == target_name(2) || chosen == target_name(3));
             grants.push(grant);
         }
         assert!(crossing.contains(&crossed), "{answer_kib} KiB: {crossed} crossed");
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use support::hall;
-use support::name;
+use support::target_name;
 use support::report;
 use thymeshift_config::Configuration;
 use thymeshift_dispatch::AnyStrategy;
@@ -46,11 +46,11 @@
         dispatcher.reconfigure(configuration, &configuration.services[0], &hall(), START);
     }
     for index in 100..TARGETS {
-        dispatcher.learn_probe(&name(index), report(0, 0), START);
+        dispatcher.learn_probe(&target_name(index), report(0, 0), START);
     }
     let taken = begun.elapsed();
     assert!(taken < LIMIT, "{taken:?}");
     assert_eq!(dispatcher.probe_targets(START).count(), TARGETS);
-    assert!(dispatcher.index_of(&name(0)).is_some());
-    assert!(dispatcher.index_of(&name(TARGETS)).is_none());
+    assert!(dispatcher.index_of(&target_name(0)).is_some());
+    assert!(dispatcher.index_of(&target_name(TARGETS)).is_none());
 }
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -14,7 +14,7 @@
 use support::configuration;
 use support::dispatcher;
 use support::ms;
-use support::name;
+use support::target_name;
 use support::request;
 use support::rng;
 use thymeshift_config::RequestRate;
@@ -48,7 +48,7 @@
 
 /// A target states a limit, or none, on the answer to a request that is sent and answered now.
 fn states(dispatcher: &mut TestDispatcher, index: usize, limit: Option<RequestRate>, moment: u64) {
-    let grant = dispatcher.grant_at(&name(index), None, at(moment)).expect("a grant");
+    let grant = dispatcher.grant_at(&target_name(index), None, at(moment)).expect("a grant");
     dispatcher.learn_rate_limit(&grant, limit, at(moment + 1));
     dispatcher.release(grant, at(moment + 1));
 }
@@ -70,7 +70,7 @@
                 break;
             };
             let target = dispatcher.target_name(&grant);
-            let index = (0..limits.len()).find(|index| name(*index) == target).expect("a target");
+            let index = (0..limits.len()).find(|index| target_name(*index) == target).expect("a target");
             sent.push((index, moment));
             dispatcher.learn_rate_limit(&grant, limits[index], now + ms(5));
             dispatcher.release(grant, now + ms(5));
@@ -155,7 +155,7 @@
         ];
         all.shuffle(&mut SmallRng::seed_from_u64(seed));
         let mut dispatcher = fleet(1);
-        let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+        let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
         for told in &all {
             dispatcher.merge_rate_limit(&grant, told, at(2_000));
         }
@@ -170,11 +170,11 @@
 #[test]
 fn an_answer_ends_the_need_only_if_its_request_was_sent_after_it_was_named() {
     let mut dispatcher = fleet(1);
-    let early = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let early = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
     states(&mut dispatcher, 0, Some(rate(2.0)), 10);
     assert!(!dispatcher.learn_rate_limit(&early, None, at(200)), "it may have answered before");
     assert_eq!(limit(&dispatcher, 200), Some(2.0));
-    let late = dispatcher.grant_at(&name(0), None, at(210)).expect("a grant");
+    let late = dispatcher.grant_at(&target_name(0), None, at(210)).expect("a grant");
     assert!(dispatcher.learn_rate_limit(&late, None, at(300)));
     assert_eq!(limit(&dispatcher, 300), None);
 }
@@ -182,14 +182,14 @@
 #[test]
 fn a_choice_made_without_the_limit_is_void() {
     let mut dispatcher = fleet(1);
-    let unaware = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+    let unaware = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
     assert!(dispatcher.may_send(&unaware, at(900), at(1)));
     states(&mut dispatcher, 0, Some(rate(2.0)), 10);
     assert!(!dispatcher.may_send(&unaware, at(900), at(20)), "the limit is newer than the choice");
     let limit = RateLimitUpdate { per_1000_s: Some(2_000), age: Duration::ZERO };
-    let aware = dispatcher.grant_at(&name(0), Some(limit), at(30)).expect("a grant");
+    let aware = dispatcher.grant_at(&target_name(0), Some(limit), at(30)).expect("a grant");
     assert!(dispatcher.may_send(&aware, at(900), at(31)));
-    let unaware = dispatcher.grant_at(&name(0), None, at(40)).expect("a grant");
+    let unaware = dispatcher.grant_at(&target_name(0), None, at(40)).expect("a grant");
     assert!(!dispatcher.is_within_limit(&unaware), "whoever chose did not know of it");
 }
 
@@ -242,9 +242,9 @@
     let mut dispatcher = fleet(2);
     states(&mut dispatcher, 0, Some(rate(2.0)), 0);
     let probed: Vec<_> = dispatcher.probe_targets(at(0)).map(|(name, _)| name).collect();
-    assert_eq!(probed, [name(1)]);
+    assert_eq!(probed, [target_name(1)]);
     let unheard = dispatcher.stale_targets(Duration::ZERO, 9, at(500));
-    assert!(unheard.iter().all(|(target, _)| *target != name(0)), "{unheard:?}");
+    assert!(unheard.iter().all(|(target, _)| *target != target_name(0)), "{unheard:?}");
     assert_eq!(dispatcher.dump(at(20)).targets[0].usability, Usability::RateLimited);
     assert_eq!(dispatcher.dump(at(520)).targets[0].usability, Usability::Open);
 }
@@ -264,6 +264,6 @@
     states(&mut dispatcher, 0, Some(rate(2.0)), 0);
     let told: Vec<_> =
         dispatcher.rate_limits(at(1_000)).into_iter().map(|(name, ..)| name).collect();
-    assert_eq!(told, [name(0)], "the other one never named a limit");
+    assert_eq!(told, [target_name(0)], "the other one never named a limit");
     assert!(dispatcher.rate_limits(at(70_000)).is_empty());
 }
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -17,7 +17,7 @@
 use crate::support::configuration;
 use crate::support::dispatcher;
 use crate::support::hall;
-use crate::support::name;
+use crate::support::target_name;
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
@@ -43,7 +43,7 @@
 fn first(dispatcher: &TestDispatcher, millis: u64) -> TargetDump {
     let dump = dispatcher.dump(at(millis)).targets;
     let current =
-        |target: &&TargetDump| target.name == name(0) && target.usability != Usability::Removed;
+        |target: &&TargetDump| target.name == target_name(0) && target.usability != Usability::Removed;
     dump.iter().find(current).expect("the target").clone()
 }
 
@@ -57,7 +57,7 @@
         Case {
             believed: "that it asked for a backoff",
             learn: |dispatcher| {
-                let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.back_off(&grant, Duration::from_mins(1), at(0));
                 dispatcher.release(grant, at(0));
             },
@@ -65,14 +65,14 @@
         Case {
             believed: "that it is leaving",
             learn: |dispatcher| {
-                assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
+                assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
             },
         },
         Case {
             believed: "that it fails",
             learn: |dispatcher| {
                 for step in 0..20 {
-                    let Some(grant) = dispatcher.grant_at(&name(0), None, at(step)) else { break };
+                    let Some(grant) = dispatcher.grant_at(&target_name(0), None, at(step)) else { break };
                     dispatcher.learn(&grant, Observation::Failed(None), at(step));
                     dispatcher.release(grant, at(step));
                 }
@@ -81,7 +81,7 @@
         Case {
             believed: "that it cannot be reached",
             learn: |dispatcher| {
-                let grant = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.learn(&grant, Observation::Unreachable, at(1));
                 dispatcher.release(grant, at(1));
             },
@@ -89,20 +89,20 @@
         Case {
             believed: "that it is loaded",
             learn: |dispatcher| {
-                dispatcher.learn_probe(&name(0), report(40, 40), at(1));
+                dispatcher.learn_probe(&target_name(0), report(40, 40), at(1));
             },
         },
         Case {
             believed: "that it is cold for a minute",
             learn: |dispatcher| {
-                dispatcher.learn_probe(&name(0), cold_report(60_000), at(1));
+                dispatcher.learn_probe(&target_name(0), cold_report(60_000), at(1));
             },
         },
         Case {
             believed: "that requests are at work there",
             learn: |dispatcher| {
                 // Never released: their target ended, and who asked is not heard of again.
-                let _unreleased = dispatcher.grant_at(&name(0), None, at(0)).expect("a grant");
+                let _unreleased = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
             },
         },
     ];
@@ -131,7 +131,7 @@
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     let grants: Vec<_> =
-        (0..4).filter_map(|step| dispatcher.grant_at(&name(0), None, at(step))).collect();
+        (0..4).filter_map(|step| dispatcher.grant_at(&target_name(0), None, at(step))).collect();
     assert!(!grants.is_empty());
     apply(&mut dispatcher, &restarted(&base, 2, None), 10);
     let before = first(&dispatcher, 11);
@@ -142,7 +142,7 @@
         dispatcher.release(grant, at(13));
     }
     assert!(
-        !dispatcher.mark_leaving(&name(0), Incarnation::new(1)),
+        !dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)),
         "late news of the earlier one"
     );
     let after = first(&dispatcher, 11);
@@ -176,7 +176,7 @@
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     for (step, incarnation) in [(100, 2), (400, 3), (900, 4)] {
-        let held = dispatcher.grant_at(&name(0), None, at(step)).expect("a grant");
+        let held = dispatcher.grant_at(&target_name(0), None, at(step)).expect("a grant");
         apply(&mut dispatcher, &restarted(&base, incarnation, None), step + 1);
         assert_eq!(first(&dispatcher, step + 2).incarnation, Incarnation::new(incarnation));
         dispatcher.release(held, at(step + 3));
--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -66,7 +66,7 @@
     DataHallName::new("a").expect("a name")
 }
 
-pub(crate) fn name(index: usize) -> TargetName {
+pub(crate) fn target_name(index: usize) -> TargetName {
     TargetName::new(&format!("t{index}")).expect("a name")
 }
 
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -22,7 +22,7 @@
 use crate::support::dispatcher;
 use crate::support::hall;
 use crate::support::ms;
-use crate::support::name;
+use crate::support::target_name;
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
@@ -32,7 +32,7 @@
 
 fn usability(dispatcher: &Dispatcher<AnyStrategy>, index: usize, now: Timestamp) -> Usability {
     let dump = dispatcher.dump(now);
-    let found = dump.targets.iter().find(|target| target.name == name(index));
+    let found = dump.targets.iter().find(|target| target.name == target_name(index));
     found.expect("a target").usability
 }
 
@@ -76,17 +76,17 @@
     let draining = LoadReport { state: ReportedState::Draining, ..report(0, 0) };
     match source {
         Source::Mark => {
-            assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
+            assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
         }
         Source::Answer => {
             let grant = sent(dispatcher, request(1, at(100)), at(0), &mut rng());
             let mark = dispatcher.learn(&grant, Observation::Answered(Some(draining)), at(1));
-            assert_eq!(mark.expect("news to pass on").target, name(0));
+            assert_eq!(mark.expect("news to pass on").target, target_name(0));
             dispatcher.release(grant, at(1));
         }
         Source::Probe => {
-            let mark = dispatcher.learn_probe(&name(0), draining, at(1));
-            assert_eq!(mark.expect("news to pass on").target, name(0));
+            let mark = dispatcher.learn_probe(&target_name(0), draining, at(1));
+            assert_eq!(mark.expect("news to pass on").target, target_name(0));
         }
         Source::Configuration => {
             let mut leaving = good.clone();
@@ -107,13 +107,13 @@
         assert_eq!(usability(&dispatcher, 0, at(2)), Usability::Leaving, "{source:?}");
         // A stale platform lists it as serving again, a stale report says so.
         dispatcher.update(&good, &good.services[0], &hall(), at(3));
-        dispatcher.learn_probe(&name(0), report(0, 0), at(3));
+        dispatcher.learn_probe(&target_name(0), report(0, 0), at(3));
         assert_eq!(usability(&dispatcher, 0, at(4)), Usability::Leaving, "{source:?}");
         // A new incarnation on the same address serves.
         let mut renewed = good.clone();
         renewed.services[0].targets[0].incarnation = Incarnation::new(2);
         dispatcher.update(&renewed, &renewed.services[0], &hall(), at(5));
-        assert!(!dispatcher.mark_leaving(&name(0), Incarnation::new(1)), "late news, {source:?}");
+        assert!(!dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)), "late news, {source:?}");
         let mut rng = rng();
         let decision = dispatcher.request(request(1, at(9_000)), at(6), &mut rng);
         assert!(matches!(decision, Decision::Send(_)), "{source:?}");
@@ -126,7 +126,7 @@
     let grant = sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng());
     assert!(dispatcher.may_send(&grant, at(100), at(99)));
     assert!(!dispatcher.may_send(&grant, at(100), at(100)), "slept until the deadline");
-    dispatcher.mark_leaving(&name(0), Incarnation::new(1));
+    dispatcher.mark_leaving(&target_name(0), Incarnation::new(1));
     assert!(!dispatcher.may_send(&grant, at(100), at(1)), "leaving");
 }
 
@@ -279,7 +279,7 @@
 #[test]
 fn an_operators_order_stops_a_target_and_lets_it_go_on() {
     let mut dispatcher = dispatcher(&configuration(2, 2, ""));
-    dispatcher.set_stopped(|target| *target == name(0));
+    dispatcher.set_stopped(|target| *target == target_name(0));
     assert_eq!(usability(&dispatcher, 0, at(0)), Usability::Stopped);
     let counts = drive(&mut dispatcher, 50, 0, |_| (idle(), 1));
     assert_eq!(counts.get("t0"), None);
