--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -20,7 +20,7 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
-use crate::support::hall;
+use crate::support::local_hall;
 use crate::support::ms;
 use crate::support::target_name;
 use crate::support::request;
@@ -208,7 +208,7 @@
     refuses(&mut dispatcher, 1, BACKOFF, at(0));
     refuses(&mut dispatcher, 3, BACKOFF, at(0));
     assert_eq!(dispatcher.backing_off(None, at(10)), [target_name(1), target_name(3)]);
-    assert_eq!(dispatcher.backing_off(Some(&hall()), at(10)), [target_name(1)]);
+    assert_eq!(dispatcher.backing_off(Some(&local_hall()), at(10)), [target_name(1)]);
     assert_eq!(dispatcher.backing_off(None, at(3_001)), []);
 }
 
@@ -275,7 +275,7 @@
         say(&mut dispatcher);
         for (configuration, moment) in [(&unlisted, 100), (&listed, 200)] {
             let service = &configuration.services[0];
-            dispatcher.update(configuration, service, &hall(), at(moment));
+            dispatcher.update(configuration, service, &local_hall(), at(moment));
         }
         let dump = dispatcher.dump(at(300)).targets;
         let current = dump
--- a/crates/thymeshift_dispatch/tests/cold_targets.rs
+++ b/crates/thymeshift_dispatch/tests/cold_targets.rs
@@ -8,7 +8,7 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
-use support::hall;
+use support::local_hall;
 use support::target_name;
 use support::request;
 use support::rng;
@@ -154,9 +154,9 @@
         after.services[0].targets[0].cold_for_ms = listed_ms;
         let mut dispatcher = dispatcher(&before);
         dispatcher.set_view(View::Fleet);
-        dispatcher.update(&after, &after.services[0], &hall(), at(0));
+        dispatcher.update(&after, &after.services[0], &local_hall(), at(0));
         // The same list comes again with each change of another target.
-        dispatcher.update(&after, &after.services[0], &hall(), at(900));
+        dispatcher.update(&after, &after.services[0], &local_hall(), at(900));
         let is_cold = |dispatcher: &mut TestDispatcher, from: u64| {
             let moments: Vec<u64> = (from..from + 100).collect();
             send(dispatcher, &moments).len() < 100
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -5,7 +5,7 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
-use support::hall;
+use support::local_hall;
 use support::target_name;
 use support::request;
 use support::rng;
@@ -51,7 +51,7 @@
     let mut rng = rng();
     let grant = sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
     assert!(dispatcher.may_send(&grant, at(1_000), at(1)));
-    dispatcher.update(&drained, &drained.services[0], &hall(), at(2));
+    dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     assert!(!dispatcher.may_send(&grant, at(1_000), at(3)));
     dispatcher.release(grant, at(3));
     // Nobody is left to serve: known at once, not at the deadline.
@@ -75,7 +75,7 @@
         (0..4).map(|_| sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng)).collect();
     let waits = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
     assert!(matches!(waits, Decision::Wait(_)), "{waits:?}");
-    dispatcher.update(&drained, &drained.services[0], &hall(), at(2));
+    dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     let woken = dispatcher.next_wake(at(3), &mut rng);
     assert!(
         matches!(&woken, Some(thymeshift_dispatch::Wake::Refuse(_, refusal)) if refusal.reason == Reason::NoTarget),
@@ -92,8 +92,8 @@
     let drained = halls(&["a"]);
     let mut dispatcher = dispatcher(&open);
     dispatcher.set_view(View::Fleet);
-    dispatcher.update(&drained, &drained.services[0], &hall(), at(0));
-    dispatcher.update(&open, &open.services[0], &hall(), at(5_000));
+    dispatcher.update(&drained, &drained.services[0], &local_hall(), at(0));
+    dispatcher.update(&open, &open.services[0], &local_hall(), at(5_000));
     let expected = |dispatcher: &support::TestDispatcher, index: usize, now| {
         dispatcher.dump(at(now)).targets[index].expected_us
     };
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use support::hall;
+use support::local_hall;
 use support::target_name;
 use support::report;
 use thymeshift_config::Configuration;
@@ -40,10 +40,10 @@
     let (before, after) = (configuration(0, TARGETS), configuration(100, TARGETS + 100));
     let begun = Instant::now();
     let mut dispatcher: Dispatcher<AnyStrategy> =
-        Dispatcher::configured(&before, &before.services[0], &hall(), START);
+        Dispatcher::configured(&before, &before.services[0], &local_hall(), START);
     for step in 0..4 {
         let configuration = if step % 2 == 0 { &after } else { &before };
-        dispatcher.reconfigure(configuration, &configuration.services[0], &hall(), START);
+        dispatcher.reconfigure(configuration, &configuration.services[0], &local_hall(), START);
     }
     for index in 100..TARGETS {
         dispatcher.learn_probe(&target_name(index), report(0, 0), START);
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -16,7 +16,7 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
-use crate::support::hall;
+use crate::support::local_hall;
 use crate::support::target_name;
 use crate::support::report;
 use crate::support::request;
@@ -37,7 +37,7 @@
 }
 
 fn apply(dispatcher: &mut TestDispatcher, configuration: &Configuration, millis: u64) {
-    dispatcher.update(configuration, &configuration.services[0], &hall(), at(millis));
+    dispatcher.update(configuration, &configuration.services[0], &local_hall(), at(millis));
 }
 
 fn first(dispatcher: &TestDispatcher, millis: u64) -> TargetDump {
--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -62,7 +62,7 @@
     Configuration::parse(&text).unwrap_or_else(|mistakes| panic!("{mistakes}\n{text}"))
 }
 
-pub(crate) fn hall() -> DataHallName {
+pub(crate) fn local_hall() -> DataHallName {
     DataHallName::new("a").expect("a name")
 }
 
@@ -71,7 +71,7 @@
 }
 
 pub(crate) fn dispatcher(configuration: &Configuration) -> Dispatcher<AnyStrategy> {
-    Dispatcher::configured(configuration, &configuration.services[0], &hall(), START)
+    Dispatcher::configured(configuration, &configuration.services[0], &local_hall(), START)
 }
 
 /// A request that waits up to its deadline.
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -20,7 +20,7 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
-use crate::support::hall;
+use crate::support::local_hall;
 use crate::support::ms;
 use crate::support::target_name;
 use crate::support::report;
@@ -91,7 +91,7 @@
         Source::Configuration => {
             let mut leaving = good.clone();
             leaving.services[0].targets[0].state = thymeshift_config::TargetState::Leaving;
-            dispatcher.update(&leaving, &leaving.services[0], &hall(), at(1));
+            dispatcher.update(&leaving, &leaving.services[0], &local_hall(), at(1));
         }
     }
 }
@@ -106,13 +106,13 @@
         say_leaving(&mut dispatcher, source, &good);
         assert_eq!(usability(&dispatcher, 0, at(2)), Usability::Leaving, "{source:?}");
         // A stale platform lists it as serving again, a stale report says so.
-        dispatcher.update(&good, &good.services[0], &hall(), at(3));
+        dispatcher.update(&good, &good.services[0], &local_hall(), at(3));
         dispatcher.learn_probe(&target_name(0), report(0, 0), at(3));
         assert_eq!(usability(&dispatcher, 0, at(4)), Usability::Leaving, "{source:?}");
         // A new incarnation on the same address serves.
         let mut renewed = good.clone();
         renewed.services[0].targets[0].incarnation = Incarnation::new(2);
-        dispatcher.update(&renewed, &renewed.services[0], &hall(), at(5));
+        dispatcher.update(&renewed, &renewed.services[0], &local_hall(), at(5));
         assert!(!dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)), "late news, {source:?}");
         let mut rng = rng();
         let decision = dispatcher.request(request(1, at(9_000)), at(6), &mut rng);
@@ -203,7 +203,7 @@
     let large = configuration(5, 5, "    cold_start_ramp_ms: 2000\n");
     let mut dispatcher = dispatcher(&small);
     drive(&mut dispatcher, 400, 0, |_| (idle(), 2));
-    dispatcher.update(&large, &large.services[0], &hall(), at(1_000));
+    dispatcher.update(&large, &large.services[0], &local_hall(), at(1_000));
     let early = drive(&mut dispatcher, 100, 1_001, |_| (idle(), 2));
     let later = drive(&mut dispatcher, 1_000, 4_000, |_| (idle(), 2));
     let early = early.get("t4").copied().unwrap_or(0);
@@ -298,14 +298,14 @@
         sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
         sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
     ];
-    dispatcher.update(&one, &one.services[0], &hall(), at(1));
-    dispatcher.update(&two, &two.services[0], &hall(), at(2));
+    dispatcher.update(&one, &one.services[0], &local_hall(), at(1));
+    dispatcher.update(&two, &two.services[0], &local_hall(), at(2));
     assert_eq!(dispatcher.dump(at(2)).targets.len(), 3, "t1 has a new place");
     for grant in grants.drain(..) {
         dispatcher.learn(&grant, idle(), at(3));
         dispatcher.release(grant, at(3));
     }
-    dispatcher.update(&one, &one.services[0], &hall(), at(4));
-    dispatcher.update(&two, &two.services[0], &hall(), at(5));
+    dispatcher.update(&one, &one.services[0], &local_hall(), at(4));
+    dispatcher.update(&two, &two.services[0], &local_hall(), at(5));
     assert_eq!(dispatcher.dump(at(5)).targets.len(), 3, "places are used again");
 }
