--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -25,7 +25,7 @@
 use crate::support::target_name;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::sent;
+use crate::support::expect_grant;
 
 const BACKOFF: Duration = Duration::from_secs(3);
 const VIEWS: [View; 3] = [View::Own, View::Fleet, View::Fallback];
@@ -46,7 +46,7 @@
 fn is_used(dispatcher: &mut TestDispatcher, index: usize, now: Timestamp) -> bool {
     let mut rng = rng();
     let mut tries = (0..50).map(|_| {
-        let grant = sent(dispatcher, request(1, now + ms(900)), now, &mut rng);
+        let grant = expect_grant(dispatcher, request(1, now + ms(900)), now, &mut rng);
         let is_meant = dispatcher.target_name(&grant) == target_name(index);
         dispatcher.release(grant, now);
         is_meant
@@ -167,7 +167,7 @@
 fn what_waits_is_refused_once_all_targets_back_off_for_longer() {
     let mut dispatcher = service(1);
     let mut rng = rng();
-    let running = sent(&mut dispatcher, request(1, at(900)), at(0), &mut rng);
+    let running = expect_grant(&mut dispatcher, request(1, at(900)), at(0), &mut rng);
     let Decision::Wait(ticket) = dispatcher.request(request(1, at(900)), at(1), &mut rng) else {
         panic!("it must wait");
     };
@@ -193,7 +193,7 @@
     let mut rng = rng();
     for moment in 0..50 {
         let request = Request { excluded: one, ..request(1, at(5_000)) };
-        let grant = sent(&mut dispatcher, request, at(moment), &mut rng);
+        let grant = expect_grant(&mut dispatcher, request, at(moment), &mut rng);
         assert_eq!(dispatcher.target_name(&grant), target_name(1));
         dispatcher.release(grant, at(moment));
     }
@@ -218,7 +218,7 @@
     let mut trials = 0;
     for moment in (from..from + 1_000).step_by(5) {
         let now = at(moment);
-        let grant = sent(dispatcher, request(1, now + ms(900)), now, rng);
+        let grant = expect_grant(dispatcher, request(1, now + ms(900)), now, rng);
         if dispatcher.target_name(&grant) == target_name(0) {
             trials += 1;
             dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -9,7 +9,7 @@
 use support::target_name;
 use support::request;
 use support::rng;
-use support::sent;
+use support::expect_grant;
 use thymeshift_config::Configuration;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::Usability;
@@ -31,7 +31,7 @@
         dispatcher.set_view(view);
         let mut rng = rng();
         for step in 0..100 {
-            let grant = sent(&mut dispatcher, request(1, at(1_000)), at(step), &mut rng);
+            let grant = expect_grant(&mut dispatcher, request(1, at(1_000)), at(step), &mut rng);
             let chosen = dispatcher.target_name(&grant);
             assert!(chosen == target_name(2) || chosen == target_name(3), "{view}: {chosen}");
             dispatcher.release(grant, at(step));
@@ -49,7 +49,7 @@
     let drained = halls(&["a", "b"]);
     let mut dispatcher = dispatcher(&open);
     let mut rng = rng();
-    let grant = sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
+    let grant = expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
     assert!(dispatcher.may_send(&grant, at(1_000), at(1)));
     dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     assert!(!dispatcher.may_send(&grant, at(1_000), at(3)));
@@ -72,7 +72,7 @@
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
     let held: Vec<_> =
-        (0..4).map(|_| sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng)).collect();
+        (0..4).map(|_| expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng)).collect();
     let waits = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
     assert!(matches!(waits, Decision::Wait(_)), "{waits:?}");
     dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -13,7 +13,7 @@
 use support::report;
 use support::request;
 use support::rng;
-use support::sent;
+use support::expect_grant;
 use thymeshift_dispatch::AnyStrategy;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::Dispatcher;
@@ -45,7 +45,7 @@
     rng: &mut SmallRng,
 ) {
     let grants: Vec<_> =
-        (0..count).map(|_| sent(dispatcher, request(1, now + ms(10_000)), now, rng)).collect();
+        (0..count).map(|_| expect_grant(dispatcher, request(1, now + ms(10_000)), now, rng)).collect();
     for grant in grants {
         let others = dispatcher.in_flight(grant.target()) - 1;
         let observation = Observation::Answered(Some(report(others, 0)));
@@ -208,7 +208,7 @@
         // two more than are counted here: their times say nothing about two.
         let (count, foreign, taken) = if round % 2 == 0 { (1, 0, 50) } else { (2, 2, 95) };
         let grants: Vec<_> =
-            (0..count).map(|_| sent(&mut dispatcher, at_once(now), now, &mut rng)).collect();
+            (0..count).map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng)).collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1 + foreign;
             let observation = Observation::Answered(Some(report(others, 0)));
@@ -245,7 +245,7 @@
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
     for _ in 0..2 {
-        let _ = sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
+        let _ = expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
     }
     let third = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
     assert!(matches!(third, Decision::Wait(_)), "{third:?}");
@@ -270,10 +270,10 @@
         let _ = dispatcher.tick(now);
         let _ = dispatcher.learn_probe(&target_name(1), paced(100), now);
         let _ = dispatcher.learn_probe(&target_name(2), paced(500), now);
-        let first = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
+        let first = expect_grant(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
         assert_eq!(dispatcher.target_name(&first), target_name(1), "the one known to be fast");
         let later = now + ms(200);
-        let again = sent(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
+        let again = expect_grant(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
         assert_ne!(dispatcher.target_name(&again), target_name(1), "old news; and it has a request");
     }
 }
@@ -312,7 +312,7 @@
         let mut rng = rng();
         let mut now = at(0);
         for _ in 0..400 {
-            let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
+            let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(taken_ms);
             let report = LoadReport { pace_percent: before_percent, ..report(0, 0) };
             let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now);
@@ -370,7 +370,7 @@
         let mut now = at(0);
         // A request takes 200 ms.
         for _ in 0..10 {
-            let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
+            let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(200);
             let _ = dispatcher.learn(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
@@ -406,7 +406,7 @@
         let _ = dispatcher.tick(now);
         let _ = dispatcher.learn_probe(&target_name(0), paced(pace), now);
         let grants: Vec<_> =
-            (0..count).map(|_| sent(&mut dispatcher, at_once(now), now, &mut rng)).collect();
+            (0..count).map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng)).collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
@@ -443,7 +443,7 @@
             dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
         // It was used a moment ago.
-        let grant = sent(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
+        let grant = expect_grant(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
         dispatcher.release(grant, at(10));
         let _ = dispatcher.learn_probe(&target_name(2), report(running, queued), at(20));
         let now = at(20 + age_ms);
@@ -483,7 +483,7 @@
     for (origin, halls) in [(far, [2, 3]), (HallIndex::default(), [0, 1])] {
         for _ in 0..2 {
             let wanted = Request { origin, ..request(1, at(500)) };
-            let grant = sent(&mut dispatcher, wanted, at(0), &mut rng);
+            let grant = expect_grant(&mut dispatcher, wanted, at(0), &mut rng);
             let chosen = dispatcher.target_name(&grant);
             assert!(halls.map(target_name).contains(&chosen), "{chosen} for {origin:?}");
         }
--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -9,7 +9,7 @@
 use support::target_name;
 use support::request;
 use support::rng;
-use support::sent;
+use support::expect_grant;
 use thymeshift_dispatch::Request;
 use thymeshift_dispatch::View;
 
@@ -42,7 +42,7 @@
         // Work takes 200 ms, so that a second request at a target is worth the way to another hall.
         for step in 0..40 {
             let wanted = request(1, at(100_000));
-            let grant = sent(&mut dispatcher, wanted, at(step * 200), &mut rng);
+            let grant = expect_grant(&mut dispatcher, wanted, at(step * 200), &mut rng);
             let answered = thymeshift_dispatch::Observation::Answered(Some(support::report(0, 0)));
             dispatcher.learn(&grant, answered, at(step * 200 + 200));
             dispatcher.release(grant, at(step * 200 + 200));
@@ -52,7 +52,7 @@
         let mut grants = Vec::new();
         for _ in 0..6 {
             let wanted = Request { answer_kib, ..request(1, at(100_000)) };
-            let grant = sent(&mut dispatcher, wanted, now, &mut rng);
+            let grant = expect_grant(&mut dispatcher, wanted, now, &mut rng);
             let chosen = dispatcher.target_name(&grant);
             crossed += usize::from(chosen == target_name(2) || chosen == target_name(3));
             grants.push(grant);
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -21,7 +21,7 @@
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::sent;
+use crate::support::expect_grant;
 use crate::support::cold_report;
 
 /// Targets of the service; the first one starts again.
@@ -165,7 +165,7 @@
         leaving.services[0].targets[0].state = thymeshift_config::TargetState::Leaving;
         apply(&mut dispatcher, &leaving, 30);
         assert_eq!(first(&dispatcher, 31).usability, Usability::Open, "{address:?}");
-        let grant = sent(&mut dispatcher, request(1, at(9_000)), at(32), &mut rng());
+        let grant = expect_grant(&mut dispatcher, request(1, at(9_000)), at(32), &mut rng());
         dispatcher.release(grant, at(33));
     }
 }
--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -107,7 +107,7 @@
 }
 
 /// The grant of a request that must be sent at once.
-pub(crate) fn sent(
+pub(crate) fn expect_grant(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     request: Request,
     now: Timestamp,
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -26,7 +26,7 @@
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::sent;
+use crate::support::expect_grant;
 
 const RANDOM: &str = "    strategy: random\n";
 
@@ -48,7 +48,7 @@
     let mut counts = BTreeMap::new();
     let mut now = at(start);
     for _ in 0..count {
-        let grant = sent(dispatcher, request(1, now + ms(1_000)), now, &mut rng);
+        let grant = expect_grant(dispatcher, request(1, now + ms(1_000)), now, &mut rng);
         let target = dispatcher.target_name(&grant).to_string();
         let (observation, taken) = answer(&target);
         now = now + ms(taken);
@@ -79,7 +79,7 @@
             assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
         }
         Source::Answer => {
-            let grant = sent(dispatcher, request(1, at(100)), at(0), &mut rng());
+            let grant = expect_grant(dispatcher, request(1, at(100)), at(0), &mut rng());
             let mark = dispatcher.learn(&grant, Observation::Answered(Some(draining)), at(1));
             assert_eq!(mark.expect("news to pass on").target, target_name(0));
             dispatcher.release(grant, at(1));
@@ -101,7 +101,7 @@
     for source in [Source::Mark, Source::Answer, Source::Probe, Source::Configuration] {
         let good = configuration(1, 1, "");
         let mut dispatcher = dispatcher(&good);
-        let before = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+        let before = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
         dispatcher.release(before, at(0));
         say_leaving(&mut dispatcher, source, &good);
         assert_eq!(usability(&dispatcher, 0, at(2)), Usability::Leaving, "{source:?}");
@@ -123,7 +123,7 @@
 #[test]
 fn a_choice_is_void_once_the_target_leaves_or_the_deadline_has_passed() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let grant = sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng());
+    let grant = expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng());
     assert!(dispatcher.may_send(&grant, at(100), at(99)));
     assert!(!dispatcher.may_send(&grant, at(100), at(100)), "slept until the deadline");
     dispatcher.mark_leaving(&target_name(0), Incarnation::new(1));
@@ -239,7 +239,7 @@
     }
     for _ in 0..40 {
         now = now + ms(500);
-        let grant = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
+        let grant = expect_grant(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
         dispatcher.learn(&grant, Observation::Answered(Some(report(1, 9))), now);
         dispatcher.release(grant, now);
     }
@@ -251,13 +251,13 @@
     for targets in [1, 4] {
         let mut dispatcher = dispatcher(&configuration(targets, targets, ""));
         let mut rng = rng();
-        let first = sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng);
+        let first = expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng);
         let mut tried = Tried::default();
         tried.add(first.target());
         dispatcher.release(first, at(0));
         for _ in 0..20 {
             let again = Request { tried, ..request(1, at(100)) };
-            let second = sent(&mut dispatcher, again, at(0), &mut rng);
+            let second = expect_grant(&mut dispatcher, again, at(0), &mut rng);
             assert_eq!(tried.has(second.target()), targets == 1);
             dispatcher.release(second, at(0));
         }
@@ -295,8 +295,8 @@
     let mut dispatcher = dispatcher(&two);
     let mut rng = rng();
     let mut grants = vec![
-        sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
-        sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
+        expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
+        expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
     ];
     dispatcher.update(&one, &one.services[0], &local_hall(), at(1));
     dispatcher.update(&two, &two.services[0], &local_hall(), at(2));
--- a/crates/thymeshift_dispatch/tests/waiting.rs
+++ b/crates/thymeshift_dispatch/tests/waiting.rs
@@ -16,7 +16,7 @@
 use crate::support::ms;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::sent;
+use crate::support::expect_grant;
 
 fn wait(dispatcher: &mut Dispatcher<AnyStrategy>, request: Request, millis: u64) -> Ticket {
     match dispatcher.request(request, at(millis), &mut rng()) {
@@ -50,7 +50,7 @@
 #[test]
 fn higher_ranks_go_first_and_within_a_rank_the_oldest() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let held = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+    let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     let archive = wait(&mut dispatcher, request(3, at(9_000)), 0);
     let switch = wait(&mut dispatcher, request(2, at(9_000)), 1);
     let first = wait(&mut dispatcher, request(1, at(9_000)), 2);
@@ -80,7 +80,7 @@
     ];
     for Case { note, waiting, served: expected } in cases {
         let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-        let held = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+        let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
         let tickets: Vec<Ticket> = waiting
             .iter()
             .map(|(rank, until)| {
@@ -96,7 +96,7 @@
 #[test]
 fn late_requests_are_not_starved_by_new_ones() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let held = sent(&mut dispatcher, request(1, at(90_000)), at(0), &mut rng());
+    let held = expect_grant(&mut dispatcher, request(1, at(90_000)), at(0), &mut rng());
     let late = wait(&mut dispatcher, Request { objective: at(0), ..request(1, at(90_000)) }, 0);
     for _ in 0..40 {
         wait(&mut dispatcher, request(1, at(90_000)), 0);
@@ -108,7 +108,7 @@
 #[test]
 fn a_waiter_that_finds_no_target_keeps_its_place() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let held = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+    let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     let first = wait(&mut dispatcher, request(1, at(9_000)), 0);
     let second = wait(&mut dispatcher, request(1, at(9_000)), 1);
     for step in 2..9 {
@@ -120,7 +120,7 @@
 #[test]
 fn the_lowest_rank_is_not_starved() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let held = sent(&mut dispatcher, request(1, at(90_000)), at(0), &mut rng());
+    let held = expect_grant(&mut dispatcher, request(1, at(90_000)), at(0), &mut rng());
     let archive = wait(&mut dispatcher, request(9, at(90_000)), 0);
     for _ in 0..40 {
         wait(&mut dispatcher, request(1, at(90_000)), 0);
@@ -132,7 +132,7 @@
 #[test]
 fn an_overloaded_rank_serves_its_newest() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let held = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+    let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     wait(&mut dispatcher, request(1, at(15)), 0);
     let new = wait(&mut dispatcher, request(1, at(60)), 9);
     assert_eq!(served(&mut dispatcher, held, 1), [new], "the oldest has used half of its time");
@@ -142,7 +142,7 @@
 fn expired_waits_are_refused_and_the_rest_goes_on() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let mut rng = rng();
-    let held = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng);
+    let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng);
     let short = wait(&mut dispatcher, request(1, at(20)), 0);
     let long = wait(&mut dispatcher, request(1, at(9_000)), 0);
     dispatcher.release(held, at(21));
@@ -212,7 +212,7 @@
 #[test]
 fn a_cancelled_wait_gives_its_place_up() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let held = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+    let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     let gone = wait(&mut dispatcher, request(1, at(9_000)), 0);
     let stays = wait(&mut dispatcher, request(1, at(9_000)), 0);
     assert!(dispatcher.cancel(gone));
