--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -41,14 +41,14 @@
 }
 
 /// One service with targets `t0`, `t1`, … of one slot; `service` holds further lines of
-/// it, `near` of the targets stand in this VM's data hall.
-pub(crate) fn configuration(targets: usize, near: usize, service: &str) -> Configuration {
+/// it, `local_targets` of the targets stand in this VM's data hall.
+pub(crate) fn configuration(targets: usize, local_targets: usize, service: &str) -> Configuration {
     let mut text = format!(
         "entry_vms_max: 4\ndata_halls: [a, b]\ndata_hall_one_way_us: 1500\nkinds: []\nservices:\n  \
          - name: s\n    slots_per_target: 1\n    connections_per_target: 40\n{service}    targets:\n"
     );
     for index in 0..targets {
-        let hall = if index < near { 'a' } else { 'b' };
+        let hall = if index < local_targets { 'a' } else { 'b' };
         let port = index + 1;
         writeln!(
             text,
