--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -20,12 +20,12 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
+use crate::support::expect_grant;
 use crate::support::local_hall;
 use crate::support::ms;
-use crate::support::target_name;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::expect_grant;
+use crate::support::target_name;
 
 const BACKOFF: Duration = Duration::from_secs(3);
 const VIEWS: [View; 3] = [View::Own, View::Fleet, View::Fallback];
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -5,11 +5,11 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
+use support::expect_grant;
 use support::local_hall;
-use support::target_name;
 use support::request;
 use support::rng;
-use support::expect_grant;
+use support::target_name;
 use thymeshift_config::Configuration;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::Usability;
@@ -36,7 +36,10 @@
             assert!(chosen == target_name(2) || chosen == target_name(3), "{view}: {chosen}");
             dispatcher.release(grant, at(step));
         }
-        assert!(dispatcher.grant_at(&target_name(0), None, at(200)).is_none(), "{view}: another's choice");
+        assert!(
+            dispatcher.grant_at(&target_name(0), None, at(200)).is_none(),
+            "{view}: another's choice"
+        );
         assert!(dispatcher.grant_at(&target_name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
         assert_eq!(probed, [target_name(2), target_name(3)], "{view}");
@@ -71,8 +74,9 @@
     let mut dispatcher = dispatcher(&open);
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
-    let held: Vec<_> =
-        (0..4).map(|_| expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng)).collect();
+    let held: Vec<_> = (0..4)
+        .map(|_| expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng))
+        .collect();
     let waits = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
     assert!(matches!(waits, Decision::Wait(_)), "{waits:?}");
     dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -8,12 +8,12 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
+use support::expect_grant;
 use support::ms;
-use support::target_name;
 use support::report;
 use support::request;
 use support::rng;
-use support::expect_grant;
+use support::target_name;
 use thymeshift_dispatch::AnyStrategy;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::Dispatcher;
@@ -44,8 +44,9 @@
     now: Timestamp,
     rng: &mut SmallRng,
 ) {
-    let grants: Vec<_> =
-        (0..count).map(|_| expect_grant(dispatcher, request(1, now + ms(10_000)), now, rng)).collect();
+    let grants: Vec<_> = (0..count)
+        .map(|_| expect_grant(dispatcher, request(1, now + ms(10_000)), now, rng))
+        .collect();
     for grant in grants {
         let others = dispatcher.in_flight(grant.target()) - 1;
         let observation = Observation::Answered(Some(report(others, 0)));
@@ -207,8 +208,9 @@
         // Two at a time take nearly twice as long as one, but only because the target then has
         // two more than are counted here: their times say nothing about two.
         let (count, foreign, taken) = if round % 2 == 0 { (1, 0, 50) } else { (2, 2, 95) };
-        let grants: Vec<_> =
-            (0..count).map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng)).collect();
+        let grants: Vec<_> = (0..count)
+            .map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng))
+            .collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1 + foreign;
             let observation = Observation::Answered(Some(report(others, 0)));
@@ -274,7 +276,11 @@
         assert_eq!(dispatcher.target_name(&first), target_name(1), "the one known to be fast");
         let later = now + ms(200);
         let again = expect_grant(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
-        assert_ne!(dispatcher.target_name(&again), target_name(1), "old news; and it has a request");
+        assert_ne!(
+            dispatcher.target_name(&again),
+            target_name(1),
+            "old news; and it has a request"
+        );
     }
 }
 
@@ -405,8 +411,9 @@
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
         let _ = dispatcher.learn_probe(&target_name(0), paced(pace), now);
-        let grants: Vec<_> =
-            (0..count).map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng)).collect();
+        let grants: Vec<_> = (0..count)
+            .map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng))
+            .collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -5,11 +5,11 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
+use support::expect_grant;
 use support::ms;
-use support::target_name;
 use support::request;
 use support::rng;
-use support::expect_grant;
+use support::target_name;
 use thymeshift_dispatch::Request;
 use thymeshift_dispatch::View;
 
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use support::local_hall;
-use support::target_name;
 use support::report;
+use support::target_name;
 use thymeshift_config::Configuration;
 use thymeshift_dispatch::AnyStrategy;
 use thymeshift_dispatch::Dispatcher;
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -13,9 +13,9 @@
 use support::configuration;
 use support::dispatcher;
 use support::ms;
-use support::target_name;
 use support::report;
 use support::request;
+use support::target_name;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::LoadReport;
 use thymeshift_dispatch::Observation;
@@ -75,7 +75,8 @@
     fn probe_before_grant(&mut self, request: &Request, now_ms: u64) {
         let asked = self.dispatcher.worth_asking(request, ms(10), 5, at(now_ms));
         for (found, _) in asked {
-            let target = (0..TARGETS).find(|target| target_name(*target) == found).expect("a target");
+            let target =
+                (0..TARGETS).find(|target| target_name(*target) == found).expect("a target");
             if self.probing[target].try_begin_early(PROBE_EVERY, at(now_ms)) {
                 self.probe(target, now_ms);
             }
@@ -121,7 +122,8 @@
         match fleet.dispatcher.request(at_once, now, &mut rng) {
             Decision::Send(grant) => {
                 let chosen = fleet.dispatcher.target_name(&grant);
-                let target = (0..TARGETS).find(|target| target_name(*target) == chosen).expect("a target");
+                let target =
+                    (0..TARGETS).find(|target| target_name(*target) == chosen).expect("a target");
                 let takes_ms = WORK_MS * u64::from(pace_percent(target, now_ms)) / 100;
                 late += u32::from(takes_ms > OBJECTIVE_MS);
                 running.push((now_ms + takes_ms, target, grant));
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -14,9 +14,9 @@
 use support::configuration;
 use support::dispatcher;
 use support::ms;
-use support::target_name;
 use support::request;
 use support::rng;
+use support::target_name;
 use thymeshift_config::RequestRate;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::RateLimitUpdate;
@@ -70,7 +70,8 @@
                 break;
             };
             let target = dispatcher.target_name(&grant);
-            let index = (0..limits.len()).find(|index| target_name(*index) == target).expect("a target");
+            let index =
+                (0..limits.len()).find(|index| target_name(*index) == target).expect("a target");
             sent.push((index, moment));
             dispatcher.learn_rate_limit(&grant, limits[index], now + ms(5));
             dispatcher.release(grant, now + ms(5));
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -14,15 +14,15 @@
 
 use crate::support::TestDispatcher;
 use crate::support::at;
+use crate::support::cold_report;
 use crate::support::configuration;
 use crate::support::dispatcher;
+use crate::support::expect_grant;
 use crate::support::local_hall;
-use crate::support::target_name;
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::expect_grant;
-use crate::support::cold_report;
+use crate::support::target_name;
 
 /// Targets of the service; the first one starts again.
 const TARGETS: usize = 3;
@@ -42,8 +42,9 @@
 
 fn first(dispatcher: &TestDispatcher, millis: u64) -> TargetDump {
     let dump = dispatcher.dump(at(millis)).targets;
-    let current =
-        |target: &&TargetDump| target.name == target_name(0) && target.usability != Usability::Removed;
+    let current = |target: &&TargetDump| {
+        target.name == target_name(0) && target.usability != Usability::Removed
+    };
     dump.iter().find(current).expect("the target").clone()
 }
 
@@ -72,7 +73,9 @@
             believed: "that it fails",
             learn: |dispatcher| {
                 for step in 0..20 {
-                    let Some(grant) = dispatcher.grant_at(&target_name(0), None, at(step)) else { break };
+                    let Some(grant) = dispatcher.grant_at(&target_name(0), None, at(step)) else {
+                        break;
+                    };
                     dispatcher.learn(&grant, Observation::Failed(None), at(step));
                     dispatcher.release(grant, at(step));
                 }
@@ -102,7 +105,8 @@
             believed: "that requests are at work there",
             learn: |dispatcher| {
                 // Never released: their target ended, and who asked is not heard of again.
-                let _unreleased = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+                let _unreleased =
+                    dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
             },
         },
     ];
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -20,13 +20,13 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
+use crate::support::expect_grant;
 use crate::support::local_hall;
 use crate::support::ms;
-use crate::support::target_name;
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::expect_grant;
+use crate::support::target_name;
 
 const RANDOM: &str = "    strategy: random\n";
 
@@ -113,7 +113,10 @@
         let mut renewed = good.clone();
         renewed.services[0].targets[0].incarnation = Incarnation::new(2);
         dispatcher.update(&renewed, &renewed.services[0], &local_hall(), at(5));
-        assert!(!dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)), "late news, {source:?}");
+        assert!(
+            !dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)),
+            "late news, {source:?}"
+        );
         let mut rng = rng();
         let decision = dispatcher.request(request(1, at(9_000)), at(6), &mut rng);
         assert!(matches!(decision, Decision::Send(_)), "{source:?}");
--- a/crates/thymeshift_dispatch/tests/waiting.rs
+++ b/crates/thymeshift_dispatch/tests/waiting.rs
@@ -13,10 +13,10 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
+use crate::support::expect_grant;
 use crate::support::ms;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::expect_grant;
 
 fn wait(dispatcher: &mut Dispatcher<AnyStrategy>, request: Request, millis: u64) -> Ticket {
     match dispatcher.request(request, at(millis), &mut rng()) {
