--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -55,7 +55,7 @@
     bound: Bound,
     share: RateShare,
     costs: MarginalCosts,
-    is_exact: bool,
+    counts_whole_fleet: bool,
 }
 
 impl<'a> Candidates<'a> {
@@ -78,14 +78,14 @@
             bound: table.bound(view, now),
             share: table.rate_share(view),
             costs: table.marginal_costs(view, now),
-            is_exact: view == View::Fleet,
+            counts_whole_fleet: view == View::Fleet,
         }
     }
 
     /// Whether the counts hold the requests of all processes, so that the best target may
     /// be taken without all others taking it too.
-    pub fn is_exact(&self) -> bool {
-        self.is_exact
+    pub fn counts_whole_fleet(&self) -> bool {
+        self.counts_whole_fleet
     }
 
     /// Time in which an answer of a candidate is expected, in microseconds, the cost of the
@@ -144,17 +144,17 @@
 
 impl<'a, const N: usize> Sample<'a, N> {
     /// The drawn candidate with the smallest cost; equal ones are decided at random.
-    pub(crate) fn least<R: Rng>(
+    pub(crate) fn min_by_cost<R: Rng>(
         &self,
         cost: impl Fn(&Candidate<'a>) -> f64,
         rng: &mut R,
     ) -> Option<TargetIndex> {
-        least(self.drawn.iter().flatten().copied(), cost, rng)
+        min_by_cost(self.drawn.iter().flatten().copied(), cost, rng)
     }
 }
 
 /// The candidate with the smallest cost; equal ones are decided at random.
-pub(crate) fn least<'a, R: Rng>(
+pub(crate) fn min_by_cost<'a, R: Rng>(
     candidates: impl Iterator<Item = Candidate<'a>>,
     cost: impl Fn(&Candidate<'a>) -> f64,
     rng: &mut R,
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -5,11 +5,11 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
-use support::hall;
-use support::name;
+use support::expect_grant;
+use support::local_hall;
 use support::request;
 use support::rng;
-use support::sent;
+use support::target_name;
 use thymeshift_config::Configuration;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::Usability;
@@ -31,18 +31,18 @@
         dispatcher.set_view(view);
         let mut rng = rng();
         for step in 0..100 {
-            let grant = sent(&mut dispatcher, request(1, at(1_000)), at(step), &mut rng);
+            let grant = expect_grant(&mut dispatcher, request(1, at(1_000)), at(step), &mut rng);
             let chosen = dispatcher.target_name(&grant);
-            assert!(chosen == name(2) || chosen == name(3), "{view}: {chosen}");
+            assert!(chosen == target_name(2) || chosen == target_name(3), "{view}: {chosen}");
             dispatcher.release(grant, at(step));
         }
         assert!(
-            dispatcher.grant_target(&name(0), None, at(200)).is_none(),
+            dispatcher.grant_target(&target_name(0), None, at(200)).is_none(),
             "{view}: another's choice"
         );
-        assert!(dispatcher.grant_target(&name(2), None, at(200)).is_some(), "{view}");
+        assert!(dispatcher.grant_target(&target_name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
-        assert_eq!(probed, [name(2), name(3)], "{view}");
+        assert_eq!(probed, [target_name(2), target_name(3)], "{view}");
     }
 }
 
@@ -52,9 +52,9 @@
     let drained = halls(&["a", "b"]);
     let mut dispatcher = dispatcher(&open);
     let mut rng = rng();
-    let grant = sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
+    let grant = expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
     assert!(dispatcher.may_send(&grant, at(1_000), at(1)));
-    dispatcher.update(&drained, &drained.services[0], &hall(), at(2));
+    dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     assert!(!dispatcher.may_send(&grant, at(1_000), at(3)));
     dispatcher.release(grant, at(3));
     // Nobody is left to serve: known at once, not at the deadline.
@@ -74,11 +74,12 @@
     let mut dispatcher = dispatcher(&open);
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
-    let held: Vec<_> =
-        (0..4).map(|_| sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng)).collect();
+    let held: Vec<_> = (0..4)
+        .map(|_| expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng))
+        .collect();
     let waits = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
     assert!(matches!(waits, Decision::Wait(_)), "{waits:?}");
-    dispatcher.update(&drained, &drained.services[0], &hall(), at(2));
+    dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     let woken = dispatcher.next_wake(at(3), &mut rng);
     assert!(
         matches!(&woken, Some(thymeshift_dispatch::Wake::Refuse(_, refusal)) if refusal.reason == Reason::NoTarget),
@@ -95,13 +96,13 @@
     let drained = halls(&["a"]);
     let mut dispatcher = dispatcher(&open);
     dispatcher.set_view(View::Fleet);
-    dispatcher.update(&drained, &drained.services[0], &hall(), at(0));
-    dispatcher.update(&open, &open.services[0], &hall(), at(5_000));
+    dispatcher.update(&drained, &drained.services[0], &local_hall(), at(0));
+    dispatcher.update(&open, &open.services[0], &local_hall(), at(5_000));
     let expected = |dispatcher: &support::TestDispatcher, index: usize, now| {
         dispatcher.dump(at(now)).targets[index].expected_us
     };
     assert!(expected(&dispatcher, 0, 5_001) > 3 * expected(&dispatcher, 2, 5_001), "cold");
     assert!(expected(&dispatcher, 0, 8_001) <= expected(&dispatcher, 2, 8_001), "ramp over");
-    let _ = dispatcher.record_probe(&name(1), support::told_cold(0), at(5_002));
+    let _ = dispatcher.record_probe(&target_name(1), support::cold_report(0), at(5_002));
     assert!(expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003), "tells it is warm");
 }
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -14,15 +14,15 @@
 
 use crate::support::TestDispatcher;
 use crate::support::at;
+use crate::support::cold_report;
 use crate::support::configuration;
 use crate::support::dispatcher;
-use crate::support::hall;
-use crate::support::name;
+use crate::support::expect_grant;
+use crate::support::local_hall;
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::sent;
-use crate::support::told_cold;
+use crate::support::target_name;
 
 /// Targets of the service; the first one starts again.
 const TARGETS: usize = 3;
@@ -37,13 +37,14 @@
 }
 
 fn apply(dispatcher: &mut TestDispatcher, configuration: &Configuration, millis: u64) {
-    dispatcher.update(configuration, &configuration.services[0], &hall(), at(millis));
+    dispatcher.update(configuration, &configuration.services[0], &local_hall(), at(millis));
 }
 
 fn first(dispatcher: &TestDispatcher, millis: u64) -> TargetDump {
     let dump = dispatcher.dump(at(millis)).targets;
-    let current =
-        |target: &&TargetDump| target.name == name(0) && target.usability != Usability::Removed;
+    let current = |target: &&TargetDump| {
+        target.name == target_name(0) && target.usability != Usability::Removed
+    };
     dump.iter().find(current).expect("the target").clone()
 }
 
@@ -57,7 +58,7 @@
         Case {
             believed: "that it asked for a backoff",
             learn: |dispatcher| {
-                let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.record_backoff(&grant, Duration::from_mins(1), at(0));
                 dispatcher.release(grant, at(0));
             },
@@ -65,14 +66,15 @@
         Case {
             believed: "that it is leaving",
             learn: |dispatcher| {
-                assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
+                assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
             },
         },
         Case {
             believed: "that it fails",
             learn: |dispatcher| {
                 for step in 0..20 {
-                    let Some(grant) = dispatcher.grant_target(&name(0), None, at(step)) else {
+                    let Some(grant) = dispatcher.grant_target(&target_name(0), None, at(step))
+                    else {
                         break;
                     };
                     dispatcher.record_attempt(&grant, Observation::Failed(None), at(step));
@@ -83,7 +85,7 @@
         Case {
             believed: "that it cannot be reached",
             learn: |dispatcher| {
-                let grant = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.record_attempt(&grant, Observation::Unreachable, at(1));
                 dispatcher.release(grant, at(1));
             },
@@ -91,20 +93,21 @@
         Case {
             believed: "that it is loaded",
             learn: |dispatcher| {
-                dispatcher.record_probe(&name(0), report(40, 40), at(1));
+                dispatcher.record_probe(&target_name(0), report(40, 40), at(1));
             },
         },
         Case {
             believed: "that it is cold for a minute",
             learn: |dispatcher| {
-                dispatcher.record_probe(&name(0), told_cold(60_000), at(1));
+                dispatcher.record_probe(&target_name(0), cold_report(60_000), at(1));
             },
         },
         Case {
             believed: "that requests are at work there",
             learn: |dispatcher| {
                 // Never released: their target ended, and who asked is not heard of again.
-                let _unreleased = dispatcher.grant_target(&name(0), None, at(0)).expect("a grant");
+                let _unreleased =
+                    dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
             },
         },
     ];
@@ -132,8 +135,9 @@
 fn what_an_earlier_start_did_counts_for_it_alone() {
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
-    let grants: Vec<_> =
-        (0..4).filter_map(|step| dispatcher.grant_target(&name(0), None, at(step))).collect();
+    let grants: Vec<_> = (0..4)
+        .filter_map(|step| dispatcher.grant_target(&target_name(0), None, at(step)))
+        .collect();
     assert!(!grants.is_empty());
     apply(&mut dispatcher, &restarted(&base, 2, None), 10);
     let before = first(&dispatcher, 11);
@@ -144,7 +148,7 @@
         dispatcher.release(grant, at(13));
     }
     assert!(
-        !dispatcher.mark_leaving(&name(0), Incarnation::new(1)),
+        !dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)),
         "late news of the earlier one"
     );
     let after = first(&dispatcher, 11);
@@ -167,7 +171,7 @@
         leaving.services[0].targets[0].state = thymeshift_config::TargetState::Leaving;
         apply(&mut dispatcher, &leaving, 30);
         assert_eq!(first(&dispatcher, 31).usability, Usability::Open, "{address:?}");
-        let grant = sent(&mut dispatcher, request(1, at(9_000)), at(32), &mut rng());
+        let grant = expect_grant(&mut dispatcher, request(1, at(9_000)), at(32), &mut rng());
         dispatcher.release(grant, at(33));
     }
 }
@@ -178,7 +182,7 @@
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     for (step, incarnation) in [(100, 2), (400, 3), (900, 4)] {
-        let held = dispatcher.grant_target(&name(0), None, at(step)).expect("a grant");
+        let held = dispatcher.grant_target(&target_name(0), None, at(step)).expect("a grant");
         apply(&mut dispatcher, &restarted(&base, incarnation, None), step + 1);
         assert_eq!(first(&dispatcher, step + 2).incarnation, Incarnation::new(incarnation));
         dispatcher.release(held, at(step + 3));
