--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -59,7 +59,7 @@
 
 /// Figures of the process as a whole.
 #[derive(Default)]
-pub(crate) struct ProcessFigures {
+pub(crate) struct ProcessMetrics {
     pub(crate) requests_in_flight: AtomicU64,
     /// Requests begun while one before them on their connection is under way.
     pub(crate) requests_ahead: AtomicU64,
@@ -74,7 +74,7 @@
     pub(crate) settings_path: Option<String>,
     pub(crate) boot: Boot,
     pub(crate) started_at: Timestamp,
-    pub(crate) figures: ProcessFigures,
+    pub(crate) figures: ProcessMetrics,
     /// Ends waits that a suspension of the VM has made too long.
     pub(crate) gaps: Gaps,
     pub(crate) fleet: Mutex<Fleet>,
@@ -149,7 +149,7 @@
             settings: RwLock::new(Arc::new(settings)),
             boot,
             started_at: BootClock.now(),
-            figures: ProcessFigures::default(),
+            figures: ProcessMetrics::default(),
             gaps: Gaps::default(),
             in_force: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
