--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -48,7 +48,7 @@
 }
 
 /// Figures of one kind since the process started.
-pub(crate) struct KindFigures {
+pub(crate) struct KindMetrics {
     pub(crate) accepted: AtomicU64,
     pub(crate) answered: Tally,
     not_run: Tally,
@@ -63,7 +63,7 @@
     pub(crate) patience: Mutex<Patience>,
 }
 
-impl KindFigures {
+impl KindMetrics {
     fn new(kind: &Kind) -> Arc<Self> {
         let name = kind.name.as_str().to_owned();
         let result = |result: &'static str| {
@@ -115,7 +115,7 @@
     pub(crate) service: Arc<ServiceRuntime>,
     /// Services of a split.
     parts: Vec<Arc<ServiceRuntime>>,
-    pub(crate) figures: Arc<KindFigures>,
+    pub(crate) figures: Arc<KindMetrics>,
 }
 
 impl KindRuntime {
@@ -210,6 +210,6 @@
     let parts = kind.split.iter().filter_map(|part| find(&part.service)).collect();
     let mut known = before.into_iter().flat_map(|before| before.kinds.iter());
     let known = known.find(|known| known.kind.name == kind.name);
-    let figures = known.map_or_else(|| KindFigures::new(kind), |known| known.figures.clone());
+    let figures = known.map_or_else(|| KindMetrics::new(kind), |known| known.figures.clone());
     Some(Arc::new(KindRuntime { kind: kind.clone(), service, parts, figures }))
 }
