--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -125,7 +125,7 @@
             if failure.outcome != Outcome::NotRun {
                 begun = Some(Begun { failure, answer });
             }
-            self.kind.figures.retries.add_one();
+            self.kind.metrics.retries.add_one();
             body = again;
         }
     }
@@ -199,7 +199,7 @@
         let begun = BootClock.now();
         let obtained = self.service.obtain(&self.shared, self.request(tried)).await;
         if BootClock.now().since(begun) > WAITED_MIN {
-            self.kind.figures.waited.add_one();
+            self.kind.metrics.waited.add_one();
         }
         obtained.map_err(|refusal| match refusal {
             Some(refusal) => self.refused(refusal, Step::Choose),
@@ -219,7 +219,7 @@
             tried,
             excluded: Excluded::default(),
             origin: HallIndex::default(),
-            answer_kib: self.kind.figures.answer_kib(),
+            answer_kib: self.kind.metrics.answer_kib(),
         }
     }
 
@@ -250,7 +250,7 @@
             return first.await;
         };
         *attempts += 1;
-        self.kind.figures.retries.add_one();
+        self.kind.metrics.retries.add_one();
         let second = Box::pin(self.send(grant, copy, *attempts));
         // The first good answer counts; dropping the other attempt cancels it.
         let (failed, left) = match select(first, second).await {
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -64,14 +64,14 @@
 
 impl InFlight {
     fn new(shared: &Arc<Shared>) -> Self {
-        shared.figures.requests_in_flight.fetch_add(1, Ordering::Relaxed);
+        shared.metrics.requests_in_flight.fetch_add(1, Ordering::Relaxed);
         Self(shared.clone())
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.figures.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
+        self.0.metrics.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -157,7 +157,7 @@
         }
         let kind = routing.kind_of(&Head::new(&parts));
         let kind = kind.ok_or_else(|| self.refused(Reason::UnknownKind, Step::Match))?.clone();
-        kind.figures.accepted.fetch_add(1, Ordering::Relaxed);
+        kind.metrics.accepted.fetch_add(1, Ordering::Relaxed);
         self.kind = Some(kind.clone());
         let identity = self.admitted::<D>(&mut parts, &routing.keys, &kind).await?;
         self.identity.clone_from(&identity);
@@ -174,7 +174,7 @@
         }
         let response = forwarded?;
         if response.status().is_success() {
-            forward.kind.figures.learn_answer(response.body().size_hint().lower());
+            forward.kind.metrics.learn_answer(response.body().size_hint().lower());
         }
         let (mut parts, body) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
@@ -264,10 +264,10 @@
         let request_id = self.request_id.to_str().unwrap_or_default();
         let kind = self.kind.as_ref().map_or("", |kind| kind.kind.name.as_str());
         if let Some(kind) = &self.kind {
-            kind.figures.seconds.record(taken);
+            kind.metrics.seconds.record(taken);
             match answered {
-                Ok(_) => kind.figures.answered.add_one(),
-                Err(failure) => kind.figures.outcome(failure.outcome).add_one(),
+                Ok(_) => kind.metrics.answered.add_one(),
+                Err(failure) => kind.metrics.outcome(failure.outcome).add_one(),
             }
         }
         let taken_us = taken.as_micros() as u64;
@@ -293,7 +293,7 @@
     let objective_ms = kind.kind.objective_ms;
     let objective = (objective_ms > 0).then(|| Duration::from_millis(objective_ms))?;
     let tried_for =
-        caller_waits.map_or(Duration::ZERO, |told| kind.figures.patience.lock().tried_for(told));
+        caller_waits.map_or(Duration::ZERO, |told| kind.metrics.patience.lock().tried_for(told));
     Some(objective.saturating_sub(tried_for))
 }
 
--- a/crates/thymeshift_entry/src/caller/listener.rs
+++ b/crates/thymeshift_entry/src/caller/listener.rs
@@ -88,7 +88,7 @@
 impl Counted {
     /// None if there are too many.
     fn new(shared: &Arc<Shared>, limits: &Limits) -> Option<Self> {
-        let before = shared.figures.caller_connections.fetch_add(1, Ordering::Relaxed);
+        let before = shared.metrics.caller_connections.fetch_add(1, Ordering::Relaxed);
         let counted = Self(shared.clone());
         (before < limits.caller_connections_max).then_some(counted)
     }
@@ -96,6 +96,6 @@
 
 impl Drop for Counted {
     fn drop(&mut self) {
-        self.0.figures.caller_connections.fetch_sub(1, Ordering::Relaxed);
+        self.0.metrics.caller_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -150,7 +150,7 @@
 
 /// Whether the first page of the source's list is not all of it.
 async fn is_list_long<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     match source.lock().await.begin().await {
         Ok(beginning) => beginning == Beginning::Long,
         Err(error) => {
--- a/crates/thymeshift_entry/src/control_plane/dump.rs
+++ b/crates/thymeshift_entry/src/control_plane/dump.rs
@@ -45,8 +45,8 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         phase: shared.phase(),
         uptime_ms: now.since(shared.started_at).as_millis() as u64,
-        requests_in_flight: shared.figures.requests_in_flight.load(Ordering::Relaxed),
-        caller_connections: shared.figures.caller_connections.load(Ordering::Relaxed),
+        requests_in_flight: shared.metrics.requests_in_flight.load(Ordering::Relaxed),
+        caller_connections: shared.metrics.caller_connections.load(Ordering::Relaxed),
         peer_bytes_received: shared.links.bytes().received(),
         peer_bytes_sent: shared.links.bytes().sent(),
         configuration: ConfigurationDump {
@@ -57,7 +57,7 @@
         },
         platform: PlatformDump {
             is_watching: fleet.election.is_watching(),
-            calls: shared.figures.platform_calls.load(Ordering::Relaxed),
+            calls: shared.metrics.platform_calls.load(Ordering::Relaxed),
             last_answer_ms: answered_at.map(|at| now.since(at).as_millis() as u64),
             watchers: fleet.election.watchers(now),
         },
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -98,7 +98,7 @@
         Document::VmList => "vms",
         Document::Targets => "targets",
     };
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     let answered = ask(shared.settings().platform_address, place, after, wait).await;
     let result = match &answered {
         Ok(Some(_)) => "changed",
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -92,7 +92,7 @@
         *source = S::new(address);
         info!("source_moved", kv: { address: = address });
     }
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     let answered = source.changes(wait).await;
     let now = BootClock.now();
     let result = match &answered {
--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -56,13 +56,13 @@
 /// Gauges are set here and not where they change: a look-up for each request would cost
 /// more than the figure is worth.
 fn set_gauges(shared: &Shared, late_max: Duration) {
-    let figures = &shared.figures;
+    let metrics = &shared.metrics;
     gauge!(metric::TICK_LATE_SECONDS).set(late_max.as_secs_f64());
-    let in_flight = figures.requests_in_flight.load(Ordering::Relaxed);
+    let in_flight = metrics.requests_in_flight.load(Ordering::Relaxed);
     gauge!(metric::IN_FLIGHT).set(in_flight as f64);
     gauge!(metric::PEER_BYTES, "way" => "received").set(shared.links.bytes().received() as f64);
     gauge!(metric::PEER_BYTES, "way" => "sent").set(shared.links.bytes().sent() as f64);
-    let connections = figures.caller_connections.load(Ordering::Relaxed);
+    let connections = metrics.caller_connections.load(Ordering::Relaxed);
     gauge!(metric::CALLER_CONNECTIONS).set(connections as f64);
 }
 
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -207,7 +207,7 @@
         info!("stopped");
         return Exit::Stopped;
     }
-    let open = shared.figures.caller_connections.load(Ordering::Relaxed);
+    let open = shared.metrics.caller_connections.load(Ordering::Relaxed);
     warn!("stop_bound_passed", kv: { open });
     Exit::BoundPassed { open }
 }
@@ -215,7 +215,7 @@
 /// Waits until no caller is connected any more: an answer counts as given only when its
 /// last byte has left.
 async fn drained(shared: &Shared) {
-    while shared.figures.caller_connections.load(Ordering::Relaxed) > 0 {
+    while shared.metrics.caller_connections.load(Ordering::Relaxed) > 0 {
         sleep(DRAIN_LOOK).await;
     }
 }
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -115,7 +115,7 @@
     pub(crate) service: Arc<ServiceRuntime>,
     /// Services of a split.
     parts: Vec<Arc<ServiceRuntime>>,
-    pub(crate) figures: Arc<KindMetrics>,
+    pub(crate) metrics: Arc<KindMetrics>,
 }
 
 impl KindRuntime {
@@ -126,18 +126,18 @@
     }
 
     fn dump(&self) -> KindDump {
-        let figures = &self.figures;
+        let metrics = &self.metrics;
         KindDump {
             name: self.kind.name.clone(),
             service: self.kind.service.clone(),
             priority: self.kind.priority,
-            accepted: figures.accepted.load(Ordering::Relaxed),
-            answered: figures.answered.get(),
-            not_run: figures.not_run.get(),
-            unknown: figures.unknown.get(),
-            failed: figures.failed.get(),
-            retries: figures.retries.get(),
-            waited: figures.waited.get(),
+            accepted: metrics.accepted.load(Ordering::Relaxed),
+            answered: metrics.answered.get(),
+            not_run: metrics.not_run.get(),
+            unknown: metrics.unknown.get(),
+            failed: metrics.failed.get(),
+            retries: metrics.retries.get(),
+            waited: metrics.waited.get(),
         }
     }
 }
@@ -210,6 +210,6 @@
     let parts = kind.split.iter().filter_map(|part| find(&part.service)).collect();
     let mut known = before.into_iter().flat_map(|before| before.kinds.iter());
     let known = known.find(|known| known.kind.name == kind.name);
-    let figures = known.map_or_else(|| KindMetrics::new(kind), |known| known.figures.clone());
-    Some(Arc::new(KindRuntime { kind: kind.clone(), service, parts, figures }))
+    let metrics = known.map_or_else(|| KindMetrics::new(kind), |known| known.metrics.clone());
+    Some(Arc::new(KindRuntime { kind: kind.clone(), service, parts, metrics }))
 }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -74,7 +74,7 @@
     pub(crate) settings_path: Option<String>,
     pub(crate) boot: Boot,
     pub(crate) started_at: Timestamp,
-    pub(crate) figures: ProcessMetrics,
+    pub(crate) metrics: ProcessMetrics,
     /// Ends waits that a suspension of the VM has made too long.
     pub(crate) gaps: Gaps,
     pub(crate) fleet: Mutex<Fleet>,
@@ -149,7 +149,7 @@
             settings: RwLock::new(Arc::new(settings)),
             boot,
             started_at: BootClock.now(),
-            figures: ProcessMetrics::default(),
+            metrics: ProcessMetrics::default(),
             gaps: Gaps::default(),
             in_force: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
