--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -27,12 +27,12 @@
 const ANSWERS_MEMORY: u64 = 8;
 
 /// A figure that is kept for dumps and for metrics at once.
-pub(crate) struct Tally {
+pub(crate) struct ReadableCounter {
     count: AtomicU64,
     metric: Counter,
 }
 
-impl Tally {
+impl ReadableCounter {
     fn new(metric: Counter) -> Self {
         Self { count: AtomicU64::new(0), metric }
     }
@@ -50,12 +50,12 @@
 /// Figures of one kind since the process started.
 pub(crate) struct KindMetrics {
     pub(crate) accepted: AtomicU64,
-    pub(crate) answered: Tally,
-    not_run: Tally,
-    unknown: Tally,
-    failed: Tally,
-    pub(crate) retries: Tally,
-    pub(crate) waited: Tally,
+    pub(crate) answered: ReadableCounter,
+    not_run: ReadableCounter,
+    unknown: ReadableCounter,
+    failed: ReadableCounter,
+    pub(crate) retries: ReadableCounter,
+    pub(crate) waited: ReadableCounter,
     pub(crate) seconds: Histogram,
     /// Length of answers in the mean, in bytes.
     answer_bytes: AtomicU64,
@@ -67,7 +67,7 @@
     fn new(kind: &Kind) -> Arc<Self> {
         let name = kind.name.as_str().to_owned();
         let result = |result: &'static str| {
-            Tally::new(counter!(metric::REQUESTS, "kind" => name.clone(), "result" => result))
+            ReadableCounter::new(counter!(metric::REQUESTS, "kind" => name.clone(), "result" => result))
         };
         Arc::new(Self {
             accepted: AtomicU64::new(0),
@@ -75,8 +75,8 @@
             not_run: result("not_run"),
             unknown: result("unknown"),
             failed: result("failed"),
-            retries: Tally::new(counter!(metric::RETRIES, "kind" => name.clone())),
-            waited: Tally::new(counter!(metric::WAITED, "kind" => name.clone())),
+            retries: ReadableCounter::new(counter!(metric::RETRIES, "kind" => name.clone())),
+            waited: ReadableCounter::new(counter!(metric::WAITED, "kind" => name.clone())),
             seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
             answer_bytes: AtomicU64::new(0),
             patience: Mutex::default(),
@@ -100,7 +100,7 @@
         u32::try_from(kib).unwrap_or(u32::MAX)
     }
 
-    pub(crate) fn outcome(&self, outcome: Outcome) -> &Tally {
+    pub(crate) fn outcome(&self, outcome: Outcome) -> &ReadableCounter {
         match outcome {
             Outcome::NotRun => &self.not_run,
             Outcome::Unknown => &self.unknown,
