--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -70,7 +70,7 @@
 
 impl Drop for Begun {
     fn drop(&mut self) {
-        self.shared.metrics.requests_ahead.fetch_sub(1, Ordering::Relaxed);
+        self.shared.metrics.pipelined_requests.fetch_sub(1, Ordering::Relaxed);
         if let Some(answer) = &self.answer {
             answer.abort();
         }
@@ -249,7 +249,7 @@
         let ahead_max = routing.configuration.limits.requests_ahead_max;
         let state = &mut *self.state.lock();
         let is_full = state.pipeline.named() as u64 >= ahead_max
-            || shared.metrics.requests_ahead.load(Ordering::Relaxed) >= AHEAD_IN_PROCESS_MAX;
+            || shared.metrics.pipelined_requests.load(Ordering::Relaxed) >= AHEAD_IN_PROCESS_MAX;
         if is_full {
             return None;
         }
@@ -261,7 +261,7 @@
 
     fn begin<D: Dialect>(&self, shared: &Arc<Shared>, caller: SocketAddr, parts: Parts) {
         counter!(metric::REQUESTS_AHEAD).increment(1);
-        shared.metrics.requests_ahead.fetch_add(1, Ordering::Relaxed);
+        shared.metrics.pipelined_requests.fetch_add(1, Ordering::Relaxed);
         let request = Request::from_parts(parts, None);
         let answer = tokio::spawn(handle::<D>(shared.clone(), caller, request));
         let begun = Begun { answer: Some(answer), shared: shared.clone() };
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -62,7 +62,7 @@
 pub(crate) struct ProcessMetrics {
     pub(crate) requests_in_flight: AtomicU64,
     /// Requests begun while one before them on their connection is under way.
-    pub(crate) requests_ahead: AtomicU64,
+    pub(crate) pipelined_requests: AtomicU64,
     pub(crate) caller_connections: AtomicU64,
     pub(crate) platform_calls: AtomicU64,
 }
