--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -18,7 +18,7 @@
 use crate::allocation_client::AllocationLease;
 use crate::service::Destination;
 use crate::service::ServiceRuntime;
-use crate::service::Woken;
+use crate::service::WaitResult;
 
 /// A grant that is given back when it is dropped.
 pub(crate) struct GrantGuard {
@@ -127,7 +127,7 @@
 pub(crate) struct WaitGuard {
     pub(super) service: Arc<ServiceRuntime>,
     pub(super) ticket: Ticket,
-    pub(super) receiver: oneshot::Receiver<Woken>,
+    pub(super) receiver: oneshot::Receiver<WaitResult>,
 }
 
 impl WaitGuard {
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -62,7 +62,7 @@
 const ALLOCATING_WITHIN: Duration = Duration::from_secs(1);
 
 /// What a waiting request hears.
-pub(super) type Woken = Result<Grant, Refusal>;
+pub(super) type WaitResult = Result<Grant, Refusal>;
 /// What the groups of a service told of themselves, shared by those that are allocated here.
 type SharedGroups = Arc<Mutex<KnownGroups>>;
 
@@ -86,7 +86,7 @@
 /// under one lock, so that a decision cannot come before its request waits for it.
 struct OwnRequests {
     dispatcher: Dispatcher<AnyStrategy>,
-    waiting: HashMap<Ticket, oneshot::Sender<Woken>>,
+    waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
 }
 
 /// What all services share.
