--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -64,16 +64,16 @@
 /// What a waiting request hears.
 pub(super) type WaitResult = Result<Grant, Refusal>;
 /// What the groups of a service told of themselves, shared by those that are allocated here.
-type SharedGroups = Arc<Mutex<KnownGroups>>;
+type SharedGroups = Arc<Mutex<GroupReports>>;
 
 /// What the groups of a service told of themselves.
 #[derive(Default)]
-struct KnownGroups {
+struct GroupReports {
     rooms: Rooms,
     allocators: BTreeMap<Group, AllocatorAddress>,
 }
 
-impl KnownGroups {
+impl GroupReports {
     /// Takes a place in another group than `own`; also returns who allocates it.
     fn take(&mut self, own: &Group, now: Timestamp) -> Option<(Group, AllocatorAddress)> {
         let other = self.rooms.take(own, now, &mut rand::rng())?;
