--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -36,7 +36,7 @@
 use crate::allocation_client::LeaseHolder;
 use crate::allocation_client::Reply;
 use crate::service::ServiceLinks;
-use crate::service::SharedGroups;
+use crate::service::SharedGroupReports;
 
 /// Time without a question after which a group counts as rested.
 const RESTED: Duration = Duration::from_millis(100);
@@ -69,7 +69,7 @@
 pub(crate) struct GroupRuntime {
     group: Group,
     state: Mutex<GroupState>,
-    told: SharedGroups,
+    told: SharedGroupReports,
     links: ServiceLinks,
 }
 
@@ -89,7 +89,7 @@
         configuration: &Configuration,
         service: &Service,
         own_data_hall: &DataHallName,
-        told: SharedGroups,
+        told: SharedGroupReports,
         links: ServiceLinks,
     ) -> Arc<Self> {
         let now = BootClock.now();
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -64,7 +64,7 @@
 /// What a waiting request hears.
 pub(super) type WaitResult = Result<Grant, Refusal>;
 /// What the groups of a service told of themselves, shared by those that are allocated here.
-type SharedGroups = Arc<Mutex<GroupReports>>;
+type SharedGroupReports = Arc<Mutex<GroupReports>>;
 
 /// What the groups of a service told of themselves.
 #[derive(Default)]
@@ -116,7 +116,7 @@
     own: Mutex<OwnRequests>,
     /// Groups that are, or were, allocated here.
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
-    told: SharedGroups,
+    told: SharedGroupReports,
     pool: Arc<Pool>,
     links: ServiceLinks,
     allocators: Mutex<Allocators>,
@@ -171,7 +171,7 @@
             configured: RwLock::new(configured),
             own: Mutex::new(OwnRequests { dispatcher, waiting: HashMap::new() }),
             groups: Mutex::default(),
-            told: SharedGroups::default(),
+            told: SharedGroupReports::default(),
             links: links.clone(),
             allocators: Mutex::default(),
         })
