--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -69,7 +69,7 @@
 pub(crate) struct GroupRuntime {
     group: Group,
     state: Mutex<GroupState>,
-    told: SharedGroupReports,
+    group_reports: SharedGroupReports,
     links: ServiceLinks,
 }
 
@@ -89,7 +89,7 @@
         configuration: &Configuration,
         service: &Service,
         own_data_hall: &DataHallName,
-        told: SharedGroupReports,
+        group_reports: SharedGroupReports,
         links: ServiceLinks,
     ) -> Arc<Self> {
         let now = BootClock.now();
@@ -103,7 +103,7 @@
             is_probed: is_probed(service),
             probe_budget: ProbeBudget::default(),
         };
-        Arc::new(Self { group, state: Mutex::new(state), told, links })
+        Arc::new(Self { group, state: Mutex::new(state), group_reports, links })
     }
 
     pub(super) fn update(
@@ -180,12 +180,12 @@
     ) -> Reply {
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
-        dispatcher.set_backed(self.told.lock().rooms.is_elsewhere(&self.group, now));
+        dispatcher.set_backed(self.group_reports.lock().rooms.is_elsewhere(&self.group, now));
         allocator.keep_only(&key.holder, &numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
             && !allocator.knows(key)
             && dispatcher.room(now) == 0
-            && let Some((other, by)) = self.told.lock().take(&self.group, now)
+            && let Some((other, by)) = self.group_reports.lock().take(&self.group, now)
         {
             return Reply::Redirected(other, by);
         }
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -116,7 +116,7 @@
     own: Mutex<OwnRequests>,
     /// Groups that are, or were, allocated here.
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
-    told: SharedGroupReports,
+    group_reports: SharedGroupReports,
     pool: Arc<Pool>,
     links: ServiceLinks,
     allocators: Mutex<Allocators>,
@@ -171,7 +171,7 @@
             configured: RwLock::new(configured),
             own: Mutex::new(OwnRequests { dispatcher, waiting: HashMap::new() }),
             groups: Mutex::default(),
-            told: SharedGroupReports::default(),
+            group_reports: SharedGroupReports::default(),
             links: links.clone(),
             allocators: Mutex::default(),
         })
@@ -230,7 +230,7 @@
             &configured.configuration,
             &configured.service,
             &self.own_data_hall,
-            self.told.clone(),
+            self.group_reports.clone(),
             self.links.clone(),
         );
         if let Some(number) = told {
@@ -247,7 +247,7 @@
 
     /// A group told its room.
     pub(crate) fn learn_room(&self, told: &GroupRoom) {
-        let mut groups = self.told.lock();
+        let mut groups = self.group_reports.lock();
         groups.rooms.learn(told.group.clone(), told.room, BootClock.now());
         groups.allocators.insert(told.group.clone(), told.allocator.clone());
     }
