--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -84,7 +84,7 @@
 
 /// The dispatcher over this process's own requests, with those who wait for its decisions;
 /// under one lock, so that a decision cannot come before its request waits for it.
-struct OwnRequests {
+struct LocalDispatch {
     dispatcher: Dispatcher<AnyStrategy>,
     waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
 }
@@ -113,7 +113,7 @@
     name: ServiceName,
     own_data_hall: DataHallName,
     configured: RwLock<Arc<Configured>>,
-    own: Mutex<OwnRequests>,
+    own: Mutex<LocalDispatch>,
     /// Groups that are, or were, allocated here.
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
     group_reports: SharedGroupReports,
@@ -169,7 +169,7 @@
             own_data_hall: own_data_hall.clone(),
             pool: Pool::new(&service.name, configured.connection_share()),
             configured: RwLock::new(configured),
-            own: Mutex::new(OwnRequests { dispatcher, waiting: HashMap::new() }),
+            own: Mutex::new(LocalDispatch { dispatcher, waiting: HashMap::new() }),
             groups: Mutex::default(),
             group_reports: SharedGroupReports::default(),
             links: links.clone(),
@@ -400,7 +400,7 @@
 
     /// Tells waiting requests what became of them.
     fn wake_waiting(&self, now: Timestamp) {
-        let OwnRequests { dispatcher, waiting } = &mut *self.own.lock();
+        let LocalDispatch { dispatcher, waiting } = &mut *self.own.lock();
         let rng = &mut rand::rng();
         while let Some(wake) = dispatcher.next_wake(now, rng) {
             let (ticket, woken) = match wake {
