--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -44,13 +44,13 @@
 
     pub(crate) fn destination(&self) -> Option<Destination> {
         let grant = self.grant.as_ref()?;
-        let own = self.service.own.lock();
-        let name = own.dispatcher.target_name(grant);
+        let local = self.service.local.lock();
+        let name = local.dispatcher.target_name(grant);
         Some(Destination {
             service: self.service.name().clone(),
             index: Some(grant.target()),
             name,
-            address: own.dispatcher.address(grant),
+            address: local.dispatcher.address(grant),
         })
     }
 
@@ -73,7 +73,7 @@
         let Some(grant) = &self.grant else {
             return false;
         };
-        self.service.own.lock().dispatcher.may_send(grant, deadline, BootClock.now())
+        self.service.local.lock().dispatcher.may_send(grant, deadline, BootClock.now())
     }
 
     /// Learns what an answer stated of the target's limit. Returns whether that is news here.
@@ -82,21 +82,21 @@
             return false;
         };
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.learn_rate_limit(grant, stated, now)
+        self.service.local.lock().dispatcher.learn_rate_limit(grant, stated, now)
     }
 
     /// The target asked this process for a backoff.
     pub(crate) fn back_off(&self, wait: Duration) {
         if let Some(grant) = &self.grant {
             let wait = wait.min(self.service.settings().backoff_max());
-            self.service.own.lock().dispatcher.back_off(grant, wait, BootClock.now());
+            self.service.local.lock().dispatcher.back_off(grant, wait, BootClock.now());
         }
     }
 
     /// The target said that it leaves. Returns the mark to pass on if that is news here.
     pub(crate) fn mark_leaving(&self) -> Option<LeavingMark> {
         let grant = self.grant.as_ref()?;
-        self.service.own.lock().dispatcher.mark_granted_leaving(grant)
+        self.service.local.lock().dispatcher.mark_granted_leaving(grant)
     }
 
     pub(crate) fn learn(&mut self, observation: Observation) -> Option<LeavingMark> {
@@ -105,7 +105,7 @@
         }
         let grant = self.grant.as_ref()?;
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.learn(grant, observation, now)
+        self.service.local.lock().dispatcher.learn(grant, observation, now)
     }
 }
 
@@ -115,9 +115,9 @@
             return;
         };
         if let Some(lease) = &mut self.lease {
-            let own = self.service.own.lock();
-            lease.set_rate_limit(own.dispatcher.rate_limit_update(&grant, BootClock.now()));
-            lease.set_leaving(own.dispatcher.leaving_incarnation(grant.target()));
+            let local = self.service.local.lock();
+            lease.set_rate_limit(local.dispatcher.rate_limit_update(&grant, BootClock.now()));
+            lease.set_leaving(local.dispatcher.leaving_incarnation(grant.target()));
         }
         self.service.release(grant);
     }
@@ -141,9 +141,9 @@
 impl Drop for WaitGuard {
     fn drop(&mut self) {
         let granted = {
-            let mut own = self.service.own.lock();
-            own.waiting.remove(&self.ticket);
-            own.dispatcher.cancel(self.ticket);
+            let mut local = self.service.local.lock();
+            local.waiting.remove(&self.ticket);
+            local.dispatcher.cancel(self.ticket);
             self.receiver.try_recv()
         };
         if let Ok(Ok(grant)) = granted {
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -113,7 +113,7 @@
     name: ServiceName,
     own_data_hall: DataHallName,
     configured: RwLock<Arc<Configured>>,
-    own: Mutex<LocalDispatch>,
+    local: Mutex<LocalDispatch>,
     /// Groups that are, or were, allocated here.
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
     group_reports: SharedGroupReports,
@@ -169,7 +169,7 @@
             own_data_hall: own_data_hall.clone(),
             pool: Pool::new(&service.name, configured.connection_share()),
             configured: RwLock::new(configured),
-            own: Mutex::new(LocalDispatch { dispatcher, waiting: HashMap::new() }),
+            local: Mutex::new(LocalDispatch { dispatcher, waiting: HashMap::new() }),
             groups: Mutex::default(),
             group_reports: SharedGroupReports::default(),
             links: links.clone(),
@@ -188,7 +188,7 @@
         let configured = Configured::new(configuration, service);
         self.pool.set_share(configured.connection_share());
         *self.configured.write() = configured;
-        self.own.lock().dispatcher.reconfigure(configuration, service, own_data_hall, now);
+        self.local.lock().dispatcher.reconfigure(configuration, service, own_data_hall, now);
         for group in self.groups() {
             group.update(configuration, service, own_data_hall, now);
         }
@@ -259,15 +259,15 @@
         view: View,
         now: Timestamp,
     ) -> Admitted {
-        let mut own = self.own.lock();
-        own.dispatcher.set_view(view);
-        match own.dispatcher.request(request, now, &mut rand::rng()) {
+        let mut local = self.local.lock();
+        local.dispatcher.set_view(view);
+        match local.dispatcher.request(request, now, &mut rand::rng()) {
             Decision::Send(grant) => Admitted::Send(GrantGuard::new(self, grant)),
             Decision::Refuse(refusal) => Admitted::Refused(refusal),
             Decision::Wait(ticket) => {
                 self.links.waiting.notify_one();
                 let (sender, receiver) = oneshot::channel();
-                own.waiting.insert(ticket, sender);
+                local.waiting.insert(ticket, sender);
                 Admitted::Wait(WaitGuard { service: self.clone(), ticket, receiver })
             }
         }
@@ -275,33 +275,33 @@
 
     /// Counts a request of a caller.
     pub(crate) fn received(&self) {
-        self.own.lock().dispatcher.received();
+        self.local.lock().dispatcher.received();
     }
 
     pub(crate) fn has_retry(&self) -> bool {
-        self.own.lock().dispatcher.has_retry()
+        self.local.lock().dispatcher.has_retry()
     }
 
     pub(crate) fn try_retry(&self) -> bool {
-        self.own.lock().dispatcher.try_retry()
+        self.local.lock().dispatcher.try_retry()
     }
 
     /// Whether requests wait here, of this process or of others.
     pub(crate) fn has_waiting(&self) -> bool {
-        self.own.lock().dispatcher.has_waiting()
+        self.local.lock().dispatcher.has_waiting()
             || self.groups().iter().any(|group| group.has_waiting())
     }
 
     /// Must run every few tens of milliseconds while requests wait. Returns a pause of this process.
     pub(crate) fn tick(&self, now: Timestamp) -> Option<Duration> {
-        let gap = self.own.lock().dispatcher.tick(now);
+        let gap = self.local.lock().dispatcher.tick(now);
         self.wake_waiting(now);
         let gaps = self.groups().into_iter().filter_map(|group| group.tick(now));
         gaps.chain(gap).max()
     }
 
     pub(crate) fn mark_leaving(&self, mark: &LeavingMark) -> bool {
-        let mut is_news = self.own.lock().dispatcher.mark_leaving(&mark.target, mark.incarnation);
+        let mut is_news = self.local.lock().dispatcher.mark_leaving(&mark.target, mark.incarnation);
         let groups = self.groups();
         for group in &groups {
             is_news |= group.mark_leaving(mark);
@@ -313,7 +313,7 @@
     }
 
     pub(crate) fn set_stopped(&self, is_stopped: impl Fn(&TargetName) -> bool) {
-        self.own.lock().dispatcher.set_stopped(&is_stopped);
+        self.local.lock().dispatcher.set_stopped(&is_stopped);
         let groups = self.groups();
         for group in &groups {
             group.set_stopped(&is_stopped);
@@ -330,12 +330,12 @@
     }
 
     pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
-        self.own.lock().dispatcher.learn_probe(name, report, BootClock.now())
+        self.local.lock().dispatcher.learn_probe(name, report, BootClock.now())
     }
 
     /// What this process knows of its targets' limits.
     pub(crate) fn rate_limits(&self, now: Timestamp) -> Vec<TargetRateLimit> {
-        let known = self.own.lock().dispatcher.rate_limits(now);
+        let known = self.local.lock().dispatcher.rate_limits(now);
         let service = &self.name;
         let limit = |(target, incarnation, told)| TargetRateLimit {
             service: service.clone(),
@@ -349,7 +349,7 @@
     /// Learns what a peer knows of a target's limit.
     pub(crate) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.own.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
+        self.local.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
         for group in self.groups() {
             group.learn_rate_limit(limit, now);
         }
@@ -357,18 +357,18 @@
 
     /// Whether a target has asked this process for a backoff.
     pub(crate) fn is_backing_off(&self, name: &TargetName) -> bool {
-        self.own.lock().dispatcher.is_backing_off(name, BootClock.now())
+        self.local.lock().dispatcher.is_backing_off(name, BootClock.now())
     }
 
     /// A target asked this process for a backoff when it was probed.
     pub(crate) fn back_off_probed(&self, name: &TargetName, wait: Duration) {
         let wait = wait.min(self.settings().backoff_max());
-        self.own.lock().dispatcher.back_off_probed(name, wait, BootClock.now());
+        self.local.lock().dispatcher.back_off_probed(name, wait, BootClock.now());
     }
 
     pub(crate) fn probe_targets(&self) -> Vec<Destination> {
-        let own = self.own.lock();
-        let targets = own.dispatcher.probe_targets(BootClock.now());
+        let local = self.local.lock();
+        let targets = local.dispatcher.probe_targets(BootClock.now());
         targets.map(|(name, address)| self.destination(name, address)).collect()
     }
 
@@ -379,7 +379,7 @@
     /// What this process believes: of targets that it allocates, what it knows as their
     /// allocator.
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
-        let mut dump = self.own.lock().dispatcher.dump(now);
+        let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
             if !group.is_asked_within(ALLOCATING_WITHIN, now) {
                 continue;
@@ -400,7 +400,7 @@
 
     /// Tells waiting requests what became of them.
     fn wake_waiting(&self, now: Timestamp) {
-        let LocalDispatch { dispatcher, waiting } = &mut *self.own.lock();
+        let LocalDispatch { dispatcher, waiting } = &mut *self.local.lock();
         let rng = &mut rand::rng();
         while let Some(wake) = dispatcher.next_wake(now, rng) {
             let (ticket, woken) = match wake {
@@ -420,7 +420,7 @@
 
     pub(super) fn release(&self, grant: Grant) {
         let now = BootClock.now();
-        self.own.lock().dispatcher.release(grant, now);
+        self.local.lock().dispatcher.release(grant, now);
         self.wake_waiting(now);
     }
 }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -153,7 +153,7 @@
         loop {
             let now = BootClock.now();
             let until = {
-                let dispatcher = &self.own.lock().dispatcher;
+                let dispatcher = &self.local.lock().dispatcher;
                 let refusal = dispatcher.beyond_backoffs(request, now, &mut rand::rng());
                 if refusal.is_some() {
                     return refusal;
@@ -272,7 +272,7 @@
             Group::All => None,
             Group::Hall(hall) => Some(hall),
         };
-        let excluded = self.own.lock().dispatcher.backing_off(hall, now);
+        let excluded = self.local.lock().dispatcher.backing_off(hall, now);
         Wanted {
             service: self.name().clone(),
             group: group.clone(),
@@ -380,18 +380,18 @@
         let concurrency = Some(granted.concurrency);
         self.allocators.lock().0.entry(group.clone()).or_default().concurrency = concurrency;
         let now = BootClock.now();
-        let mut own = self.own.lock();
-        let dispatcher = &mut own.dispatcher;
+        let mut local = self.local.lock();
+        let dispatcher = &mut local.dispatcher;
         let Some(grant) = dispatcher.grant_at(&granted.target, granted.rate_limit, now) else {
             let index = dispatcher.index_of(&granted.target);
             let leaving = index.and_then(|index| dispatcher.leaving_incarnation(index));
             let is_stale = leaving.is_some() || dispatcher.is_backing_off(&granted.target, now);
-            drop(own);
+            drop(local);
             acquisition.lease.set_leaving(leaving);
             return if is_stale { Asked::Stale } else { Asked::Useless };
         };
         let is_within_limit = dispatcher.is_within_limit(&grant);
-        drop(own);
+        drop(local);
         // Dropped, it tells the allocator what this process knows of the limit.
         let guard = GrantGuard::new(self, grant).with_lease(acquisition.lease);
         if is_within_limit {
@@ -402,7 +402,7 @@
     }
 
     fn names(&self, tried: &Tried) -> Vec<TargetName> {
-        let own = self.own.lock();
-        tried.iter().map(|index| own.dispatcher.name_at(index)).collect()
+        let local = self.local.lock();
+        tried.iter().map(|index| local.dispatcher.name_at(index)).collect()
     }
 }
