--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -20,7 +20,7 @@
 use thymeshift_types::ServiceName;
 use thymeshift_wire::KindDump;
 
-use crate::service::ServiceLinks;
+use crate::service::ServiceContext;
 use crate::service::ServiceRuntime;
 
 /// Answers over which their length is averaged.
@@ -158,7 +158,7 @@
         configuration: Configuration,
         before: Option<&Self>,
         own_data_hall: &DataHallName,
-        links: &ServiceLinks,
+        links: &ServiceContext,
     ) -> Self {
         let configuration = Arc::new(configuration);
         let find = |name: &str| {
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -35,7 +35,7 @@
 
 use crate::allocation_client::LeaseHolder;
 use crate::allocation_client::Reply;
-use crate::service::ServiceLinks;
+use crate::service::ServiceContext;
 use crate::service::SharedGroupReports;
 
 /// Time without a question after which a group counts as rested.
@@ -70,7 +70,7 @@
     group: Group,
     state: Mutex<GroupState>,
     group_reports: SharedGroupReports,
-    links: ServiceLinks,
+    links: ServiceContext,
 }
 
 struct GroupState {
@@ -90,7 +90,7 @@
         service: &Service,
         own_data_hall: &DataHallName,
         group_reports: SharedGroupReports,
-        links: ServiceLinks,
+        links: ServiceContext,
     ) -> Arc<Self> {
         let now = BootClock.now();
         let part = part_of(service, &group);
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -91,7 +91,7 @@
 
 /// What all services share.
 #[derive(Clone)]
-pub(crate) struct ServiceLinks {
+pub(crate) struct ServiceContext {
     pub(crate) allocation: Arc<AllocationClient>,
     /// Rings when a request begins to wait, so that its time limit is watched.
     pub(crate) waiting: Arc<Notify>,
@@ -118,7 +118,7 @@
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
     group_reports: SharedGroupReports,
     pool: Arc<Pool>,
-    links: ServiceLinks,
+    links: ServiceContext,
     allocators: Mutex<Allocators>,
 }
 
@@ -159,7 +159,7 @@
         configuration: &Arc<Configuration>,
         service: &Service,
         own_data_hall: &DataHallName,
-        links: &ServiceLinks,
+        links: &ServiceContext,
     ) -> Arc<Self> {
         let now = BootClock.now();
         let dispatcher = Dispatcher::configured(configuration, service, own_data_hall, now);
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -48,7 +48,7 @@
 use crate::organisations::Quotas;
 use crate::routing::Routing;
 use crate::service::PendingAcquire;
-use crate::service::ServiceLinks;
+use crate::service::ServiceContext;
 use crate::target_client::UnknownHeaders;
 
 /// Log lines about single requests in a second.
@@ -163,8 +163,8 @@
         })
     }
 
-    fn service_links(&self) -> ServiceLinks {
-        ServiceLinks {
+    fn service_links(&self) -> ServiceContext {
+        ServiceContext {
             allocation: self.allocation.clone(),
             waiting: self.waiting.clone(),
             allocating: self.allocating.clone(),
