--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -163,7 +163,7 @@
         })
     }
 
-    fn service_links(&self) -> ServiceContext {
+    fn service_context(&self) -> ServiceContext {
         ServiceContext {
             allocation: self.allocation.clone(),
             waiting: self.waiting.clone(),
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -127,7 +127,7 @@
         log_halls(before.as_deref().map(|before| &*before.configuration), &configuration);
         let own_data_hall = &self.settings().data_hall;
         let routing =
-            Routing::new(configuration, before.as_deref(), own_data_hall, &self.service_links());
+            Routing::new(configuration, before.as_deref(), own_data_hall, &self.service_context());
         let routing = Arc::new(routing);
         for service in &routing.services {
             apply_marks(service, fleet);
