--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -158,7 +158,7 @@
         configuration: Configuration,
         before: Option<&Self>,
         own_data_hall: &DataHallName,
-        links: &ServiceContext,
+        context: &ServiceContext,
     ) -> Self {
         let configuration = Arc::new(configuration);
         let find = |name: &str| {
@@ -172,7 +172,7 @@
                     known.update(&configuration, service, own_data_hall);
                     known
                 }
-                None => ServiceRuntime::new(&configuration, service, own_data_hall, links),
+                None => ServiceRuntime::new(&configuration, service, own_data_hall, context),
             };
             services.push(runtime);
         }
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -70,7 +70,7 @@
     group: Group,
     state: Mutex<GroupState>,
     group_reports: SharedGroupReports,
-    links: ServiceContext,
+    context: ServiceContext,
 }
 
 struct GroupState {
@@ -90,7 +90,7 @@
         service: &Service,
         own_data_hall: &DataHallName,
         group_reports: SharedGroupReports,
-        links: ServiceContext,
+        context: ServiceContext,
     ) -> Arc<Self> {
         let now = BootClock.now();
         let part = part_of(service, &group);
@@ -103,7 +103,7 @@
             is_probed: is_probed(service),
             probe_budget: ProbeBudget::default(),
         };
-        Arc::new(Self { group, state: Mutex::new(state), group_reports, links })
+        Arc::new(Self { group, state: Mutex::new(state), group_reports, context })
     }
 
     pub(super) fn update(
@@ -130,7 +130,7 @@
             state.asked_at.replace(now)
         };
         if before.is_none_or(|at| now.since(at) > RESTED) {
-            self.links.allocating.notify_one();
+            self.context.allocating.notify_one();
         }
     }
 
@@ -145,7 +145,7 @@
         let pending =
             PendingAcquire { group: self.clone(), targets, acquire, holder, asked_at: now };
         // The probing task is gone only when the process ends.
-        if let Err(unsent) = self.links.pending_acquires.send(pending) {
+        if let Err(unsent) = self.context.pending_acquires.send(pending) {
             unsent.0.decide();
         }
     }
@@ -165,9 +165,9 @@
         let key = LeaseKey { holder, number: acquire.number.0 };
         let reply = self.decide(&key, acquire, asked_at, now);
         if reply == Reply::Waiting {
-            self.links.waiting.notify_one();
+            self.context.waiting.notify_one();
         }
-        self.links.allocation.reply(&key.holder, acquire.number, reply);
+        self.context.allocation.reply(&key.holder, acquire.number, reply);
         self.wake_waiting(now);
     }
 
@@ -218,7 +218,7 @@
             match allocator.woken(ticket, woken, dispatcher, now) {
                 Ok((key, allocation)) => {
                     let number = LeaseNumber(key.number);
-                    self.links.allocation.reply(&key.holder, number, reply_of(allocation));
+                    self.context.allocation.reply(&key.holder, number, reply_of(allocation));
                 }
                 // Its holder released it in this very moment.
                 Err(Ok(grant)) => dispatcher.release(grant, now),
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -118,7 +118,7 @@
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
     group_reports: SharedGroupReports,
     pool: Arc<Pool>,
-    links: ServiceContext,
+    context: ServiceContext,
     allocators: Mutex<Allocators>,
 }
 
@@ -159,7 +159,7 @@
         configuration: &Arc<Configuration>,
         service: &Service,
         own_data_hall: &DataHallName,
-        links: &ServiceContext,
+        context: &ServiceContext,
     ) -> Arc<Self> {
         let now = BootClock.now();
         let dispatcher = Dispatcher::configured(configuration, service, own_data_hall, now);
@@ -172,7 +172,7 @@
             local: Mutex::new(LocalDispatch { dispatcher, waiting: HashMap::new() }),
             groups: Mutex::default(),
             group_reports: SharedGroupReports::default(),
-            links: links.clone(),
+            context: context.clone(),
             allocators: Mutex::default(),
         })
     }
@@ -231,7 +231,7 @@
             &configured.service,
             &self.own_data_hall,
             self.group_reports.clone(),
-            self.links.clone(),
+            self.context.clone(),
         );
         if let Some(number) = told {
             runtime.adopt_concurrency(number);
@@ -265,7 +265,7 @@
             Decision::Send(grant) => Admitted::Send(GrantGuard::new(self, grant)),
             Decision::Refuse(refusal) => Admitted::Refused(refusal),
             Decision::Wait(ticket) => {
-                self.links.waiting.notify_one();
+                self.context.waiting.notify_one();
                 let (sender, receiver) = oneshot::channel();
                 local.waiting.insert(ticket, sender);
                 Admitted::Wait(WaitGuard { service: self.clone(), ticket, receiver })
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -123,7 +123,7 @@
         if let Some(refusal) = self.wait_out_backoffs(&request).await {
             return Err(Some(refusal));
         }
-        let has_allocators = self.links.allocation.socket().is_some();
+        let has_allocators = self.context.allocation.socket().is_some();
         if has_allocators {
             match self.ask_groups(shared, &request).await {
                 Asked::Granted(grant) => return Ok(grant),
@@ -221,7 +221,7 @@
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
         let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !self.links.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !self.context.allocation.is_passed_over(&place.vm, now),
             None => !shared.is_stopping(),
         };
         let first = order.first().filter(is_usable);
@@ -249,7 +249,7 @@
         place: Option<AllocatorAddress>,
     ) -> Allocating {
         match place {
-            Some(place) if place.vm != *self.links.allocation.vm() => Allocating::There(place),
+            Some(place) if place.vm != *self.context.allocation.vm() => Allocating::There(place),
             Some(_) | None => Allocating::Here(self.allocated_here(shared, group)),
         }
     }
@@ -295,7 +295,7 @@
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
         let is_usable =
-            |place: &&AllocatorAddress| !self.links.allocation.is_passed_over(&place.vm, now);
+            |place: &&AllocatorAddress| !self.context.allocation.is_passed_over(&place.vm, now);
         let first = order.first()?.as_ref().filter(is_usable)?;
         shared.fleet.lock().members.find(&first.vm).cloned()
     }
@@ -325,7 +325,7 @@
         request: &Request,
     ) -> Asked {
         let group = wanted.group.clone();
-        let mut acquisition = self.links.allocation.acquire(allocating, wanted);
+        let mut acquisition = self.context.allocation.acquire(allocating, wanted);
         let mut limit = FIRST_WORD_LIMIT;
         loop {
             match timeout(limit, acquisition.replies.recv()).await {
@@ -367,7 +367,7 @@
 
     fn pass_over(&self, allocating: &Allocating) {
         if let Allocating::There(place) = allocating {
-            self.links.allocation.pass_over(&place.vm, BootClock.now());
+            self.context.allocation.pass_over(&place.vm, BootClock.now());
         }
     }
 
