--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -32,7 +32,7 @@
     loop {
         let wait = if has_waiting(&shared) { TICK } else { IDLE_TICK };
         // A request that begins to wait needs ticks from now on.
-        let is_early = timeout(wait, shared.waiting.notified()).await.is_ok();
+        let is_early = timeout(wait, shared.request_queued.notified()).await.is_ok();
         let now = BootClock.now();
         if !is_early {
             late_max = late_max.max(now.since(last).saturating_sub(wait));
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -165,7 +165,7 @@
         let key = LeaseKey { holder, number: acquire.number.0 };
         let reply = self.decide(&key, acquire, asked_at, now);
         if reply == Reply::Waiting {
-            self.context.waiting.notify_one();
+            self.context.request_queued.notify_one();
         }
         self.context.allocation.reply(&key.holder, acquire.number, reply);
         self.wake_waiting(now);
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -94,7 +94,7 @@
 pub(crate) struct ServiceContext {
     pub(crate) allocation: Arc<AllocationClient>,
     /// Rings when a request begins to wait, so that its time limit is watched.
-    pub(crate) waiting: Arc<Notify>,
+    pub(crate) request_queued: Arc<Notify>,
     /// Rings when a group is asked for a target after a rest, so that its targets are probed.
     pub(crate) allocating: Arc<Notify>,
     /// Takes requests for a target that wait until the best targets have been probed.
@@ -265,7 +265,7 @@
             Decision::Send(grant) => Admitted::Send(GrantGuard::new(self, grant)),
             Decision::Refuse(refusal) => Admitted::Refused(refusal),
             Decision::Wait(ticket) => {
-                self.context.waiting.notify_one();
+                self.context.request_queued.notify_one();
                 let (sender, receiver) = oneshot::channel();
                 local.waiting.insert(ticket, sender);
                 Admitted::Wait(WaitGuard { service: self.clone(), ticket, receiver })
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -89,7 +89,7 @@
     pub(crate) allocation: Arc<AllocationClient>,
     pub(crate) quotas: Quotas,
     /// Rings when a request begins to wait.
-    pub(crate) waiting: Arc<Notify>,
+    pub(crate) request_queued: Arc<Notify>,
     /// Rings when a group is asked for a target after a rest.
     pub(crate) allocating: Arc<Notify>,
     pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
@@ -136,7 +136,7 @@
             ),
             quotas: Quotas::default(),
             unknown_headers: UnknownHeaders::default(),
-            waiting: Arc::default(),
+            request_queued: Arc::default(),
             allocating: Arc::default(),
             request_lines: LineBudget::new(REQUEST_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
@@ -166,7 +166,7 @@
     fn service_context(&self) -> ServiceContext {
         ServiceContext {
             allocation: self.allocation.clone(),
-            waiting: self.waiting.clone(),
+            request_queued: self.request_queued.clone(),
             allocating: self.allocating.clone(),
             pending_acquires: self.pending_acquires.clone(),
         }
