--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -130,7 +130,7 @@
             state.asked_at.replace(now)
         };
         if before.is_none_or(|at| now.since(at) > RESTED) {
-            self.context.allocating.notify_one();
+            self.context.group_activated.notify_one();
         }
     }
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -96,7 +96,7 @@
     /// Rings when a request begins to wait, so that its time limit is watched.
     pub(crate) request_queued: Arc<Notify>,
     /// Rings when a group is asked for a target after a rest, so that its targets are probed.
-    pub(crate) allocating: Arc<Notify>,
+    pub(crate) group_activated: Arc<Notify>,
     /// Takes requests for a target that wait until the best targets have been probed.
     pub(crate) pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
 }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -91,7 +91,7 @@
     /// Rings when a request begins to wait.
     pub(crate) request_queued: Arc<Notify>,
     /// Rings when a group is asked for a target after a rest.
-    pub(crate) allocating: Arc<Notify>,
+    pub(crate) group_activated: Arc<Notify>,
     pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
     /// Requests for a target that wait until the best targets have been probed.
     pub(crate) acquires_pending: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
@@ -137,7 +137,7 @@
             quotas: Quotas::default(),
             unknown_headers: UnknownHeaders::default(),
             request_queued: Arc::default(),
-            allocating: Arc::default(),
+            group_activated: Arc::default(),
             request_lines: LineBudget::new(REQUEST_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
             is_resting: AtomicBool::new(false),
@@ -167,7 +167,7 @@
         ServiceContext {
             allocation: self.allocation.clone(),
             request_queued: self.request_queued.clone(),
-            allocating: self.allocating.clone(),
+            group_activated: self.group_activated.clone(),
             pending_acquires: self.pending_acquires.clone(),
         }
     }
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -72,7 +72,7 @@
         loop {
             tokio::select! {
                 () = &mut until => break,
-                () = shared.allocating.notified() => break,
+                () = shared.group_activated.notified() => break,
                 Some(pending) = wanted.recv() => probe_then_decide::<D>(&shared, &probing, pending),
             }
         }
