--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -94,7 +94,7 @@
     pub(crate) group_activated: Arc<Notify>,
     pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
     /// Requests for a target that wait until the best targets have been probed.
-    pub(crate) acquires_pending: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
+    pub(crate) pending_acquires_receiver: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
     pub(crate) unknown_headers: UnknownHeaders,
     /// Bounds the log lines about single requests.
     pub(crate) request_lines: LineBudget,
@@ -123,10 +123,10 @@
         discovers: bool,
         metrics_text: MetricsText,
     ) -> Arc<Self> {
-        let (pending_acquires, acquires_pending) = mpsc::unbounded_channel();
+        let (pending_acquires, pending_acquires_receiver) = mpsc::unbounded_channel();
         Arc::new(Self {
             pending_acquires,
-            acquires_pending: AsyncMutex::new(acquires_pending),
+            pending_acquires_receiver: AsyncMutex::new(pending_acquires_receiver),
             fleet: Mutex::new(Fleet::new(&settings, boot, BootClock.now())),
             allocation: AllocationClient::new(
                 socket,
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -61,7 +61,7 @@
 /// Probes for ever.
 pub(crate) async fn run_pace_probes<D: Dialect>(shared: Arc<Shared>) -> Result<(), TaskError> {
     let probing = Probing::default();
-    let mut wanted = shared.acquires_pending.lock().await;
+    let mut wanted = shared.pending_acquires_receiver.lock().await;
     loop {
         let now = BootClock.now();
         probing.lock().retain(|_, pacing| !pacing.is_over(now));
