--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -133,7 +133,7 @@
 
 /// What the own dispatcher decides on a request.
 #[expect(clippy::large_enum_variant, reason = "taken apart where it is made")]
-pub(crate) enum Admitted {
+pub(crate) enum LocalDecision {
     Send(GrantGuard),
     Wait(WaitGuard),
     Refused(Refusal),
@@ -258,17 +258,17 @@
         request: Request,
         view: View,
         now: Timestamp,
-    ) -> Admitted {
+    ) -> LocalDecision {
         let mut local = self.local.lock();
         local.dispatcher.set_view(view);
         match local.dispatcher.request(request, now, &mut rand::rng()) {
-            Decision::Send(grant) => Admitted::Send(GrantGuard::new(self, grant)),
-            Decision::Refuse(refusal) => Admitted::Refused(refusal),
+            Decision::Send(grant) => LocalDecision::Send(GrantGuard::new(self, grant)),
+            Decision::Refuse(refusal) => LocalDecision::Refused(refusal),
             Decision::Wait(ticket) => {
                 self.context.request_queued.notify_one();
                 let (sender, receiver) = oneshot::channel();
                 local.waiting.insert(ticket, sender);
-                Admitted::Wait(WaitGuard { service: self.clone(), ticket, receiver })
+                LocalDecision::Wait(WaitGuard { service: self.clone(), ticket, receiver })
             }
         }
     }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -29,7 +29,7 @@
 use crate::allocation_client::Allocating;
 use crate::allocation_client::Reply;
 use crate::allocation_client::Wanted;
-use crate::service::Admitted;
+use crate::service::LocalDecision;
 use crate::service::GrantGuard;
 use crate::service::GroupRuntime;
 use crate::service::ServiceRuntime;
@@ -135,9 +135,9 @@
             if has_allocators { (View::Fallback, "fallback") } else { (View::Own, "alone") };
         counter!(metric::OBTAINED, "by" => by).increment(1);
         match self.admit(request, view, BootClock.now()) {
-            Admitted::Send(grant) => Ok(grant),
-            Admitted::Refused(refusal) => Err(Some(refusal)),
-            Admitted::Wait(waiting) => {
+            LocalDecision::Send(grant) => Ok(grant),
+            LocalDecision::Refused(refusal) => Err(Some(refusal)),
+            LocalDecision::Wait(waiting) => {
                 let left = BootClock.now().until(request.deadline);
                 match timeout(left, waiting.decided()).await {
                     Ok(Some(decided)) => decided.map_err(Some),
