--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -59,7 +59,7 @@
 
 /// Time after the last request for a target within which a group's state tells more than
 /// what the process knows by itself.
-const ALLOCATING_WITHIN: Duration = Duration::from_secs(1);
+const RECENT_ACQUIRE_WINDOW: Duration = Duration::from_secs(1);
 
 /// What a waiting request hears.
 pub(super) type WaitResult = Result<Grant, Refusal>;
@@ -381,7 +381,7 @@
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
         let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
-            if !group.is_asked_within(ALLOCATING_WITHIN, now) {
+            if !group.is_asked_within(RECENT_ACQUIRE_WINDOW, now) {
                 continue;
             }
             let known = group.dump(now);
