--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -110,7 +110,7 @@
     let now = BootClock.now();
     let mut is_probed = false;
     for service in &routing.services {
-        for group in service.divided_into() {
+        for group in service.target_groups() {
             let group = service.group(&group);
             if group.target_count() <= PROBED_ALONE_MAX {
                 group.expect_requests(now);
--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -42,7 +42,7 @@
 }
 
 fn tell_of_service(shared: &Shared, service: &ServiceRuntime, now: Timestamp) {
-    let groups = service.divided_into();
+    let groups = service.target_groups();
     if groups.len() < 2 {
         return;
     }
@@ -87,7 +87,7 @@
         return;
     }
     let own_hall = shared.settings().data_hall.clone();
-    let group = service.divided_into().into_iter().find(|group| group.is_of_hall(&own_hall));
+    let group = service.target_groups().into_iter().find(|group| group.is_of_hall(&own_hall));
     let Some(group) = group else {
         return;
     };
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -241,7 +241,7 @@
     }
 
     /// The groups that the targets are divided into.
-    pub(crate) fn divided_into(&self) -> Vec<Group> {
+    pub(crate) fn target_groups(&self) -> Vec<Group> {
         self.configured().grouping.iter().cloned().collect()
     }
 
