--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -59,7 +59,7 @@
             allocator: allocator.clone(),
             room: service.group(group).room(now),
         };
-        service.learn_room(&told);
+        service.record_group_room(&told);
         for other in groups.iter().filter(|other| *other != group) {
             if let Some(address) = address_for(shared, service, other, now) {
                 shared.allocation.send(address, Message::Room(told.clone()));
@@ -81,7 +81,7 @@
     let Some(service) = routing.as_ref().and_then(|all| all.service(told.service.as_str())) else {
         return;
     };
-    service.learn_room(told);
+    service.record_group_room(told);
     let is_first_hand = *sender == told.allocator.vm;
     if !is_first_hand {
         return;
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -246,7 +246,7 @@
     }
 
     /// A group told its room.
-    pub(crate) fn learn_room(&self, told: &GroupRoom) {
+    pub(crate) fn record_group_room(&self, told: &GroupRoom) {
         let mut groups = self.group_reports.lock();
         groups.rooms.learn(told.group.clone(), told.room, BootClock.now());
         groups.allocators.insert(told.group.clone(), told.allocator.clone());
