--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -87,7 +87,7 @@
 impl<D: Dialect> Forward<D> {
     /// Forwards the request until there is an answer or nothing more may be tried.
     pub(crate) async fn run(&self, body: RequestBody) -> Result<Response<TargetBody>, Failure> {
-        self.service.received();
+        self.service.count_received();
         let mut tried = Tried::default();
         let mut attempts = 0;
         let mut given_up = 0;
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -274,7 +274,7 @@
     }
 
     /// Counts a request of a caller.
-    pub(crate) fn received(&self) {
+    pub(crate) fn count_received(&self) {
         self.local.lock().dispatcher.received();
     }
 
