--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -270,7 +270,7 @@
         self.state.lock().dispatcher.set_stopped(is_stopped);
     }
 
-    pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
+    pub(crate) fn record_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
         let now = BootClock.now();
         let mark = self.state.lock().dispatcher.learn_probe(name, report, now);
         // A target whose slow spell is over takes requests that wait.
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -213,7 +213,7 @@
     let Ok(Some(report)) = answer else {
         return false;
     };
-    if let Some(mark) = group.learn_probe(&destination.name, report) {
+    if let Some(mark) = group.record_probe(&destination.name, report) {
         shared.note_leaving(&mark, "probe");
     }
     true
--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -147,7 +147,7 @@
     counter!(metric::PROBES, "service" => name.clone()).increment(1);
     counter!(metric::MEASURING_US, "service" => name).increment(counted_us);
     if let Ok(Some(report)) = answer
-        && let Some(mark) = service.learn_probe(&destination.name, report)
+        && let Some(mark) = service.record_probe(&destination.name, report)
     {
         shared.note_leaving(&mark, "probe");
     }
