--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -248,7 +248,7 @@
     }
 
     /// Learns what a peer knows of a target's limit.
-    pub(super) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
+    pub(super) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
         self.state.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
     }
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -347,11 +347,11 @@
     }
 
     /// Learns what a peer knows of a target's limit.
-    pub(crate) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
+    pub(crate) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
         self.local.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
         for group in self.groups() {
-            group.learn_rate_limit(limit, now);
+            group.merge_rate_limit(limit, now);
         }
     }
 
--- a/crates/thymeshift_entry/src/shared/rate_limits.rs
+++ b/crates/thymeshift_entry/src/shared/rate_limits.rs
@@ -39,7 +39,7 @@
         let now = BootClock.now();
         for limit in told {
             if let Some(service) = routing.service(limit.service.as_str()) {
-                service.learn_rate_limit(limit, now);
+                service.merge_rate_limit(limit, now);
             }
         }
     }
