--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -77,7 +77,7 @@
     }
 
     /// Learns what an answer stated of the target's limit. Returns whether that is news here.
-    pub(crate) fn learn_rate_limit(&self, stated: Option<RequestRate>) -> bool {
+    pub(crate) fn record_rate_limit(&self, stated: Option<RequestRate>) -> bool {
         let Some(grant) = &self.grant else {
             return false;
         };
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -81,7 +81,7 @@
         if stated.is_none() && !may_end_it {
             return;
         }
-        if self.grant().learn_rate_limit(stated) && self.shared().allows_request_line() {
+        if self.grant().record_rate_limit(stated) && self.shared().allows_request_line() {
             let per_s = stated.map(|rate| rate.in_1000_s() as f64 / 1_000.0);
             info!("target_rate_limit", kv: {
                 service: = destination.service, target: = destination.name,
