--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -99,7 +99,7 @@
         self.service.local.lock().dispatcher.mark_granted_leaving(grant)
     }
 
-    pub(crate) fn learn(&mut self, observation: Observation) -> Option<LeavingMark> {
+    pub(crate) fn record_observation(&mut self, observation: Observation) -> Option<LeavingMark> {
         if let Some(lease) = &mut self.lease {
             lease.observe(observation);
         }
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -253,7 +253,7 @@
     }
 
     fn learn(&mut self, observation: Observation) {
-        if let Some(mark) = self.grant.learn(observation) {
+        if let Some(mark) = self.grant.record_observation(observation) {
             self.shared.note_leaving(&mark, "answer");
         }
     }
