--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -57,7 +57,7 @@
             service: service.name().clone(),
             group: group.clone(),
             allocator: allocator.clone(),
-            room: service.group(group).room(now),
+            room: service.group(group).spare_capacity(now),
         };
         service.record_group_room(&told);
         for other in groups.iter().filter(|other| *other != group) {
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -228,7 +228,7 @@
     }
 
     /// Further requests that the targets would serve at nearly their usual pace.
-    pub(crate) fn room(&self, now: Timestamp) -> u32 {
+    pub(crate) fn spare_capacity(&self, now: Timestamp) -> u32 {
         self.state.lock().dispatcher.room(now)
     }
 
