--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -279,7 +279,7 @@
     }
 
     /// Whether a target was asked for within `time`.
-    pub(crate) fn is_asked_within(&self, time: Duration, now: Timestamp) -> bool {
+    pub(crate) fn was_acquired_within(&self, time: Duration, now: Timestamp) -> bool {
         self.state.lock().asked_at.is_some_and(|at| now.since(at) < time)
     }
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -381,7 +381,7 @@
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
         let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
-            if !group.is_asked_within(RECENT_ACQUIRE_WINDOW, now) {
+            if !group.was_acquired_within(RECENT_ACQUIRE_WINDOW, now) {
                 continue;
             }
             let known = group.dump(now);
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -145,7 +145,7 @@
         let now = BootClock.now();
         for group in service.groups() {
             let is_too_large = is_alone && group.target_count() > PROBED_ALONE_MAX;
-            if is_too_large || !group.is_asked_within(IN_USE, now) {
+            if is_too_large || !group.was_acquired_within(IN_USE, now) {
                 continue;
             }
             is_allocating = true;
