--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -300,7 +300,7 @@
     }
 
     /// Probes of targets of the group have begun.
-    pub(crate) fn probed(&self, probes: usize) {
+    pub(crate) fn spend_probe_budget(&self, probes: usize) {
         self.state.lock().probe_budget.spend(probes);
     }
 
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -162,7 +162,7 @@
                     begun += 1;
                 }
             }
-            group.probed(begun);
+            group.spend_probe_budget(begun);
         }
     }
     is_allocating
