--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -106,7 +106,7 @@
         client.reply(&holder, acquire.number, Reply::AskInstead(member));
         return;
     }
-    service.allocated_here(shared, &acquire.group).acquire(holder, acquire);
+    service.local_group(shared, &acquire.group).acquire(holder, acquire);
 }
 
 fn service(shared: &Shared, name: &ServiceName) -> Option<Arc<ServiceRuntime>> {
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -250,13 +250,13 @@
     ) -> Allocating {
         match place {
             Some(place) if place.vm != *self.context.allocation.vm() => Allocating::There(place),
-            Some(_) | None => Allocating::Here(self.allocated_here(shared, group)),
+            Some(_) | None => Allocating::Here(self.local_group(shared, group)),
         }
     }
 
     /// A group that this process is asked to allocate, with the part of targets' limits that it
     /// may grant now.
-    pub(crate) fn allocated_here(&self, shared: &Shared, group: &Group) -> Arc<GroupRuntime> {
+    pub(crate) fn local_group(&self, shared: &Shared, group: &Group) -> Arc<GroupRuntime> {
         let now = BootClock.now();
         // Keeps the share as fresh as the order.
         let _ = self.allocator_order(shared, group, now);
