--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -101,7 +101,7 @@
         return;
     };
     if acquire.is_first_choice
-        && let Some(member) = service.better_allocator(shared, &acquire.group)
+        && let Some(member) = service.preferred_allocator(shared, &acquire.group)
     {
         client.reply(&holder, acquire.number, Reply::AskInstead(member));
         return;
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -291,7 +291,7 @@
 
     /// The member that ranks before this process as the allocator of a group, and answers as far
     /// as this process knows: whoever asks here knows less of the fleet.
-    pub(crate) fn better_allocator(&self, shared: &Shared, group: &Group) -> Option<Member> {
+    pub(crate) fn preferred_allocator(&self, shared: &Shared, group: &Group) -> Option<Member> {
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
         let is_usable =
