--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -46,7 +46,7 @@
 
 /// The allocator that is asked.
 #[derive(Clone)]
-pub(crate) enum Allocating {
+pub(crate) enum AllocatorHandle {
     /// This process.
     Here(Arc<GroupRuntime>),
     /// Another one.
@@ -177,14 +177,14 @@
     /// Asks an allocator for a target.
     pub(crate) fn acquire(
         self: &Arc<Self>,
-        allocating: &Allocating,
+        allocating: &AllocatorHandle,
         wanted: Wanted,
     ) -> Acquisition {
         let number = LeaseNumber(self.next_number.fetch_add(1, Ordering::Relaxed));
         let (replies, receiver) = mpsc::unbounded_channel();
         let allocator = match allocating {
-            Allocating::Here(_) => None,
-            Allocating::There(place) => Some(place.vm.clone()),
+            AllocatorHandle::Here(_) => None,
+            AllocatorHandle::There(place) => Some(place.vm.clone()),
         };
         let Wanted { service, group, may_redirect, is_first_choice, priority, .. } = wanted;
         let Wanted { deadline, wait, objective, queue_max, answer_kib, tried, excluded, .. } =
@@ -224,8 +224,8 @@
             held,
         };
         match allocating {
-            Allocating::Here(runtime) => runtime.acquire(self.own_holder(), acquire),
-            Allocating::There(place) => self.send(place.address, Message::Acquire(acquire)),
+            AllocatorHandle::Here(runtime) => runtime.acquire(self.own_holder(), acquire),
+            AllocatorHandle::There(place) => self.send(place.address, Message::Acquire(acquire)),
         }
         Acquisition { lease, replies: receiver }
     }
@@ -297,7 +297,7 @@
     number: LeaseNumber,
     service: ServiceName,
     group: Group,
-    allocating: Allocating,
+    allocating: AllocatorHandle,
     report: LeaseReport,
     is_open: bool,
 }
@@ -331,8 +331,8 @@
             return;
         }
         let allocator = match &self.allocating {
-            Allocating::Here(_) => None,
-            Allocating::There(place) => Some(&place.vm),
+            AllocatorHandle::Here(_) => None,
+            AllocatorHandle::There(place) => Some(&place.vm),
         };
         let release = Release {
             number: self.number,
@@ -342,8 +342,8 @@
             held: self.client.held(&self.service, &self.group, allocator),
         };
         match &self.allocating {
-            Allocating::Here(runtime) => runtime.release(self.client.own_holder(), &release),
-            Allocating::There(place) => self.client.send(place.address, Message::Release(release)),
+            AllocatorHandle::Here(runtime) => runtime.release(self.client.own_holder(), &release),
+            AllocatorHandle::There(place) => self.client.send(place.address, Message::Release(release)),
         }
     }
 }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -26,7 +26,7 @@
 use tokio::time::timeout;
 
 use crate::allocation_client::Acquisition;
-use crate::allocation_client::Allocating;
+use crate::allocation_client::AllocatorHandle;
 use crate::allocation_client::Reply;
 use crate::allocation_client::Wanted;
 use crate::service::LocalDecision;
@@ -247,10 +247,10 @@
         shared: &Shared,
         group: &Group,
         place: Option<AllocatorAddress>,
-    ) -> Allocating {
+    ) -> AllocatorHandle {
         match place {
-            Some(place) if place.vm != *self.context.allocation.vm() => Allocating::There(place),
-            Some(_) | None => Allocating::Here(self.local_group(shared, group)),
+            Some(place) if place.vm != *self.context.allocation.vm() => AllocatorHandle::There(place),
+            Some(_) | None => AllocatorHandle::Here(self.local_group(shared, group)),
         }
     }
 
@@ -320,7 +320,7 @@
 
     async fn ask(
         self: &Arc<Self>,
-        allocating: &Allocating,
+        allocating: &AllocatorHandle,
         wanted: Wanted,
         request: &Request,
     ) -> Asked {
@@ -334,8 +334,8 @@
                 }
                 Ok(Some(Reply::Granted(granted))) => {
                     let by = match allocating {
-                        Allocating::Here(_) => "here",
-                        Allocating::There(_) => "allocator",
+                        AllocatorHandle::Here(_) => "here",
+                        AllocatorHandle::There(_) => "allocator",
                     };
                     counter!(metric::OBTAINED, "by" => by).increment(1);
                     return self.take_lease(acquisition, &group, &granted);
@@ -365,8 +365,8 @@
         }
     }
 
-    fn pass_over(&self, allocating: &Allocating) {
-        if let Allocating::There(place) = allocating {
+    fn pass_over(&self, allocating: &AllocatorHandle) {
+        if let AllocatorHandle::There(place) = allocating {
             self.context.allocation.pass_over(&place.vm, BootClock.now());
         }
     }
