--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -48,9 +48,9 @@
 #[derive(Clone)]
 pub(crate) enum AllocatorHandle {
     /// This process.
-    Here(Arc<GroupRuntime>),
+    Local(Arc<GroupRuntime>),
     /// Another one.
-    There(AllocatorAddress),
+    Remote(AllocatorAddress),
 }
 
 /// Who holds a lease. A new start of a process is another holder.
@@ -183,8 +183,8 @@
         let number = LeaseNumber(self.next_number.fetch_add(1, Ordering::Relaxed));
         let (replies, receiver) = mpsc::unbounded_channel();
         let allocator = match allocating {
-            AllocatorHandle::Here(_) => None,
-            AllocatorHandle::There(place) => Some(place.vm.clone()),
+            AllocatorHandle::Local(_) => None,
+            AllocatorHandle::Remote(place) => Some(place.vm.clone()),
         };
         let Wanted { service, group, may_redirect, is_first_choice, priority, .. } = wanted;
         let Wanted { deadline, wait, objective, queue_max, answer_kib, tried, excluded, .. } =
@@ -224,8 +224,8 @@
             held,
         };
         match allocating {
-            AllocatorHandle::Here(runtime) => runtime.acquire(self.own_holder(), acquire),
-            AllocatorHandle::There(place) => self.send(place.address, Message::Acquire(acquire)),
+            AllocatorHandle::Local(runtime) => runtime.acquire(self.own_holder(), acquire),
+            AllocatorHandle::Remote(place) => self.send(place.address, Message::Acquire(acquire)),
         }
         Acquisition { lease, replies: receiver }
     }
@@ -331,8 +331,8 @@
             return;
         }
         let allocator = match &self.allocating {
-            AllocatorHandle::Here(_) => None,
-            AllocatorHandle::There(place) => Some(&place.vm),
+            AllocatorHandle::Local(_) => None,
+            AllocatorHandle::Remote(place) => Some(&place.vm),
         };
         let release = Release {
             number: self.number,
@@ -342,8 +342,8 @@
             held: self.client.held(&self.service, &self.group, allocator),
         };
         match &self.allocating {
-            AllocatorHandle::Here(runtime) => runtime.release(self.client.own_holder(), &release),
-            AllocatorHandle::There(place) => self.client.send(place.address, Message::Release(release)),
+            AllocatorHandle::Local(runtime) => runtime.release(self.client.own_holder(), &release),
+            AllocatorHandle::Remote(place) => self.client.send(place.address, Message::Release(release)),
         }
     }
 }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -249,8 +249,8 @@
         place: Option<AllocatorAddress>,
     ) -> AllocatorHandle {
         match place {
-            Some(place) if place.vm != *self.context.allocation.vm() => AllocatorHandle::There(place),
-            Some(_) | None => AllocatorHandle::Here(self.local_group(shared, group)),
+            Some(place) if place.vm != *self.context.allocation.vm() => AllocatorHandle::Remote(place),
+            Some(_) | None => AllocatorHandle::Local(self.local_group(shared, group)),
         }
     }
 
@@ -334,8 +334,8 @@
                 }
                 Ok(Some(Reply::Granted(granted))) => {
                     let by = match allocating {
-                        AllocatorHandle::Here(_) => "here",
-                        AllocatorHandle::There(_) => "allocator",
+                        AllocatorHandle::Local(_) => "here",
+                        AllocatorHandle::Remote(_) => "allocator",
                     };
                     counter!(metric::OBTAINED, "by" => by).increment(1);
                     return self.take_lease(acquisition, &group, &granted);
@@ -366,7 +366,7 @@
     }
 
     fn pass_over(&self, allocating: &AllocatorHandle) {
-        if let AllocatorHandle::There(place) = allocating {
+        if let AllocatorHandle::Remote(place) = allocating {
             self.context.allocation.pass_over(&place.vm, BootClock.now());
         }
     }
