--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -89,7 +89,7 @@
 }
 
 /// What is asked of an allocator.
-pub(crate) struct Wanted {
+pub(crate) struct AcquireRequest {
     pub(crate) service: ServiceName,
     pub(crate) group: Group,
     pub(crate) may_redirect: bool,
@@ -178,7 +178,7 @@
     pub(crate) fn acquire(
         self: &Arc<Self>,
         allocating: &AllocatorHandle,
-        wanted: Wanted,
+        wanted: AcquireRequest,
     ) -> Acquisition {
         let number = LeaseNumber(self.next_number.fetch_add(1, Ordering::Relaxed));
         let (replies, receiver) = mpsc::unbounded_channel();
@@ -186,8 +186,8 @@
             AllocatorHandle::Local(_) => None,
             AllocatorHandle::Remote(place) => Some(place.vm.clone()),
         };
-        let Wanted { service, group, may_redirect, is_first_choice, priority, .. } = wanted;
-        let Wanted { deadline, wait, objective, queue_max, answer_kib, tried, excluded, .. } =
+        let AcquireRequest { service, group, may_redirect, is_first_choice, priority, .. } = wanted;
+        let AcquireRequest { deadline, wait, objective, queue_max, answer_kib, tried, excluded, .. } =
             wanted;
         let open = OpenLease {
             service: service.clone(),
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -28,7 +28,7 @@
 use crate::allocation_client::Acquisition;
 use crate::allocation_client::AllocatorHandle;
 use crate::allocation_client::Reply;
-use crate::allocation_client::Wanted;
+use crate::allocation_client::AcquireRequest;
 use crate::service::LocalDecision;
 use crate::service::GrantGuard;
 use crate::service::GroupRuntime;
@@ -266,14 +266,14 @@
         runtime
     }
 
-    fn wanted(&self, group: &Group, request: &Request) -> Wanted {
+    fn wanted(&self, group: &Group, request: &Request) -> AcquireRequest {
         let now = BootClock.now();
         let hall = match group {
             Group::All => None,
             Group::Hall(hall) => Some(hall),
         };
         let excluded = self.local.lock().dispatcher.backing_off(hall, now);
-        Wanted {
+        AcquireRequest {
             service: self.name().clone(),
             group: group.clone(),
             may_redirect: false,
@@ -321,7 +321,7 @@
     async fn ask(
         self: &Arc<Self>,
         allocating: &AllocatorHandle,
-        wanted: Wanted,
+        wanted: AcquireRequest,
         request: &Request,
     ) -> Asked {
         let group = wanted.group.clone();
