--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -271,7 +271,7 @@
     }
 
     /// An allocator did not answer, or does not allocate.
-    pub(crate) fn pass_over(&self, allocator: &VmName, now: Timestamp) {
+    pub(crate) fn skip_process(&self, allocator: &VmName, now: Timestamp) {
         debug!("allocator_passed_over", kv: { allocator: = allocator });
         let mut passed_over = self.passed_over.lock();
         let first = PassedOver { until: now, times: 0 };
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -210,7 +210,7 @@
                 Some(QuotaReply::Counted(told)) => return Some(told),
                 Some(QuotaReply::Elsewhere) => {}
                 None => {
-                    shared.allocation.pass_over(&place.vm, BootClock.now());
+                    shared.allocation.skip_process(&place.vm, BootClock.now());
                     info!("quota_unanswered", kv: {
                         organisation: = organisation.name, counter: = place.vm
                     });
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -354,20 +354,20 @@
                 }
                 Ok(Some(Reply::Declined)) => {
                     acquisition.lease.closed_by_allocator();
-                    self.pass_over(allocating);
+                    self.skip_process(allocating);
                     return Asked::Useless;
                 }
                 Ok(None) | Err(_) => {
-                    self.pass_over(allocating);
+                    self.skip_process(allocating);
                     return Asked::Useless;
                 }
             }
         }
     }
 
-    fn pass_over(&self, allocating: &AllocatorHandle) {
+    fn skip_process(&self, allocating: &AllocatorHandle) {
         if let AllocatorHandle::Remote(place) = allocating {
-            self.context.allocation.pass_over(&place.vm, BootClock.now());
+            self.context.allocation.skip_process(&place.vm, BootClock.now());
         }
     }
 
