--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -280,7 +280,7 @@
         entry.times += 1;
     }
 
-    pub(crate) fn is_passed_over(&self, allocator: &VmName, now: Timestamp) -> bool {
+    pub(crate) fn is_skipped(&self, allocator: &VmName, now: Timestamp) -> bool {
         self.passed_over.lock().get(allocator).is_some_and(|entry| now < entry.until)
     }
 }
--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -115,7 +115,7 @@
 ) -> Option<SocketAddr> {
     let order = service.allocator_order(shared, group, now);
     let mut usable = order.iter().filter(|place| match place {
-        Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+        Some(place) => !shared.allocation.is_skipped(&place.vm, now),
         None => true,
     });
     usable.next()?.as_ref().map(|place| place.address)
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -199,7 +199,7 @@
         let order = self.order(shared, &organisation.name);
         let now = BootClock.now();
         let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
             None => !shared.is_stopping(),
         };
         for place in order.iter().filter(is_usable).take(COUNTERS_ASKED_MAX) {
@@ -266,7 +266,7 @@
         let now = BootClock.now();
         let order = self.order(shared, name);
         let mut usable = order.iter().filter(|place| match place {
-            Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
             None => true,
         });
         usable.next().is_some_and(Option::is_none)
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -221,7 +221,7 @@
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
         let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !self.context.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !self.context.allocation.is_skipped(&place.vm, now),
             None => !shared.is_stopping(),
         };
         let first = order.first().filter(is_usable);
@@ -295,7 +295,7 @@
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
         let is_usable =
-            |place: &&AllocatorAddress| !self.context.allocation.is_passed_over(&place.vm, now);
+            |place: &&AllocatorAddress| !self.context.allocation.is_skipped(&place.vm, now);
         let first = order.first()?.as_ref().filter(is_usable)?;
         shared.fleet.lock().members.find(&first.vm).cloned()
     }
