--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -126,11 +126,11 @@
     boot: Boot,
     next_number: AtomicU64,
     leases: Mutex<HashMap<LeaseNumber, OpenLease>>,
-    passed_over: Mutex<HashMap<VmName, PassedOver>>,
+    passed_over: Mutex<HashMap<VmName, SkippedProcess>>,
 }
 
 /// An allocator that did not answer.
-struct PassedOver {
+struct SkippedProcess {
     until: Timestamp,
     times: u32,
 }
@@ -274,7 +274,7 @@
     pub(crate) fn skip_process(&self, allocator: &VmName, now: Timestamp) {
         debug!("allocator_passed_over", kv: { allocator: = allocator });
         let mut passed_over = self.passed_over.lock();
-        let first = PassedOver { until: now, times: 0 };
+        let first = SkippedProcess { until: now, times: 0 };
         let entry = passed_over.entry(allocator.clone()).or_insert(first);
         entry.until = now + PASSED_OVER * 2_u32.pow(entry.times.min(DOUBLINGS_MAX));
         entry.times += 1;
