--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -238,12 +238,12 @@
     pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: Reply) {
         match holder.address {
             Some(address) => self.send(address, reply.into_message(number)),
-            None => self.replied(number, reply),
+            None => self.deliver_reply(number, reply),
         }
     }
 
     /// An allocator answered.
-    pub(crate) fn replied(&self, number: LeaseNumber, reply: Reply) {
+    pub(crate) fn deliver_reply(&self, number: LeaseNumber, reply: Reply) {
         if let Some(open) = self.leases.lock().get(&number) {
             if let (Some(allocator), false) = (&open.allocator, reply == Reply::Declined) {
                 self.passed_over.lock().remove(allocator);
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -77,19 +77,19 @@
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
-        Message::Waiting(number) => client.replied(number, Reply::Waiting),
-        Message::Granted(number, granted) => client.replied(number, Reply::Granted(granted)),
-        Message::Declined(number) => client.replied(number, Reply::Declined),
+        Message::Waiting(number) => client.deliver_reply(number, Reply::Waiting),
+        Message::Granted(number, granted) => client.deliver_reply(number, Reply::Granted(granted)),
+        Message::Declined(number) => client.deliver_reply(number, Reply::Declined),
         Message::Redirected(number, group, allocator) => {
-            client.replied(number, Reply::Redirected(group, allocator));
+            client.deliver_reply(number, Reply::Redirected(group, allocator));
         }
         Message::AskInstead(number, member) => {
             shared.fleet.lock().members.introduced(&member, BootClock.now());
-            client.replied(number, Reply::AskInstead(member));
+            client.deliver_reply(number, Reply::AskInstead(member));
         }
         Message::Refused(number, reason, retry_after) => {
             let refusal = Refusal { reason, retry_after };
-            client.replied(number, Reply::Refused(refusal));
+            client.deliver_reply(number, Reply::Refused(refusal));
         }
     }
 }
