--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -64,7 +64,7 @@
 
 /// What an allocator answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Reply {
+pub(crate) enum AllocatorReply {
     Waiting,
     Granted(Granted),
     Refused(Refusal),
@@ -75,7 +75,7 @@
     AskInstead(Member),
 }
 
-impl Reply {
+impl AllocatorReply {
     fn into_message(self, number: LeaseNumber) -> Message {
         match self {
             Self::Waiting => Message::Waiting(number),
@@ -109,7 +109,7 @@
     group: Group,
     /// The allocator; none if it is this process.
     allocator: Option<VmName>,
-    replies: mpsc::UnboundedSender<Reply>,
+    replies: mpsc::UnboundedSender<AllocatorReply>,
 }
 
 impl OpenLease {
@@ -235,7 +235,7 @@
     }
 
     /// Tells a holder what became of its request.
-    pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: Reply) {
+    pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: AllocatorReply) {
         match holder.address {
             Some(address) => self.send(address, reply.into_message(number)),
             None => self.deliver_reply(number, reply),
@@ -243,9 +243,9 @@
     }
 
     /// An allocator answered.
-    pub(crate) fn deliver_reply(&self, number: LeaseNumber, reply: Reply) {
+    pub(crate) fn deliver_reply(&self, number: LeaseNumber, reply: AllocatorReply) {
         if let Some(open) = self.leases.lock().get(&number) {
-            if let (Some(allocator), false) = (&open.allocator, reply == Reply::Declined) {
+            if let (Some(allocator), false) = (&open.allocator, reply == AllocatorReply::Declined) {
                 self.passed_over.lock().remove(allocator);
             }
             // Nobody waits any more if this fails, and the lease is released then.
@@ -288,7 +288,7 @@
 /// A request for a target on its way.
 pub(crate) struct Acquisition {
     pub(crate) lease: AllocationLease,
-    pub(crate) replies: mpsc::UnboundedReceiver<Reply>,
+    pub(crate) replies: mpsc::UnboundedReceiver<AllocatorReply>,
 }
 
 /// A lease of a target, released when it is dropped.
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -15,7 +15,7 @@
 use thymeshift_wire::Message;
 
 use crate::allocation_client::LeaseHolder;
-use crate::allocation_client::Reply;
+use crate::allocation_client::AllocatorReply;
 use crate::control_plane::relay::take_news;
 use crate::control_plane::rooms::take_room;
 use crate::control_plane::source::take_heartbeat;
@@ -77,19 +77,19 @@
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
-        Message::Waiting(number) => client.deliver_reply(number, Reply::Waiting),
-        Message::Granted(number, granted) => client.deliver_reply(number, Reply::Granted(granted)),
-        Message::Declined(number) => client.deliver_reply(number, Reply::Declined),
+        Message::Waiting(number) => client.deliver_reply(number, AllocatorReply::Waiting),
+        Message::Granted(number, granted) => client.deliver_reply(number, AllocatorReply::Granted(granted)),
+        Message::Declined(number) => client.deliver_reply(number, AllocatorReply::Declined),
         Message::Redirected(number, group, allocator) => {
-            client.deliver_reply(number, Reply::Redirected(group, allocator));
+            client.deliver_reply(number, AllocatorReply::Redirected(group, allocator));
         }
         Message::AskInstead(number, member) => {
             shared.fleet.lock().members.introduced(&member, BootClock.now());
-            client.deliver_reply(number, Reply::AskInstead(member));
+            client.deliver_reply(number, AllocatorReply::AskInstead(member));
         }
         Message::Refused(number, reason, retry_after) => {
             let refusal = Refusal { reason, retry_after };
-            client.deliver_reply(number, Reply::Refused(refusal));
+            client.deliver_reply(number, AllocatorReply::Refused(refusal));
         }
     }
 }
@@ -103,7 +103,7 @@
     if acquire.is_first_choice
         && let Some(member) = service.preferred_allocator(shared, &acquire.group)
     {
-        client.reply(&holder, acquire.number, Reply::AskInstead(member));
+        client.reply(&holder, acquire.number, AllocatorReply::AskInstead(member));
         return;
     }
     service.local_group(shared, &acquire.group).acquire(holder, acquire);
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -34,7 +34,7 @@
 use thymeshift_wire::TargetRateLimit;
 
 use crate::allocation_client::LeaseHolder;
-use crate::allocation_client::Reply;
+use crate::allocation_client::AllocatorReply;
 use crate::service::ServiceContext;
 use crate::service::SharedGroupReports;
 
@@ -164,7 +164,7 @@
         let now = BootClock.now();
         let key = LeaseKey { holder, number: acquire.number.0 };
         let reply = self.decide(&key, acquire, asked_at, now);
-        if reply == Reply::Waiting {
+        if reply == AllocatorReply::Waiting {
             self.context.request_queued.notify_one();
         }
         self.context.allocation.reply(&key.holder, acquire.number, reply);
@@ -177,7 +177,7 @@
         acquire: &Acquire,
         asked_at: Timestamp,
         now: Timestamp,
-    ) -> Reply {
+    ) -> AllocatorReply {
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
         dispatcher.set_backed(self.group_reports.lock().rooms.is_elsewhere(&self.group, now));
@@ -187,7 +187,7 @@
             && dispatcher.room(now) == 0
             && let Some((other, by)) = self.group_reports.lock().take(&self.group, now)
         {
-            return Reply::Redirected(other, by);
+            return AllocatorReply::Redirected(other, by);
         }
         let request = request_of(acquire, dispatcher, asked_at);
         let allocation = allocator.acquire(key.clone(), request, dispatcher, now, &mut rand::rng());
@@ -341,11 +341,11 @@
     }
 }
 
-fn reply_of(allocation: Allocation) -> Reply {
+fn reply_of(allocation: Allocation) -> AllocatorReply {
     match allocation {
-        Allocation::Granted(granted) => Reply::Granted(granted),
-        Allocation::Waiting => Reply::Waiting,
-        Allocation::Refused(refusal) => Reply::Refused(refusal),
+        Allocation::Granted(granted) => AllocatorReply::Granted(granted),
+        Allocation::Waiting => AllocatorReply::Waiting,
+        Allocation::Refused(refusal) => AllocatorReply::Refused(refusal),
     }
 }
 
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -27,7 +27,7 @@
 
 use crate::allocation_client::Acquisition;
 use crate::allocation_client::AllocatorHandle;
-use crate::allocation_client::Reply;
+use crate::allocation_client::AllocatorReply;
 use crate::allocation_client::AcquireRequest;
 use crate::service::LocalDecision;
 use crate::service::GrantGuard;
@@ -329,10 +329,10 @@
         let mut limit = FIRST_WORD_LIMIT;
         loop {
             match timeout(limit, acquisition.replies.recv()).await {
-                Ok(Some(Reply::Waiting)) => {
+                Ok(Some(AllocatorReply::Waiting)) => {
                     limit = BootClock.now().until(request.wait_until) + LAST_WORD_SLACK;
                 }
-                Ok(Some(Reply::Granted(granted))) => {
+                Ok(Some(AllocatorReply::Granted(granted))) => {
                     let by = match allocating {
                         AllocatorHandle::Local(_) => "here",
                         AllocatorHandle::Remote(_) => "allocator",
@@ -340,19 +340,19 @@
                     counter!(metric::OBTAINED, "by" => by).increment(1);
                     return self.take_lease(acquisition, &group, &granted);
                 }
-                Ok(Some(Reply::Refused(refusal))) => {
+                Ok(Some(AllocatorReply::Refused(refusal))) => {
                     acquisition.lease.closed_by_allocator();
                     return Asked::Refused(refusal);
                 }
-                Ok(Some(Reply::Redirected(group, by))) => {
+                Ok(Some(AllocatorReply::Redirected(group, by))) => {
                     acquisition.lease.closed_by_allocator();
                     return Asked::Redirected(group, by);
                 }
-                Ok(Some(Reply::AskInstead(_))) => {
+                Ok(Some(AllocatorReply::AskInstead(_))) => {
                     acquisition.lease.closed_by_allocator();
                     return Asked::AskInstead;
                 }
-                Ok(Some(Reply::Declined)) => {
+                Ok(Some(AllocatorReply::Declined)) => {
                     acquisition.lease.closed_by_allocator();
                     self.skip_process(allocating);
                     return Asked::Useless;
