--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -34,7 +34,7 @@
 
 use crate::organisations::QuotaReply;
 use crate::organisations::questions::Questions;
-use crate::shared::RankedPlaces;
+use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
 /// Waits for a counter's answer, after each of which but the last the question is sent again: a
@@ -67,7 +67,7 @@
 /// The order of an organisation's counters, while it is fresh.
 #[derive(Clone)]
 struct Ranking {
-    order: RankedPlaces,
+    order: RankedProcesses,
     /// The part of the limit that this process may hand out, should it be asked.
     share: RateShare,
     made_at: Timestamp,
@@ -272,7 +272,7 @@
         usable.next().is_some_and(Option::is_none)
     }
 
-    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedPlaces {
+    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedProcesses {
         self.ranking(shared, name).order
     }
 
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -33,7 +33,7 @@
 use crate::service::GrantGuard;
 use crate::service::GroupRuntime;
 use crate::service::ServiceRuntime;
-use crate::shared::RankedPlaces;
+use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
 /// Longest wait for an allocator's first word.
@@ -55,7 +55,7 @@
 
 #[derive(Default)]
 struct GroupAllocators {
-    order: RankedPlaces,
+    order: RankedProcesses,
     made_at: Option<Timestamp>,
     /// Changes among members that it takes into account.
     changes: u64,
@@ -65,7 +65,7 @@
 }
 
 impl Allocators {
-    fn fresh_order(&self, group: &Group, changes: u64, now: Timestamp) -> Option<RankedPlaces> {
+    fn fresh_order(&self, group: &Group, changes: u64, now: Timestamp) -> Option<RankedProcesses> {
         let known = self.0.get(group)?;
         let is_young = known.made_at.is_some_and(|at| now.since(at) < ORDER_KEPT);
         let is_fresh = is_young && known.changes == changes;
@@ -75,7 +75,7 @@
     fn keep_order(
         &mut self,
         group: &Group,
-        order: RankedPlaces,
+        order: RankedProcesses,
         rate_share: RateShare,
         changes: u64,
         now: Timestamp,
@@ -306,7 +306,7 @@
         shared: &Shared,
         group: &Group,
         now: Timestamp,
-    ) -> RankedPlaces {
+    ) -> RankedProcesses {
         // Not under the lock below: these take the fleet's.
         let changes = shared.fleet.lock().members.changes();
         if let Some(order) = self.allocators.lock().fresh_order(group, changes, now) {
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -55,7 +55,7 @@
 const REQUEST_LINES_PER_S: u64 = 50;
 
 /// Processes in the order in which they do a task; None is this process.
-pub(crate) type RankedPlaces = Arc<[Option<AllocatorAddress>]>;
+pub(crate) type RankedProcesses = Arc<[Option<AllocatorAddress>]>;
 
 /// Figures of the process as a whole.
 #[derive(Default)]
