--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -286,7 +286,7 @@
         }
         let task = counter_task(name);
         let order = shared.contacts_for(&task, now).into();
-        let share = shared.standing_for(&task, now).rate_share();
+        let share = shared.rank_for(&task, now).rate_share();
         let made = Ranking { order, share, made_at: now, changes };
         self.rankings.lock().insert(name.clone(), made.clone());
         made
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -240,7 +240,7 @@
     }
 
     /// Where this process stands among those that do a task for the whole fleet.
-    pub(crate) fn standing_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
+    pub(crate) fn rank_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
         let fleet = self.fleet.lock();
         let reach = fleet.members.reach(now);
         rank_in(&fleet, task, &reach)
