--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -285,7 +285,7 @@
             return known.clone();
         }
         let task = counter_task(name);
-        let order = shared.contacts_for(&task, now).into();
+        let order = shared.ranked_contacts(&task, now).into();
         let share = shared.rank_for(&task, now).rate_share();
         let made = Ranking { order, share, made_at: now, changes };
         self.rankings.lock().insert(name.clone(), made.clone());
