--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -223,7 +223,7 @@
 fn set_phase(shared: &Shared, phase: Phase) {
     shared.phase.send_replace(phase);
     info!("phase", kv: { phase: = phase });
-    shared.tell_phase();
+    shared.announce_phase();
     shared.news.notify_one();
 }
 
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -272,7 +272,7 @@
 
     /// Tells the own data hall what this process says of itself now: until all
     /// of the hall know of a start or a stop, two processes may allocate the same targets.
-    pub(crate) fn tell_phase(&self) {
+    pub(crate) fn announce_phase(&self) {
         let (member, addresses) = {
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
