--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -147,7 +147,7 @@
     loop {
         let spread = rand::rng().random_range(0.8..1.2);
         let every = exchange_every(&shared);
-        let is_news = timeout(every.mul_f64(spread), shared.news.notified()).await.is_ok();
+        let is_news = timeout(every.mul_f64(spread), shared.peer_exchange_due.notified()).await.is_ok();
         if is_news {
             exchange_with(&shared, TOLD_AT_ONCE, Breadth::News).await;
         } else {
@@ -265,7 +265,7 @@
     }
     if taken.has_new_orders {
         shared.apply_orders();
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
     }
     shared.merge_rate_limits(&exchange.rate_limits);
     for fingerprint in &taken.suspects {
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -51,7 +51,7 @@
             sleep(LOOK).await;
             continue;
         }
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
         let watched = watch_once(&shared, &mut listed_at, wait).await;
         wait = if watched.is_ok() { WAIT } else { Duration::ZERO };
         if let Err(error) = watched {
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -90,7 +90,7 @@
 
 fn tell(shared: &Shared, fingerprint: Fingerprint) {
     if shared.allocation.socket().is_none() {
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
         return;
     }
     let (told, addresses) = {
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -224,7 +224,7 @@
     shared.phase.send_replace(phase);
     info!("phase", kv: { phase: = phase });
     shared.announce_phase();
-    shared.news.notify_one();
+    shared.peer_exchange_due.notify_one();
 }
 
 fn tree<E: Environment>(
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -82,7 +82,7 @@
     pub(crate) in_force: watch::Sender<bool>,
     pub(crate) phase: watch::Sender<Phase>,
     /// Rings when peers should hear something at once.
-    pub(crate) news: Notify,
+    pub(crate) peer_exchange_due: Notify,
     pub(crate) platform_answered_at: Mutex<Option<Timestamp>>,
     pub(crate) statuses: Statuses,
     pub(crate) links: Links,
@@ -153,7 +153,7 @@
             gaps: Gaps::default(),
             in_force: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
-            news: Notify::new(),
+            peer_exchange_due: Notify::new(),
             platform_answered_at: Mutex::new(None),
             statuses: Statuses::default(),
             links: Links::default(),
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -92,7 +92,7 @@
         if self.allocation.socket().is_some() {
             tell_below(self);
         } else {
-            self.news.notify_one();
+            self.peer_exchange_due.notify_one();
         }
     }
 
@@ -157,7 +157,7 @@
             service: = mark.service, target: = mark.target,
             incarnation: = mark.incarnation, source
         });
-        self.news.notify_one();
+        self.peer_exchange_due.notify_one();
     }
 
     /// Applies the orders that hold now.
