--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -74,7 +74,7 @@
 /// compared with the source in the next call, long before this process counts as one that must
 /// know. Peers are asked a little earlier, because a call of the source has its price.
 async fn bootstrap_from_anybody<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
-    let mut in_force = shared.in_force.subscribe();
+    let mut in_force = shared.has_configuration.subscribe();
     tokio::select! {
         // An error would mean that this process is ending.
         _ = in_force.wait_for(|is_in_force| *is_in_force) => {}
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -46,7 +46,7 @@
 ) -> Result<(), TaskError> {
     let mut was_answered = true;
     // Until then the start of the process reads. An error would mean that it is ending.
-    let _ = shared.in_force.subscribe().wait_for(|is_in_force| *is_in_force).await;
+    let _ = shared.has_configuration.subscribe().wait_for(|is_in_force| *is_in_force).await;
     loop {
         let turn = {
             let now = BootClock.now();
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -79,7 +79,7 @@
     pub(crate) gaps: Gaps,
     pub(crate) fleet: Mutex<Fleet>,
     /// Whether there is a configuration in force.
-    pub(crate) in_force: watch::Sender<bool>,
+    pub(crate) has_configuration: watch::Sender<bool>,
     pub(crate) phase: watch::Sender<Phase>,
     /// Rings when peers should hear something at once.
     pub(crate) peer_exchange_due: Notify,
@@ -151,7 +151,7 @@
             started_at: BootClock.now(),
             metrics: ProcessMetrics::default(),
             gaps: Gaps::default(),
-            in_force: watch::Sender::new(false),
+            has_configuration: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
             peer_exchange_due: Notify::new(),
             platform_answered_at: Mutex::new(None),
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -135,7 +135,7 @@
         }
         self.quotas.keep_only(routing.keys.organisations());
         *self.routing.write() = Some(routing);
-        self.in_force.send_replace(true);
+        self.has_configuration.send_replace(true);
     }
 
     /// A target said here that it is leaving.
