--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -97,7 +97,7 @@
     pub(crate) pending_acquires_receiver: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
     pub(crate) unknown_headers: UnknownHeaders,
     /// Bounds the log lines about single requests.
-    pub(crate) request_lines: LineBudget,
+    pub(crate) request_log_budget: LineBudget,
     /// Whether this process waits for a document from the one above it in its data hall.
     pub(crate) is_awaiting_relay: AtomicBool,
     /// Whether this process rests before it fetches a list of targets.
@@ -138,7 +138,7 @@
             unknown_headers: UnknownHeaders::default(),
             request_queued: Arc::default(),
             group_activated: Arc::default(),
-            request_lines: LineBudget::new(REQUEST_LINES_PER_S),
+            request_log_budget: LineBudget::new(REQUEST_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
             is_resting: AtomicBool::new(false),
             list_pace: Mutex::default(),
@@ -174,7 +174,7 @@
 
     /// Whether a log line about a single request may be written now.
     pub(crate) fn allows_request_line(&self) -> bool {
-        self.request_lines.allows(BootClock.now().as_micros())
+        self.request_log_budget.allows(BootClock.now().as_micros())
     }
 
     /// How long this process rests before it takes in another list of targets.
