--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -148,7 +148,7 @@
     /// One line for each attempt that brought no answer: whether there is another depends
     /// on it.
     fn log_attempt(&self, failure: &Failure, attempt: u64) {
-        if !self.shared.allows_request_line() {
+        if !self.shared.allows_request_log_line() {
             return;
         }
         let request_id = self.request_id.to_str().unwrap_or_default();
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -92,7 +92,7 @@
 impl Drop for Progress {
     /// The caller left before there was an answer.
     fn drop(&mut self) {
-        if self.is_recorded || !self.shared.allows_request_line() {
+        if self.is_recorded || !self.shared.allows_request_log_line() {
             return;
         }
         let taken_us = BootClock.now().since(self.accepted_at).as_micros() as u64;
@@ -276,7 +276,7 @@
                 let status = response.status().as_u16();
                 debug!("request_answered", kv: { request_id, kind, status, taken_us });
             }
-            Err(_) if !self.shared.allows_request_line() => {}
+            Err(_) if !self.shared.allows_request_log_line() => {}
             Err(failure) => info!("request_failed", kv: {
                 request_id, fingerprint = self.fingerprint_text(), kind,
                 organisation = self.organisation(), taken_us,
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -173,7 +173,7 @@
     }
 
     /// Whether a log line about a single request may be written now.
-    pub(crate) fn allows_request_line(&self) -> bool {
+    pub(crate) fn allows_request_log_line(&self) -> bool {
         self.request_log_budget.allows(BootClock.now().as_micros())
     }
 
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -81,7 +81,7 @@
         if stated.is_none() && !may_end_it {
             return;
         }
-        if self.grant().record_rate_limit(stated) && self.shared().allows_request_line() {
+        if self.grant().record_rate_limit(stated) && self.shared().allows_request_log_line() {
             let per_s = stated.map(|rate| rate.in_1000_s() as f64 / 1_000.0);
             info!("target_rate_limit", kv: {
                 service: = destination.service, target: = destination.name,
@@ -101,7 +101,7 @@
             Ok(Some(backoff)) => {
                 self.grant().back_off(backoff);
                 counter!(metric::BACKOFFS_ASKED, "service" => service).increment(1);
-                if self.shared().allows_request_line() {
+                if self.shared().allows_request_log_line() {
                     info!("target_backoff", kv: {
                         service: = destination.service, target: = destination.name,
                         backoff_ms = backoff.as_millis() as u64,
