--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -85,13 +85,13 @@
 
 /// Fetches what is newer at a process, after the rest that lists of targets leave.
 fn fetch(shared: &Arc<Shared>, address: SocketAddr) {
-    if shared.is_resting.swap(true, Ordering::Relaxed) {
+    if shared.is_list_fetch_delayed.swap(true, Ordering::Relaxed) {
         return;
     }
     let shared = shared.clone();
     tokio::spawn(async move {
         sleep(shared.rest()).await;
-        shared.is_resting.store(false, Ordering::Relaxed);
+        shared.is_list_fetch_delayed.store(false, Ordering::Relaxed);
         // A failure is counted and logged there; the next heartbeat of a reader tries again.
         let _ = exchange_once(&shared, address, Breadth::News).await;
     });
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -101,7 +101,7 @@
     /// Whether this process waits for a document from the one above it in its data hall.
     pub(crate) is_awaiting_relay: AtomicBool,
     /// Whether this process rests before it fetches a list of targets.
-    pub(crate) is_resting: AtomicBool,
+    pub(crate) is_list_fetch_delayed: AtomicBool,
     pub(crate) list_pace: Mutex<ListPace>,
     crashes_reported: AtomicU64,
     /// Limits of targets told to peers so far, for taking turns.
@@ -140,7 +140,7 @@
             group_activated: Arc::default(),
             request_log_budget: LineBudget::new(REQUEST_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
-            is_resting: AtomicBool::new(false),
+            is_list_fetch_delayed: AtomicBool::new(false),
             list_pace: Mutex::default(),
             crashes_reported: AtomicU64::new(0),
             rate_limits_cursor: AtomicUsize::new(0),
