--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -229,7 +229,7 @@
 ) -> Result<(), ExchangeError> {
     let wanted = take_summary(shared, exchange);
     for document in wanted {
-        let is_resting = document == Document::Targets && !shared.rest().is_zero();
+        let is_resting = document == Document::Targets && !shared.list_fetch_delay().is_zero();
         if is_resting || !shared.links.begin_fetch(document, BootClock.now()) {
             continue;
         }
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -90,7 +90,7 @@
     }
     let shared = shared.clone();
     tokio::spawn(async move {
-        sleep(shared.rest()).await;
+        sleep(shared.list_fetch_delay()).await;
         shared.is_list_fetch_delayed.store(false, Ordering::Relaxed);
         // A failure is counted and logged there; the next heartbeat of a reader tries again.
         let _ = exchange_once(&shared, address, Breadth::News).await;
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -64,7 +64,7 @@
         log_dependency(&read, &mut was_answered);
         tell_fleet(&shared, read.is_ok());
         if let Ok(1..) = read {
-            sleep(GATHER.max(shared.rest())).await;
+            sleep(GATHER.max(shared.list_fetch_delay())).await;
         }
     }
 }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -178,7 +178,7 @@
     }
 
     /// How long this process rests before it takes in another list of targets.
-    pub(crate) fn rest(&self) -> Duration {
+    pub(crate) fn list_fetch_delay(&self) -> Duration {
         self.list_pace.lock().rest(BootClock.now())
     }
 
