--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -76,7 +76,7 @@
 
 /// What is to be done after a message was taken in.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct Taken {
+pub(crate) struct ExchangeOutcome {
     /// Documents that the sender has newer.
     pub(crate) wanted: Vec<Document>,
     /// Marks that are news.
@@ -251,7 +251,7 @@
     }
 
     /// Takes in a summary.
-    pub(crate) fn take(&mut self, exchange: &Exchange, now: Timestamp) -> Taken {
+    pub(crate) fn take(&mut self, exchange: &Exchange, now: Timestamp) -> ExchangeOutcome {
         if let Some((sender, others)) = exchange.members.split_first() {
             self.members.answered(&sender.member, now);
             for told in others {
@@ -275,7 +275,7 @@
             }
         }
         let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
-        Taken { wanted: self.wanted(exchange), marks, has_new_orders, suspects, conflicting: seen }
+        ExchangeOutcome { wanted: self.wanted(exchange), marks, has_new_orders, suspects, conflicting: seen }
     }
 
     /// Whether a mark of a peer is about a target that is known here. A discovered target
