--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -252,7 +252,7 @@
     shared: &Arc<Shared>,
     exchange: &Exchange,
 ) -> Vec<thymeshift_wire::Document> {
-    let taken = shared.fleet.lock().take(exchange, BootClock.now());
+    let taken = shared.fleet.lock().apply_exchange(exchange, BootClock.now());
     for mark in &taken.marks {
         shared.apply_mark(mark, "peer");
     }
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -251,7 +251,7 @@
     }
 
     /// Takes in a summary.
-    pub(crate) fn take(&mut self, exchange: &Exchange, now: Timestamp) -> ExchangeOutcome {
+    pub(crate) fn apply_exchange(&mut self, exchange: &Exchange, now: Timestamp) -> ExchangeOutcome {
         if let Some((sender, others)) = exchange.members.split_first() {
             self.members.answered(&sender.member, now);
             for told in others {
