--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -253,7 +253,7 @@
     exchange: &Exchange,
 ) -> Vec<thymeshift_wire::Document> {
     let taken = shared.fleet.lock().apply_exchange(exchange, BootClock.now());
-    for mark in &taken.marks {
+    for mark in &taken.new_marks {
         shared.apply_mark(mark, "peer");
     }
     if let Some(head) = taken.conflicting {
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -80,7 +80,7 @@
     /// Documents that the sender has newer.
     pub(crate) wanted: Vec<Document>,
     /// Marks that are news.
-    pub(crate) marks: Vec<LeavingMark>,
+    pub(crate) new_marks: Vec<LeavingMark>,
     /// Whether an order changed.
     pub(crate) has_new_orders: bool,
     /// Suspects of which something is news.
@@ -275,7 +275,7 @@
             }
         }
         let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
-        ExchangeOutcome { wanted: self.wanted(exchange), marks, has_new_orders, suspects, conflicting: seen }
+        ExchangeOutcome { wanted: self.wanted(exchange), new_marks: marks, has_new_orders, suspects, conflicting: seen }
     }
 
     /// Whether a mark of a peer is about a target that is known here. A discovered target
