--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -268,7 +268,7 @@
         shared.peer_exchange_due.notify_one();
     }
     shared.merge_rate_limits(&exchange.rate_limits);
-    for fingerprint in &taken.suspects {
+    for fingerprint in &taken.new_suspects {
         log_verdict(shared, *fingerprint, "peer");
     }
     taken.wanted
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -84,7 +84,7 @@
     /// Whether an order changed.
     pub(crate) has_new_orders: bool,
     /// Suspects of which something is news.
-    pub(crate) suspects: Vec<Fingerprint>,
+    pub(crate) new_suspects: Vec<Fingerprint>,
     /// Other content that the sender runs under the revision in force here.
     pub(crate) conflicting: Option<Head>,
 }
@@ -275,7 +275,7 @@
             }
         }
         let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
-        ExchangeOutcome { wanted: self.wanted(exchange), new_marks: marks, has_new_orders, suspects, conflicting: seen }
+        ExchangeOutcome { wanted: self.wanted(exchange), new_marks: marks, has_new_orders, new_suspects: suspects, conflicting: seen }
     }
 
     /// Whether a mark of a peer is about a target that is known here. A discovered target
