--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -271,5 +271,5 @@
     for fingerprint in &taken.new_suspects {
         log_verdict(shared, *fingerprint, "peer");
     }
-    taken.wanted
+    taken.wanted_documents
 }
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -78,7 +78,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ExchangeOutcome {
     /// Documents that the sender has newer.
-    pub(crate) wanted: Vec<Document>,
+    pub(crate) wanted_documents: Vec<Document>,
     /// Marks that are news.
     pub(crate) new_marks: Vec<LeavingMark>,
     /// Whether an order changed.
@@ -275,7 +275,7 @@
             }
         }
         let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
-        ExchangeOutcome { wanted: self.wanted(exchange), new_marks: marks, has_new_orders, new_suspects: suspects, conflicting: seen }
+        ExchangeOutcome { wanted_documents: self.wanted(exchange), new_marks: marks, has_new_orders, new_suspects: suspects, conflicting: seen }
     }
 
     /// Whether a mark of a peer is about a target that is known here. A discovered target
