--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -256,7 +256,7 @@
     for mark in &taken.new_marks {
         shared.apply_mark(mark, "peer");
     }
-    if let Some(head) = taken.conflicting {
+    if let Some(head) = taken.conflicting_head {
         counter!(metric::DOCUMENTS_REFUSED, "offer" => "conflicting").increment(1);
         error!("document_conflicting", kv: {
             document = "configuration",
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -86,7 +86,7 @@
     /// Suspects of which something is news.
     pub(crate) new_suspects: Vec<Fingerprint>,
     /// Other content that the sender runs under the revision in force here.
-    pub(crate) conflicting: Option<Head>,
+    pub(crate) conflicting_head: Option<Head>,
 }
 
 impl Fleet {
@@ -275,7 +275,7 @@
             }
         }
         let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
-        ExchangeOutcome { wanted_documents: self.wanted(exchange), new_marks: marks, has_new_orders, new_suspects: suspects, conflicting: seen }
+        ExchangeOutcome { wanted_documents: self.wanted(exchange), new_marks: marks, has_new_orders, new_suspects: suspects, conflicting_head: seen }
     }
 
     /// Whether a mark of a peer is about a target that is known here. A discovered target
