--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -213,7 +213,7 @@
     /// targets that served before are kept although it does not list them: it may have
     /// forgotten them meanwhile, and those that live are listed again soon. Returns how many
     /// are kept.
-    pub(crate) fn take_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
+    pub(crate) fn adopt_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
         let before = self.discovery.take().filter(|_| self.readers.is_just_back(now));
         let Some(before) = before else {
             self.listed = None;
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -60,7 +60,7 @@
         let (offer, adopted) = fleet.offer_targets(published, now);
         if let Some(discovery) = adopted {
             log_left_out(fleet.discovery.as_ref(), &discovery);
-            let kept = fleet.take_discovery(discovery, now);
+            let kept = fleet.adopt_discovery(discovery, now);
             if kept > 0 {
                 info!("targets_kept", kv: { kept, revision: = published.head().revision });
             }
