--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -227,7 +227,7 @@
     }
 
     /// Drops kept targets that were not listed again in time. Returns whether there were any.
-    pub(crate) fn drop_kept(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn drop_kept_targets(&mut self, now: Timestamp) -> bool {
         if self.readers.is_just_back(now) {
             return false;
         }
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -80,7 +80,7 @@
     /// Drops targets that were kept after an outage of the source and not listed again.
     pub(crate) fn drop_kept_targets(&self, now: Timestamp) {
         let mut fleet = self.fleet.lock();
-        if fleet.drop_kept(now) {
+        if fleet.drop_kept_targets(now) {
             info!("kept_targets_dropped");
             self.put_in_force(&mut fleet, now);
         }
