--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -160,7 +160,7 @@
     let passed_on = {
         let mut fleet = shared.fleet.lock();
         let SourceHeartbeat { reader, is_answered, heads, .. } = heartbeat;
-        let is_due = fleet.passing_on.is_due(*is_answered, *heads, now);
+        let is_due = fleet.news_forwarding.is_due(*is_answered, *heads, now);
         fleet.readers.heard(reader, *is_answered, now);
         let own = fleet.members.own();
         (heartbeat.data_hall != own.data_hall && is_due).then(|| {
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -56,7 +56,7 @@
     discovery_reader: DiscoveryReader,
     pub(crate) readers: Readers,
     /// News of readers that was passed on within the data hall.
-    pub(crate) passing_on: PassingOn<Heads>,
+    pub(crate) news_forwarding: PassingOn<Heads>,
     /// The configuration in force, without discovered targets.
     pub(crate) base: Option<Configuration>,
     /// The discovered targets in force: those listed, and those kept for a moment.
@@ -109,7 +109,7 @@
             targets: Adoption::default(),
             discovery_reader: DiscoveryReader::default(),
             readers: Readers::new(settings.vm.clone(), settings.processor_share, now),
-            passing_on: PassingOn::default(),
+            news_forwarding: PassingOn::default(),
             base: None,
             discovery: None,
             listed: None,
