--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -58,7 +58,7 @@
     /// News of readers that was passed on within the data hall.
     pub(crate) news_forwarding: PassingOn<Heads>,
     /// The configuration in force, without discovered targets.
-    pub(crate) base: Option<Configuration>,
+    pub(crate) base_configuration: Option<Configuration>,
     /// The discovered targets in force: those listed, and those kept for a moment.
     pub(crate) discovery: Option<Discovery>,
     /// The discovered targets as listed, while others are kept beside them.
@@ -110,7 +110,7 @@
             discovery_reader: DiscoveryReader::default(),
             readers: Readers::new(settings.vm.clone(), settings.processor_share, now),
             news_forwarding: PassingOn::default(),
-            base: None,
+            base_configuration: None,
             discovery: None,
             listed: None,
             election: WatchElection::new(settings.vm.clone(), boot),
@@ -290,7 +290,7 @@
         };
         let is_named = |target: &Target| target.name == mark.target;
         let is_discovered = discovery.targets.iter().any(|found| is_named(&found.target));
-        let services = self.base.iter().flat_map(|base| &base.services);
+        let services = self.base_configuration.iter().flat_map(|base| &base.services);
         is_discovered || services.flat_map(|service| &service.targets).any(is_named)
     }
 
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -40,7 +40,7 @@
         let mut fleet = self.fleet.lock();
         let (offer, adopted) = fleet.configuration.offer(published, now, Configuration::parse);
         if let Some(configuration) = adopted {
-            fleet.base = Some(configuration);
+            fleet.base_configuration = Some(configuration);
             self.put_in_force(&mut fleet, now);
         }
         let rejection = fleet.configuration.rejection().map(|rejection| rejection.mistakes.clone());
@@ -99,7 +99,7 @@
     /// Under the fleet's lock, so that routings replace each other in the order of their
     /// revisions.
     fn put_in_force(&self, fleet: &mut Fleet, now: Timestamp) {
-        let configuration = match (&fleet.base, &fleet.discovery) {
+        let configuration = match (&fleet.base_configuration, &fleet.discovery) {
             (None, _) => return,
             (Some(_), None) if self.discovers => return,
             (Some(base), None) => base.clone(),
