--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -139,7 +139,7 @@
     }
 
     /// A target said here that it is leaving.
-    pub(crate) fn note_leaving(&self, mark: &LeavingMark, source: &str) {
+    pub(crate) fn record_leaving(&self, mark: &LeavingMark, source: &str) {
         let is_news = self.fleet.lock().add_mark(mark);
         if is_news {
             self.apply_mark(mark, source);
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -254,7 +254,7 @@
 
     fn learn(&mut self, observation: Observation) {
         if let Some(mark) = self.grant.record_observation(observation) {
-            self.shared.note_leaving(&mark, "answer");
+            self.shared.record_leaving(&mark, "answer");
         }
     }
 
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -214,7 +214,7 @@
         return false;
     };
     if let Some(mark) = group.record_probe(&destination.name, report) {
-        shared.note_leaving(&mark, "probe");
+        shared.record_leaving(&mark, "probe");
     }
     true
 }
--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -149,7 +149,7 @@
     if let Ok(Some(report)) = answer
         && let Some(mark) = service.record_probe(&destination.name, report)
     {
-        shared.note_leaving(&mark, "probe");
+        shared.record_leaving(&mark, "probe");
     }
     let subject = Subject { service: service.name().clone(), target: destination.name };
     Ended { subject, spent }
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -56,7 +56,7 @@
         if statements.is_leaving
             && let Some(mark) = self.grant().mark_leaving()
         {
-            self.shared().note_leaving(&mark, "answer");
+            self.shared().record_leaving(&mark, "answer");
         }
     }
 
