--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -174,7 +174,7 @@
         }
         let response = forwarded?;
         if response.status().is_success() {
-            forward.kind.metrics.learn_answer(response.body().size_hint().lower());
+            forward.kind.metrics.record_answer_bytes(response.body().size_hint().lower());
         }
         let (mut parts, body) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -84,7 +84,7 @@
     }
 
     /// An answer of this length was passed on.
-    pub(crate) fn learn_answer(&self, bytes: u64) {
+    pub(crate) fn record_answer_bytes(&self, bytes: u64) {
         let before = self.answer_bytes.load(Ordering::Relaxed);
         let mean = if before == 0 {
             bytes
