--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -264,7 +264,7 @@
         let request_id = self.request_id.to_str().unwrap_or_default();
         let kind = self.kind.as_ref().map_or("", |kind| kind.kind.name.as_str());
         if let Some(kind) = &self.kind {
-            kind.metrics.seconds.record(taken);
+            kind.metrics.duration_seconds.record(taken);
             match answered {
                 Ok(_) => kind.metrics.answered.add_one(),
                 Err(failure) => kind.metrics.outcome(failure.outcome).add_one(),
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -56,7 +56,7 @@
     failed: ReadableCounter,
     pub(crate) retries: ReadableCounter,
     pub(crate) waited: ReadableCounter,
-    pub(crate) seconds: Histogram,
+    pub(crate) duration_seconds: Histogram,
     /// Length of answers in the mean, in bytes.
     answer_bytes: AtomicU64,
     /// How long callers usually wait.
@@ -77,7 +77,7 @@
             failed: result("failed"),
             retries: ReadableCounter::new(counter!(metric::RETRIES, "kind" => name.clone())),
             waited: ReadableCounter::new(counter!(metric::WAITED, "kind" => name.clone())),
-            seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
+            duration_seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
             answer_bytes: AtomicU64::new(0),
             patience: Mutex::default(),
         })
