--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -267,7 +267,7 @@
             kind.metrics.duration_seconds.record(taken);
             match answered {
                 Ok(_) => kind.metrics.answered.add_one(),
-                Err(failure) => kind.metrics.outcome(failure.outcome).add_one(),
+                Err(failure) => kind.metrics.failure_counter(failure.outcome).add_one(),
             }
         }
         let taken_us = taken.as_micros() as u64;
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -100,7 +100,7 @@
         u32::try_from(kib).unwrap_or(u32::MAX)
     }
 
-    pub(crate) fn outcome(&self, outcome: Outcome) -> &ReadableCounter {
+    pub(crate) fn failure_counter(&self, outcome: Outcome) -> &ReadableCounter {
         match outcome {
             Outcome::NotRun => &self.not_run,
             Outcome::Unknown => &self.unknown,
