--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -187,8 +187,16 @@
             AllocatorHandle::Remote(place) => Some(place.vm.clone()),
         };
         let AcquireRequest { service, group, may_redirect, is_first_choice, priority, .. } = wanted;
-        let AcquireRequest { deadline, wait, objective, queue_max, answer_kib, tried, excluded, .. } =
-            wanted;
+        let AcquireRequest {
+            deadline,
+            wait,
+            objective,
+            queue_max,
+            answer_kib,
+            tried,
+            excluded,
+            ..
+        } = wanted;
         let open = OpenLease {
             service: service.clone(),
             group: group.clone(),
@@ -343,7 +351,9 @@
         };
         match &self.allocating {
             AllocatorHandle::Local(runtime) => runtime.release(self.client.own_holder(), &release),
-            AllocatorHandle::Remote(place) => self.client.send(place.address, Message::Release(release)),
+            AllocatorHandle::Remote(place) => {
+                self.client.send(place.address, Message::Release(release))
+            }
         }
     }
 }
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -14,8 +14,8 @@
 use thymeshift_wire::Datagram;
 use thymeshift_wire::Message;
 
-use crate::allocation_client::LeaseHolder;
 use crate::allocation_client::AllocatorReply;
+use crate::allocation_client::LeaseHolder;
 use crate::control_plane::relay::take_news;
 use crate::control_plane::rooms::take_room;
 use crate::control_plane::source::take_heartbeat;
@@ -78,7 +78,9 @@
         }
         Message::Room(told) => take_room(shared, &sender, &told),
         Message::Waiting(number) => client.deliver_reply(number, AllocatorReply::Waiting),
-        Message::Granted(number, granted) => client.deliver_reply(number, AllocatorReply::Granted(granted)),
+        Message::Granted(number, granted) => {
+            client.deliver_reply(number, AllocatorReply::Granted(granted))
+        }
         Message::Declined(number) => client.deliver_reply(number, AllocatorReply::Declined),
         Message::Redirected(number, group, allocator) => {
             client.deliver_reply(number, AllocatorReply::Redirected(group, allocator));
--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -147,7 +147,8 @@
     loop {
         let spread = rand::rng().random_range(0.8..1.2);
         let every = exchange_every(&shared);
-        let is_news = timeout(every.mul_f64(spread), shared.peer_exchange_due.notified()).await.is_ok();
+        let is_news =
+            timeout(every.mul_f64(spread), shared.peer_exchange_due.notified()).await.is_ok();
         if is_news {
             exchange_with(&shared, TOLD_AT_ONCE, Breadth::News).await;
         } else {
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -251,7 +251,11 @@
     }
 
     /// Takes in a summary.
-    pub(crate) fn apply_exchange(&mut self, exchange: &Exchange, now: Timestamp) -> ExchangeOutcome {
+    pub(crate) fn apply_exchange(
+        &mut self,
+        exchange: &Exchange,
+        now: Timestamp,
+    ) -> ExchangeOutcome {
         if let Some((sender, others)) = exchange.members.split_first() {
             self.members.answered(&sender.member, now);
             for told in others {
@@ -275,7 +279,13 @@
             }
         }
         let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
-        ExchangeOutcome { wanted_documents: self.wanted(exchange), new_marks: marks, has_new_orders, new_suspects: suspects, conflicting_head: seen }
+        ExchangeOutcome {
+            wanted_documents: self.wanted(exchange),
+            new_marks: marks,
+            has_new_orders,
+            new_suspects: suspects,
+            conflicting_head: seen,
+        }
     }
 
     /// Whether a mark of a peer is about a target that is known here. A discovered target
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -67,7 +67,9 @@
     fn new(kind: &Kind) -> Arc<Self> {
         let name = kind.name.as_str().to_owned();
         let result = |result: &'static str| {
-            ReadableCounter::new(counter!(metric::REQUESTS, "kind" => name.clone(), "result" => result))
+            ReadableCounter::new(
+                counter!(metric::REQUESTS, "kind" => name.clone(), "result" => result),
+            )
         };
         Arc::new(Self {
             accepted: AtomicU64::new(0),
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -33,8 +33,8 @@
 use thymeshift_wire::Release;
 use thymeshift_wire::TargetRateLimit;
 
-use crate::allocation_client::LeaseHolder;
 use crate::allocation_client::AllocatorReply;
+use crate::allocation_client::LeaseHolder;
 use crate::service::ServiceContext;
 use crate::service::SharedGroupReports;
 
@@ -270,7 +270,11 @@
         self.state.lock().dispatcher.set_stopped(is_stopped);
     }
 
-    pub(crate) fn record_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
+    pub(crate) fn record_probe(
+        &self,
+        name: &TargetName,
+        report: LoadReport,
+    ) -> Option<LeavingMark> {
         let now = BootClock.now();
         let mark = self.state.lock().dispatcher.learn_probe(name, report, now);
         // A target whose slow spell is over takes requests that wait.
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -329,7 +329,11 @@
         }
     }
 
-    pub(crate) fn record_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
+    pub(crate) fn record_probe(
+        &self,
+        name: &TargetName,
+        report: LoadReport,
+    ) -> Option<LeavingMark> {
         self.local.lock().dispatcher.learn_probe(name, report, BootClock.now())
     }
 
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -25,13 +25,13 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
+use crate::allocation_client::AcquireRequest;
 use crate::allocation_client::Acquisition;
 use crate::allocation_client::AllocatorHandle;
 use crate::allocation_client::AllocatorReply;
-use crate::allocation_client::AcquireRequest;
-use crate::service::LocalDecision;
 use crate::service::GrantGuard;
 use crate::service::GroupRuntime;
+use crate::service::LocalDecision;
 use crate::service::ServiceRuntime;
 use crate::shared::RankedProcesses;
 use crate::shared::Shared;
@@ -249,7 +249,9 @@
         place: Option<AllocatorAddress>,
     ) -> AllocatorHandle {
         match place {
-            Some(place) if place.vm != *self.context.allocation.vm() => AllocatorHandle::Remote(place),
+            Some(place) if place.vm != *self.context.allocation.vm() => {
+                AllocatorHandle::Remote(place)
+            }
             Some(_) | None => AllocatorHandle::Local(self.local_group(shared, group)),
         }
     }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -248,7 +248,11 @@
 
     /// The contacts of all data halls in the order in which they do a task for the whole fleet;
     /// None is this process.
-    pub(crate) fn ranked_contacts(&self, task: &str, now: Timestamp) -> Vec<Option<AllocatorAddress>> {
+    pub(crate) fn ranked_contacts(
+        &self,
+        task: &str,
+        now: Timestamp,
+    ) -> Vec<Option<AllocatorAddress>> {
         let fleet = self.fleet.lock();
         places_in_order(&fleet, task, fleet.members.contacts(now))
     }
