--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -185,7 +185,7 @@
         if acquire.may_redirect
             && !allocator.knows(key)
             && dispatcher.room(now) == 0
-            && let Some((other, by)) = self.group_reports.lock().take(&self.group, now)
+            && let Some((other, by)) = self.group_reports.lock().reserve_elsewhere(&self.group, now)
         {
             return AllocatorReply::Redirected(other, by);
         }
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -1,8 +1,9 @@
-//! One service while the process runs: who allocates its targets, and its connections.
+//! Runtime state of one service: the local dispatcher, the target groups that this process
+//! allocates, and the connection pool.
 //!
-//! * [`guards`]: what a request holds while it has, or waits for, a target.
-//! * [`group`]: allocating the targets of one group to all processes.
-//! * [`obtain`]: obtaining a target, from an allocator or from the own dispatcher.
+//! * [`guards`]: RAII guards for a granted target and for a queued request.
+//! * [`group`]: allocator of one target group, which grants its targets to all entry processes.
+//! * [`obtain`]: obtains a target for a request from an allocator or from the local dispatcher.
 
 mod group;
 mod guards;
@@ -57,16 +58,16 @@
 pub(crate) use guards::GrantGuard;
 pub(crate) use guards::WaitGuard;
 
-/// Time after the last request for a target within which a group's state tells more than
-/// what the process knows by itself.
+/// Time since the last acquire request for a group during which state dumps show the allocator's
+/// view of the group's targets instead of the local dispatcher's.
 const RECENT_ACQUIRE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a waiting request hears.
+/// Result that ends the wait of a queued request.
 pub(super) type WaitResult = Result<Grant, Refusal>;
-/// What the groups of a service told of themselves, shared by those that are allocated here.
+/// Latest reports of a service's groups, shared by all groups that this process allocates.
 type SharedGroupReports = Arc<Mutex<GroupReports>>;
 
-/// What the groups of a service told of themselves.
+/// Spare capacity and allocator address of each group of a service, as last reported.
 #[derive(Default)]
 struct GroupReports {
     rooms: Rooms,
@@ -74,47 +75,54 @@
 }
 
 impl GroupReports {
-    /// Takes a place in another group than `own`; also returns who allocates it.
-    fn take(&mut self, own: &Group, now: Timestamp) -> Option<(Group, AllocatorAddress)> {
+    /// Reserves one request's capacity in a group other than `own` and returns that group with the
+    /// address of its allocator.
+    fn reserve_elsewhere(
+        &mut self,
+        own: &Group,
+        now: Timestamp,
+    ) -> Option<(Group, AllocatorAddress)> {
         let other = self.rooms.take(own, now, &mut rand::rng())?;
         let allocator = self.allocators.get(&other)?.clone();
         Some((other, allocator))
     }
 }
 
-/// The dispatcher over this process's own requests, with those who wait for its decisions;
-/// under one lock, so that a decision cannot come before its request waits for it.
+/// Dispatcher for the requests of this process alone, with the channels of its queued requests.
+///
+/// One lock guards both, so that the dispatcher cannot decide on a queued request before its channel
+/// is registered.
 struct LocalDispatch {
     dispatcher: Dispatcher<AnyStrategy>,
     waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
 }
 
-/// What all services share.
+/// Handles of the entry process that every service runtime uses.
 #[derive(Clone)]
 pub(crate) struct ServiceContext {
     pub(crate) allocation: Arc<AllocationClient>,
-    /// Rings when a request begins to wait, so that its time limit is watched.
+    /// Wakes the ticker when a request is queued, so that its wait limit is enforced.
     pub(crate) request_queued: Arc<Notify>,
-    /// Rings when a group is asked for a target after a rest, so that its targets are probed.
+    /// Wakes the pace prober when a group receives an acquire request after an idle period.
     pub(crate) group_activated: Arc<Notify>,
-    /// Takes requests for a target that wait until the best targets have been probed.
+    /// Queue of acquire requests that are decided after the best targets have been probed.
     pub(crate) pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
 }
 
-/// What is configured, as far as a service depends on it.
-struct Configured {
+/// Parts of the configuration that a service runtime uses.
+struct ServiceConfiguration {
     configuration: Arc<Configuration>,
     service: Arc<Service>,
     grouping: Grouping,
 }
 
-/// A configured service.
+/// Runtime of one configured service.
 pub(crate) struct ServiceRuntime {
     name: ServiceName,
     own_data_hall: DataHallName,
-    configured: RwLock<Arc<Configured>>,
+    configured: RwLock<Arc<ServiceConfiguration>>,
     local: Mutex<LocalDispatch>,
-    /// Groups that are, or were, allocated here.
+    /// Groups that this process allocates now or allocated before.
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
     group_reports: SharedGroupReports,
     pool: Arc<Pool>,
@@ -122,7 +130,7 @@
     allocators: Mutex<Allocators>,
 }
 
-/// Where a granted request goes.
+/// Target that a request or a probe is sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Destination {
     pub(crate) service: ServiceName,
@@ -131,15 +139,15 @@
     pub(crate) address: SocketAddr,
 }
 
-/// What the own dispatcher decides on a request.
-#[expect(clippy::large_enum_variant, reason = "taken apart where it is made")]
+/// Decision of the local dispatcher on a request.
+#[expect(clippy::large_enum_variant, reason = "matched right where it is returned")]
 pub(crate) enum LocalDecision {
     Send(GrantGuard),
     Wait(WaitGuard),
     Refused(Refusal),
 }
 
-impl Configured {
+impl ServiceConfiguration {
     fn new(configuration: &Arc<Configuration>, service: &Service) -> Arc<Self> {
         Arc::new(Self {
             configuration: configuration.clone(),
@@ -163,7 +171,7 @@
     ) -> Arc<Self> {
         let now = BootClock.now();
         let dispatcher = Dispatcher::configured(configuration, service, own_data_hall, now);
-        let configured = Configured::new(configuration, service);
+        let configured = ServiceConfiguration::new(configuration, service);
         Arc::new(Self {
             name: service.name.clone(),
             own_data_hall: own_data_hall.clone(),
@@ -177,7 +185,7 @@
         })
     }
 
-    /// Takes in a new configuration.
+    /// Applies a new configuration to the pool, the local dispatcher and all groups.
     pub(crate) fn update(
         self: &Arc<Self>,
         configuration: &Arc<Configuration>,
@@ -185,7 +193,7 @@
         own_data_hall: &DataHallName,
     ) {
         let now = BootClock.now();
-        let configured = Configured::new(configuration, service);
+        let configured = ServiceConfiguration::new(configuration, service);
         self.pool.set_share(configured.connection_share());
         *self.configured.write() = configured;
         self.local.lock().dispatcher.reconfigure(configuration, service, own_data_hall, now);
@@ -199,7 +207,7 @@
         &self.name
     }
 
-    fn configured(&self) -> Arc<Configured> {
+    fn configured(&self) -> Arc<ServiceConfiguration> {
         self.configured.read().clone()
     }
 
@@ -211,15 +219,17 @@
         &self.pool
     }
 
-    /// The groups that are, or were, allocated here.
+    /// Returns the groups that this process allocates now or allocated before.
     pub(crate) fn groups(&self) -> Vec<Arc<GroupRuntime>> {
         self.groups.lock().values().cloned().collect()
     }
 
-    /// A group to allocate here. It begins with what its earlier allocator told.
+    /// Returns the allocator of `group` in this process, which is created if needed.
+    ///
+    /// A new one starts with the target concurrency that the previous allocator reported.
     pub(crate) fn group(&self, group: &Group) -> Arc<GroupRuntime> {
-        // Not under the lock below: whoever works out the order of allocators takes others.
-        let told = self.allocators.lock().known_concurrency(group);
+        // Read before `groups` is locked: ranking the allocators takes further locks.
+        let concurrency = self.allocators.lock().known_concurrency(group);
         let mut groups = self.groups.lock();
         if let Some(known) = groups.get(group) {
             return known.clone();
@@ -233,26 +243,26 @@
             self.group_reports.clone(),
             self.context.clone(),
         );
-        if let Some(number) = told {
-            runtime.adopt_concurrency(number);
+        if let Some(concurrency) = concurrency {
+            runtime.adopt_concurrency(concurrency);
         }
         groups.insert(group.clone(), runtime.clone());
         runtime
     }
 
-    /// The groups that the targets are divided into.
+    /// Returns all groups that the service's targets are divided into.
     pub(crate) fn target_groups(&self) -> Vec<Group> {
         self.configured().grouping.iter().cloned().collect()
     }
 
-    /// A group told its room.
-    pub(crate) fn record_group_room(&self, told: &GroupRoom) {
+    /// Records the spare capacity that a group reported, with the address of its allocator.
+    pub(crate) fn record_group_room(&self, report: &GroupRoom) {
         let mut groups = self.group_reports.lock();
-        groups.rooms.learn(told.group.clone(), told.room, BootClock.now());
-        groups.allocators.insert(told.group.clone(), told.allocator.clone());
+        groups.rooms.learn(report.group.clone(), report.room, BootClock.now());
+        groups.allocators.insert(report.group.clone(), report.allocator.clone());
     }
 
-    /// Asks this process's own dispatcher for a target.
+    /// Requests a target from the local dispatcher and queues the request if none is free.
     pub(crate) fn admit(
         self: &Arc<Self>,
         request: Request,
@@ -273,7 +283,7 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a caller's request towards the retry budget.
     pub(crate) fn count_received(&self) {
         self.local.lock().dispatcher.received();
     }
@@ -286,13 +296,15 @@
         self.local.lock().dispatcher.try_retry()
     }
 
-    /// Whether requests wait here, of this process or of others.
+    /// Returns whether any request of this or another process is queued in this process.
     pub(crate) fn has_waiting(&self) -> bool {
         self.local.lock().dispatcher.has_waiting()
             || self.groups().iter().any(|group| group.has_waiting())
     }
 
-    /// Must run every few tens of milliseconds while requests wait. Returns a pause of this process.
+    /// Ends expired waits and leases; must run every few tens of milliseconds while requests are queued.
+    ///
+    /// Returns the longest pause of this process that the dispatchers detected.
     pub(crate) fn tick(&self, now: Timestamp) -> Option<Duration> {
         let gap = self.local.lock().dispatcher.tick(now);
         self.wake_waiting(now);
@@ -337,7 +349,7 @@
         self.local.lock().dispatcher.learn_probe(name, report, BootClock.now())
     }
 
-    /// What this process knows of its targets' limits.
+    /// Returns the rate limits of targets that this process knows, to be sent to peers.
     pub(crate) fn rate_limits(&self, now: Timestamp) -> Vec<TargetRateLimit> {
         let known = self.local.lock().dispatcher.rate_limits(now);
         let service = &self.name;
@@ -350,7 +362,7 @@
         known.into_iter().map(limit).collect()
     }
 
-    /// Learns what a peer knows of a target's limit.
+    /// Merges a target's rate limit that a peer sent.
     pub(crate) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
         self.local.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
@@ -359,12 +371,12 @@
         }
     }
 
-    /// Whether a target has asked this process for a backoff.
+    /// Returns whether the target is in a backoff that it requested from this process.
     pub(crate) fn is_backing_off(&self, name: &TargetName) -> bool {
         self.local.lock().dispatcher.is_backing_off(name, BootClock.now())
     }
 
-    /// A target asked this process for a backoff when it was probed.
+    /// Starts the backoff that a target requested in its answer to a probe.
     pub(crate) fn back_off_probed(&self, name: &TargetName, wait: Duration) {
         let wait = wait.min(self.settings().backoff_max());
         self.local.lock().dispatcher.back_off_probed(name, wait, BootClock.now());
@@ -380,8 +392,8 @@
         Destination { service: self.name.clone(), index: None, name, address }
     }
 
-    /// What this process believes: of targets that it allocates, what it knows as their
-    /// allocator.
+    /// Dumps the service's state: the allocator's view of targets whose group received an acquire
+    /// request within [`RECENT_ACQUIRE_WINDOW`], and the local dispatcher's view of all others.
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
         let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
@@ -402,7 +414,7 @@
         dump
     }
 
-    /// Tells waiting requests what became of them.
+    /// Delivers the local dispatcher's decisions to queued requests.
     fn wake_waiting(&self, now: Timestamp) {
         let LocalDispatch { dispatcher, waiting } = &mut *self.local.lock();
         let rng = &mut rand::rng();
@@ -411,12 +423,12 @@
                 Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            let unheard = match waiting.remove(&ticket) {
+            let undelivered = match waiting.remove(&ticket) {
                 Some(sender) => sender.send(woken).err(),
                 None => Some(woken),
             };
-            // Its caller went away in this very moment.
-            if let Some(Ok(grant)) = unheard {
+            // The request was dropped between the decision and its delivery; the grant is returned.
+            if let Some(Ok(grant)) = undelivered {
                 dispatcher.release(grant, now);
             }
         }
