--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -1,4 +1,4 @@
-//! What a request holds while it has, or waits for, a target.
+//! RAII guards for a granted target and for a place in the local dispatcher's queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 use crate::service::ServiceRuntime;
 use crate::service::WaitResult;
 
-/// A grant that is given back when it is dropped.
+/// Grant of a target; dropping the guard returns the grant to the dispatcher.
 pub(crate) struct GrantGuard {
     service: Arc<ServiceRuntime>,
     grant: Option<Grant>,
-    /// The allocator's count of the same request, if another process chose the target.
+    /// Lease of the same request at the allocator; `None` if the local dispatcher chose the target.
     lease: Option<AllocationLease>,
 }
 
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Who chose the target.
+    /// Returns who chose the target, as logged: `allocator`, or `alone` for the local dispatcher.
     pub(crate) fn obtained_by(&self) -> &'static str {
         if self.lease.is_some() { "allocator" } else { "alone" }
     }
@@ -63,12 +63,14 @@
         self.grant.as_ref().map(Grant::target)
     }
 
-    /// The start of the target that was meant.
+    /// Returns the incarnation of the target that the grant is valid for.
     pub(crate) fn incarnation(&self) -> Option<Incarnation> {
         self.grant.as_ref().map(Grant::incarnation)
     }
 
-    /// To be asked immediately before the first byte.
+    /// Returns whether the request may still be sent; must be called immediately before its first byte.
+    ///
+    /// The target may have started to leave, or the process may have been paused, since the grant.
     pub(crate) fn may_send(&self, deadline: Timestamp) -> bool {
         let Some(grant) = &self.grant else {
             return false;
@@ -76,7 +78,7 @@
         self.service.local.lock().dispatcher.may_send(grant, deadline, BootClock.now())
     }
 
-    /// Learns what an answer stated of the target's limit. Returns whether that is news here.
+    /// Records the rate limit that an answer stated, or its absence. Returns whether it changed.
     pub(crate) fn record_rate_limit(&self, stated: Option<RequestRate>) -> bool {
         let Some(grant) = &self.grant else {
             return false;
@@ -85,7 +87,7 @@
         self.service.local.lock().dispatcher.learn_rate_limit(grant, stated, now)
     }
 
-    /// The target asked this process for a backoff.
+    /// Starts the backoff that the target requested, up to the service's maximum.
     pub(crate) fn back_off(&self, wait: Duration) {
         if let Some(grant) = &self.grant {
             let wait = wait.min(self.service.settings().backoff_max());
@@ -93,12 +95,15 @@
         }
     }
 
-    /// The target said that it leaves. Returns the mark to pass on if that is news here.
+    /// Marks the target as leaving, as its answer announced. Returns the mark to forward to peers if it
+    /// was not known before.
     pub(crate) fn mark_leaving(&self) -> Option<LeavingMark> {
         let grant = self.grant.as_ref()?;
         self.service.local.lock().dispatcher.mark_granted_leaving(grant)
     }
 
+    /// Records the result of an attempt here and in the lease report. Returns a leaving mark to forward
+    /// to peers if the result shows that the target leaves.
     pub(crate) fn record_observation(&mut self, observation: Observation) -> Option<LeavingMark> {
         if let Some(lease) = &mut self.lease {
             lease.observe(observation);
@@ -123,7 +128,7 @@
     }
 }
 
-/// A place in the queue that is given up when it is dropped.
+/// Place in the local dispatcher's queue; dropping the guard cancels the wait.
 pub(crate) struct WaitGuard {
     pub(super) service: Arc<ServiceRuntime>,
     pub(super) ticket: Ticket,
@@ -131,7 +136,7 @@
 }
 
 impl WaitGuard {
-    /// Waits for the decision. None if the service was removed meanwhile.
+    /// Waits for the dispatcher's decision. Returns `None` if the service was removed meanwhile.
     pub(crate) async fn decided(mut self) -> Option<Result<GrantGuard, Refusal>> {
         let woken = (&mut self.receiver).await.ok()?;
         Some(woken.map(|grant| GrantGuard::new(&self.service, grant)))
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -1,5 +1,5 @@
-//! Obtaining a target: from the process that allocates a group of the service's targets, or,
-//! where there is none that answers, from the own dispatcher.
+//! Obtains a target for a request from the process that allocates a group of the service's targets,
+//! or from the local dispatcher if no allocator replies.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -36,39 +36,45 @@
 use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
-/// Longest wait for an allocator's first word.
-const FIRST_WORD_LIMIT: Duration = Duration::from_millis(25);
-/// How much later than the end of its wait an allocator's last word may come.
-const LAST_WORD_SLACK: Duration = Duration::from_millis(25);
-/// Allocators of one group asked for one request.
-const ALLOCATORS_ASKED_MAX: usize = 2;
-/// Grants of one allocator that are given back, one after the other, since it did not know what their
-/// targets have said: each tells it of one.
+/// Time limit for an allocator's first reply to an acquire request.
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(25);
+/// Extra time after a request's wait limit in which the allocator's final reply is still accepted.
+const FINAL_REPLY_GRACE: Duration = Duration::from_millis(25);
+/// Maximum number of allocators of one group that a request is sent to, one after the other.
+const ALLOCATORS_TRIED_MAX: usize = 2;
+/// Maximum number of grants that a request returns to one allocator because the allocator did not know
+/// of a target's leaving mark, backoff or rate limit. Each returned grant reports this for one target.
 const STALE_GRANTS_MAX: usize = 4;
-/// How long the order of allocators is kept before it is worked out anew, unless members
-/// change. One that is gone is noticed by its silence.
-const ORDER_KEPT: Duration = Duration::from_secs(1);
+/// Time for which the ranked allocators of a group are cached while the fleet's members do not change.
+/// An allocator that fails in this time is detected by its missing replies.
+const ORDER_CACHE_TTL: Duration = Duration::from_secs(1);
 
-/// What is known of the allocators of each group.
+/// Cached allocator ranking and reported concurrency of each target group.
 #[derive(Default)]
 pub(super) struct Allocators(HashMap<Group, GroupAllocators>);
 
 #[derive(Default)]
 struct GroupAllocators {
     order: RankedProcesses,
-    made_at: Option<Timestamp>,
-    /// Changes among members that it takes into account.
-    changes: u64,
+    computed_at: Option<Timestamp>,
+    /// Change counter of the fleet's members when `order` was computed.
+    member_changes: u64,
+    /// Most requests that one target serves well at a time, as the allocator last reported.
     concurrency: Option<u32>,
-    /// The part of targets' limits that this process may grant, should it be asked.
+    /// Share of the targets' rate limits that this process may grant if it receives acquire requests.
     rate_share: RateShare,
 }
 
 impl Allocators {
-    fn fresh_order(&self, group: &Group, changes: u64, now: Timestamp) -> Option<RankedProcesses> {
+    fn fresh_order(
+        &self,
+        group: &Group,
+        member_changes: u64,
+        now: Timestamp,
+    ) -> Option<RankedProcesses> {
         let known = self.0.get(group)?;
-        let is_young = known.made_at.is_some_and(|at| now.since(at) < ORDER_KEPT);
-        let is_fresh = is_young && known.changes == changes;
+        let is_young = known.computed_at.is_some_and(|at| now.since(at) < ORDER_CACHE_TTL);
+        let is_fresh = is_young && known.member_changes == member_changes;
         is_fresh.then(|| known.order.clone())
     }
 
@@ -77,44 +83,45 @@
         group: &Group,
         order: RankedProcesses,
         rate_share: RateShare,
-        changes: u64,
+        member_changes: u64,
         now: Timestamp,
     ) {
         let known = self.0.entry(group.clone()).or_default();
         known.order = order;
         known.rate_share = rate_share;
-        known.made_at = Some(now);
-        known.changes = changes;
+        known.computed_at = Some(now);
+        known.member_changes = member_changes;
     }
 
     fn rate_share(&self, group: &Group) -> RateShare {
         self.0.get(group).map_or(RateShare::NONE, |known| known.rate_share)
     }
 
-    /// The most requests that one target of the group serves well at a time, as its allocator
-    /// told last.
+    /// Returns the most requests that one target of the group serves well at a time, as its allocator
+    /// last reported.
     pub(super) fn known_concurrency(&self, group: &Group) -> Option<u32> {
         self.0.get(group)?.concurrency
     }
 }
 
-/// What asking the allocators of one group came to.
-#[expect(clippy::large_enum_variant, reason = "taken apart where it is made")]
-enum Asked {
+/// Result of sending an acquire request to the allocators of one group.
+#[expect(clippy::large_enum_variant, reason = "matched right where it is returned")]
+enum AcquireOutcome {
     Granted(GrantGuard),
     Refused(Refusal),
     Redirected(Group, AllocatorAddress),
-    /// Another process, which is known now, ranks before the one that was asked.
+    /// The contacted process named a member that ranks before it as the allocator; the fleet state now
+    /// includes this member.
     AskInstead,
-    /// The allocator did not know what the target has said of itself: it learns when the grant is
-    /// given back.
+    /// The allocator granted a target without knowing of its leaving mark, backoff or rate limit; the
+    /// release of the lease reports this to the allocator.
     Stale,
-    /// None answered or allocates, or a target was granted that may not be used.
-    Useless,
+    /// No contacted process replied or allocates the group, or the granted target may not be used here.
+    Unusable,
 }
 
 impl ServiceRuntime {
-    /// Obtains a target; waits for one as long as the request allows.
+    /// Obtains a target for a request and waits for a free one until the request's wait limit.
     pub(crate) async fn obtain(
         self: &Arc<Self>,
         shared: &Shared,
@@ -125,10 +132,13 @@
         }
         let has_allocators = self.context.allocation.socket().is_some();
         if has_allocators {
-            match self.ask_groups(shared, &request).await {
-                Asked::Granted(grant) => return Ok(grant),
-                Asked::Refused(refusal) => return Err(Some(refusal)),
-                Asked::Redirected(..) | Asked::AskInstead | Asked::Stale | Asked::Useless => {}
+            match self.acquire_from_groups(shared, &request).await {
+                AcquireOutcome::Granted(grant) => return Ok(grant),
+                AcquireOutcome::Refused(refusal) => return Err(Some(refusal)),
+                AcquireOutcome::Redirected(..)
+                | AcquireOutcome::AskInstead
+                | AcquireOutcome::Stale
+                | AcquireOutcome::Unusable => {}
             }
         }
         let (view, by) =
@@ -147,8 +157,8 @@
         }
     }
 
-    /// Waits while all targets have asked this process for a backoff. Refuses a request that may not
-    /// wait for so long.
+    /// Waits while all targets are in a backoff that they requested from this process. Returns a refusal
+    /// if the request's wait limit ends before the first backoff does.
     async fn wait_out_backoffs(&self, request: &Request) -> Option<Refusal> {
         loop {
             let now = BootClock.now();
@@ -164,103 +174,109 @@
         }
     }
 
-    /// Asks for a target of the own data hall's group, and of another one if that has no
-    /// room.
-    async fn ask_groups(self: &Arc<Self>, shared: &Shared, request: &Request) -> Asked {
+    /// Requests a target of the group of the own data hall, then of another group if the first one has
+    /// no spare capacity or no usable target.
+    async fn acquire_from_groups(
+        self: &Arc<Self>,
+        shared: &Shared,
+        request: &Request,
+    ) -> AcquireOutcome {
         let configured = self.configured();
         let grouping = &configured.grouping;
         let draw = rand::rng().random();
         let first = grouping.first_for(&self.own_data_hall, draw);
-        let (other, by) = match self.ask_group(shared, first, grouping.is_divided(), request).await
-        {
-            Asked::Redirected(other, by) => (other, by),
-            // Whoever allocates the group knows of no target that may be used: its data hall was
-            // drained, and the news has reached it before this process.
-            Asked::Refused(Refusal { reason: Reason::NoTarget, .. })
-                if let Some(other) = grouping.other_than(first, draw) =>
-            {
-                return self.ask_group(shared, other, true, request).await;
-            }
-            asked => return asked,
-        };
-        let wanted = self.wanted(&other, request);
-        let allocating = self.allocating(shared, &other, Some(by));
-        match self.ask(&allocating, wanted, request).await {
-            Asked::Useless | Asked::AskInstead | Asked::Stale => {
-                self.ask_group(shared, first, false, request).await
+        let (other, allocator) =
+            match self.acquire_from_group(shared, first, grouping.is_divided(), request).await {
+                AcquireOutcome::Redirected(other, allocator) => (other, allocator),
+                // The allocator knows of no usable target in the group: the group's data hall has been
+                // drained, and the new configuration reached the allocator before this process.
+                AcquireOutcome::Refused(Refusal { reason: Reason::NoTarget, .. })
+                    if let Some(other) = grouping.other_than(first, draw) =>
+                {
+                    return self.acquire_from_group(shared, other, true, request).await;
+                }
+                outcome => return outcome,
+            };
+        let acquire_request = self.acquire_request(&other, request);
+        let allocator = self.allocator_handle(shared, &other, Some(allocator));
+        match self.acquire_from(&allocator, acquire_request, request).await {
+            AcquireOutcome::Unusable | AcquireOutcome::AskInstead | AcquireOutcome::Stale => {
+                self.acquire_from_group(shared, first, false, request).await
             }
-            asked => asked,
+            outcome => outcome,
         }
     }
 
-    async fn ask_group(
+    async fn acquire_from_group(
         self: &Arc<Self>,
         shared: &Shared,
         group: &Group,
         may_redirect: bool,
         request: &Request,
-    ) -> Asked {
-        let asked = self.ask_in_order(shared, group, may_redirect, true, request).await;
-        match asked {
-            // The process named is known now; whoever is asked then is not to name others.
-            Asked::AskInstead => {
-                self.ask_in_order(shared, group, may_redirect, false, request).await
+    ) -> AcquireOutcome {
+        let outcome = self.acquire_in_order(shared, group, may_redirect, true, request).await;
+        match outcome {
+            // The member that the reply named is now part of the ranking. In the second attempt, no
+            // process may name another member.
+            AcquireOutcome::AskInstead => {
+                self.acquire_in_order(shared, group, may_redirect, false, request).await
             }
-            asked => asked,
+            outcome => outcome,
         }
     }
 
-    async fn ask_in_order(
+    async fn acquire_in_order(
         self: &Arc<Self>,
         shared: &Shared,
         group: &Group,
         may_redirect: bool,
-        may_be_corrected: bool,
+        may_name_other_allocator: bool,
         request: &Request,
-    ) -> Asked {
+    ) -> AcquireOutcome {
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
-        let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !self.context.allocation.is_skipped(&place.vm, now),
+        let is_usable = |process: &&Option<AllocatorAddress>| match process {
+            Some(process) => !self.context.allocation.is_skipped(&process.vm, now),
             None => !shared.is_stopping(),
         };
         let first = order.first().filter(is_usable);
-        for place in order.iter().filter(is_usable).take(ALLOCATORS_ASKED_MAX) {
-            let allocating = self.allocating(shared, group, place.clone());
+        for process in order.iter().filter(is_usable).take(ALLOCATORS_TRIED_MAX) {
+            let allocator = self.allocator_handle(shared, group, process.clone());
             for _ in 0..STALE_GRANTS_MAX {
-                let mut wanted = self.wanted(group, request);
-                wanted.may_redirect = may_redirect;
-                wanted.is_first_choice = may_be_corrected && Some(place) == first;
-                match self.ask(&allocating, wanted, request).await {
-                    Asked::Stale => {}
-                    Asked::Useless => break,
-                    asked => return asked,
+                let mut acquire_request = self.acquire_request(group, request);
+                acquire_request.may_redirect = may_redirect;
+                acquire_request.is_first_choice =
+                    may_name_other_allocator && Some(process) == first;
+                match self.acquire_from(&allocator, acquire_request, request).await {
+                    AcquireOutcome::Stale => {}
+                    AcquireOutcome::Unusable => break,
+                    outcome => return outcome,
                 }
             }
         }
-        Asked::Useless
+        AcquireOutcome::Unusable
     }
 
-    /// How the allocator of a group is asked; None is this process.
-    fn allocating(
+    /// Returns the handle of a group's allocator at `process`; `None` stands for this process.
+    fn allocator_handle(
         self: &Arc<Self>,
         shared: &Shared,
         group: &Group,
-        place: Option<AllocatorAddress>,
+        process: Option<AllocatorAddress>,
     ) -> AllocatorHandle {
-        match place {
-            Some(place) if place.vm != *self.context.allocation.vm() => {
-                AllocatorHandle::Remote(place)
+        match process {
+            Some(process) if process.vm != *self.context.allocation.vm() => {
+                AllocatorHandle::Remote(process)
             }
             Some(_) | None => AllocatorHandle::Local(self.local_group(shared, group)),
         }
     }
 
-    /// A group that this process is asked to allocate, with the part of targets' limits that it
-    /// may grant now.
+    /// Returns the allocator of a group in this process, with its current share of the targets' rate
+    /// limits set.
     pub(crate) fn local_group(&self, shared: &Shared, group: &Group) -> Arc<GroupRuntime> {
         let now = BootClock.now();
-        // Keeps the share as fresh as the order.
+        // Recomputes the rate share if the cached allocator order has expired.
         let _ = self.allocator_order(shared, group, now);
         let share = self.allocators.lock().rate_share(group);
         let runtime = self.group(group);
@@ -268,7 +284,7 @@
         runtime
     }
 
-    fn wanted(&self, group: &Group, request: &Request) -> AcquireRequest {
+    fn acquire_request(&self, group: &Group, request: &Request) -> AcquireRequest {
         let now = BootClock.now();
         let hall = match group {
             Group::All => None,
@@ -286,99 +302,99 @@
             objective: now.until(request.objective),
             queue_max: request.queue_max,
             answer_kib: request.answer_kib,
-            tried: self.names(&request.tried),
+            tried: self.target_names(&request.tried),
             excluded,
         }
     }
 
-    /// The member that ranks before this process as the allocator of a group, and answers as far
-    /// as this process knows: whoever asks here knows less of the fleet.
+    /// Returns the first-ranked allocator of a group if it is another member that is not skipped as
+    /// unresponsive. A process that sent its acquire request here does not know this member yet.
     pub(crate) fn preferred_allocator(&self, shared: &Shared, group: &Group) -> Option<Member> {
         let now = BootClock.now();
         let order = self.allocator_order(shared, group, now);
         let is_usable =
-            |place: &&AllocatorAddress| !self.context.allocation.is_skipped(&place.vm, now);
+            |process: &&AllocatorAddress| !self.context.allocation.is_skipped(&process.vm, now);
         let first = order.first()?.as_ref().filter(is_usable)?;
         shared.fleet.lock().members.find(&first.vm).cloned()
     }
 
-    /// The processes that allocate a group, first choice first; None is this process.
+    /// Returns the ranked allocators of a group, preferred one first; `None` stands for this process.
     pub(crate) fn allocator_order(
         &self,
         shared: &Shared,
         group: &Group,
         now: Timestamp,
     ) -> RankedProcesses {
-        // Not under the lock below: these take the fleet's.
-        let changes = shared.fleet.lock().members.changes();
-        if let Some(order) = self.allocators.lock().fresh_order(group, changes, now) {
+        // Computed before `allocators` is locked, because these calls lock the fleet state.
+        let member_changes = shared.fleet.lock().members.changes();
+        if let Some(order) = self.allocators.lock().fresh_order(group, member_changes, now) {
             return order;
         }
         let order: Arc<[_]> = shared.allocator_order(self.name(), group, now).into();
         let rate_share = shared.allocator_rank(self.name(), group, now).rate_share();
-        self.allocators.lock().keep_order(group, order.clone(), rate_share, changes, now);
+        self.allocators.lock().keep_order(group, order.clone(), rate_share, member_changes, now);
         order
     }
 
-    async fn ask(
+    async fn acquire_from(
         self: &Arc<Self>,
-        allocating: &AllocatorHandle,
-        wanted: AcquireRequest,
+        allocator: &AllocatorHandle,
+        acquire_request: AcquireRequest,
         request: &Request,
-    ) -> Asked {
-        let group = wanted.group.clone();
-        let mut acquisition = self.context.allocation.acquire(allocating, wanted);
-        let mut limit = FIRST_WORD_LIMIT;
+    ) -> AcquireOutcome {
+        let group = acquire_request.group.clone();
+        let mut acquisition = self.context.allocation.acquire(allocator, acquire_request);
+        let mut limit = FIRST_REPLY_TIMEOUT;
         loop {
             match timeout(limit, acquisition.replies.recv()).await {
                 Ok(Some(AllocatorReply::Waiting)) => {
-                    limit = BootClock.now().until(request.wait_until) + LAST_WORD_SLACK;
+                    limit = BootClock.now().until(request.wait_until) + FINAL_REPLY_GRACE;
                 }
                 Ok(Some(AllocatorReply::Granted(granted))) => {
-                    let by = match allocating {
+                    let by = match allocator {
                         AllocatorHandle::Local(_) => "here",
                         AllocatorHandle::Remote(_) => "allocator",
                     };
                     counter!(metric::OBTAINED, "by" => by).increment(1);
-                    return self.take_lease(acquisition, &group, &granted);
+                    return self.accept_lease(acquisition, &group, &granted);
                 }
                 Ok(Some(AllocatorReply::Refused(refusal))) => {
                     acquisition.lease.closed_by_allocator();
-                    return Asked::Refused(refusal);
+                    return AcquireOutcome::Refused(refusal);
                 }
-                Ok(Some(AllocatorReply::Redirected(group, by))) => {
+                Ok(Some(AllocatorReply::Redirected(group, allocator))) => {
                     acquisition.lease.closed_by_allocator();
-                    return Asked::Redirected(group, by);
+                    return AcquireOutcome::Redirected(group, allocator);
                 }
                 Ok(Some(AllocatorReply::AskInstead(_))) => {
                     acquisition.lease.closed_by_allocator();
-                    return Asked::AskInstead;
+                    return AcquireOutcome::AskInstead;
                 }
                 Ok(Some(AllocatorReply::Declined)) => {
                     acquisition.lease.closed_by_allocator();
-                    self.skip_process(allocating);
-                    return Asked::Useless;
+                    self.skip_process(allocator);
+                    return AcquireOutcome::Unusable;
                 }
                 Ok(None) | Err(_) => {
-                    self.skip_process(allocating);
-                    return Asked::Useless;
+                    self.skip_process(allocator);
+                    return AcquireOutcome::Unusable;
                 }
             }
         }
     }
 
-    fn skip_process(&self, allocating: &AllocatorHandle) {
-        if let AllocatorHandle::Remote(place) = allocating {
-            self.context.allocation.skip_process(&place.vm, BootClock.now());
+    fn skip_process(&self, allocator: &AllocatorHandle) {
+        if let AllocatorHandle::Remote(process) = allocator {
+            self.context.allocation.skip_process(&process.vm, BootClock.now());
         }
     }
 
-    fn take_lease(
+    fn accept_lease(
         self: &Arc<Self>,
         mut acquisition: Acquisition,
         group: &Group,
         granted: &Granted,
-    ) -> Asked {
+    ) -> AcquireOutcome {
         let concurrency = Some(granted.concurrency);
         self.allocators.lock().0.entry(group.clone()).or_default().concurrency = concurrency;
         let now = BootClock.now();
@@ -390,20 +406,20 @@
             let is_stale = leaving.is_some() || dispatcher.is_backing_off(&granted.target, now);
             drop(local);
             acquisition.lease.set_leaving(leaving);
-            return if is_stale { Asked::Stale } else { Asked::Useless };
+            return if is_stale { AcquireOutcome::Stale } else { AcquireOutcome::Unusable };
         };
         let is_within_limit = dispatcher.is_within_limit(&grant);
         drop(local);
-        // Dropped, it tells the allocator what this process knows of the limit.
+        // If the guard is dropped, the lease's release reports the known rate limit to the allocator.
         let guard = GrantGuard::new(self, grant).with_lease(acquisition.lease);
         if is_within_limit {
-            return Asked::Granted(guard);
+            return AcquireOutcome::Granted(guard);
         }
         counter!(metric::UNCOUNTED_GRANTS).increment(1);
-        Asked::Stale
+        AcquireOutcome::Stale
     }
 
-    fn names(&self, tried: &Tried) -> Vec<TargetName> {
+    fn target_names(&self, tried: &Tried) -> Vec<TargetName> {
         let local = self.local.lock();
         tried.iter().map(|index| local.dispatcher.name_at(index)).collect()
     }
