--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -1,4 +1,5 @@
-//! Datagrams to other entry processes, and the leases that this process holds.
+//! Client side of target allocation: sends datagrams to other entry processes and tracks the leases that
+//! this process holds.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,41 +38,42 @@
 
 use crate::service::GroupRuntime;
 
-/// How long an allocator that did not answer is passed over the first time; it doubles with
-/// each further one until it answers.
-const PASSED_OVER: Duration = Duration::from_millis(500);
-const DOUBLINGS_MAX: u32 = 4;
-/// Leases named in one message at most; the rest is named by the next.
-const HELD_MAX: usize = 128;
+/// Time for which a process is skipped after its first missing reply; doubles with each further one
+/// until the process replies.
+const SKIP_BASE: Duration = Duration::from_millis(500);
+/// Maximum number of doublings of [`SKIP_BASE`].
+const SKIP_DOUBLINGS_MAX: u32 = 4;
+/// Maximum number of held leases listed in one message; further ones are left out of that message.
+const HELD_LEASES_MAX: usize = 128;
 
-/// The allocator that is asked.
+/// Allocator that an acquire request is sent to.
 #[derive(Clone)]
 pub(crate) enum AllocatorHandle {
-    /// This process.
+    /// The group's allocator in this process.
     Local(Arc<GroupRuntime>),
-    /// Another one.
+    /// Datagram address of the allocator in another process.
     Remote(AllocatorAddress),
 }
 
-/// Who holds a lease. A new start of a process is another holder.
+/// Process that holds a lease. A restarted process has a new `boot` and is a different holder.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LeaseHolder {
     pub(crate) vm: VmName,
     pub(crate) boot: Boot,
-    /// Where it hears of its leases; none if it is this process.
+    /// Address that replies are sent to; `None` if the holder is this process.
     pub(crate) address: Option<SocketAddr>,
 }
 
-/// What an allocator answers.
+/// Allocator's reply to an acquire request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum AllocatorReply {
     Waiting,
     Granted(Granted),
     Refused(Refusal),
     Declined,
-    /// To be asked for in another group, and of whom.
+    /// The request should be sent to this allocator of another group, which has spare capacity.
     Redirected(Group, AllocatorAddress),
-    /// This member ranks before the one that was asked.
+    /// The request should be sent to this member, which ranks before the replying process.
     AskInstead(Member),
 }
 
@@ -88,7 +90,7 @@
     }
 }
 
-/// What is asked of an allocator.
+/// Parameters of an acquire request, apart from those that the client adds.
 pub(crate) struct AcquireRequest {
     pub(crate) service: ServiceName,
     pub(crate) group: Group,
@@ -107,18 +109,18 @@
 struct OpenLease {
     service: ServiceName,
     group: Group,
-    /// The allocator; none if it is this process.
+    /// VM of the allocator; `None` if this process is the allocator.
     allocator: Option<VmName>,
     replies: mpsc::UnboundedSender<AllocatorReply>,
 }
 
 impl OpenLease {
-    fn is_of(&self, service: &ServiceName, group: &Group, allocator: Option<&VmName>) -> bool {
+    fn matches(&self, service: &ServiceName, group: &Group, allocator: Option<&VmName>) -> bool {
         self.service == *service && self.group == *group && self.allocator.as_ref() == allocator
     }
 }
 
-/// The datagram socket with what is remembered about allocators.
+/// Datagram socket with the open leases of this process and the processes that it skips.
 pub(crate) struct AllocationClient {
     socket: Option<Arc<UdpSocket>>,
     vm: VmName,
@@ -126,13 +128,13 @@
     boot: Boot,
     next_number: AtomicU64,
     leases: Mutex<HashMap<LeaseNumber, OpenLease>>,
-    passed_over: Mutex<HashMap<VmName, SkippedProcess>>,
+    skipped: Mutex<HashMap<VmName, SkippedProcess>>,
 }
 
-/// An allocator that did not answer.
+/// Skip state of a process that did not reply or declined to allocate.
 struct SkippedProcess {
     until: Timestamp,
-    times: u32,
+    skip_count: u32,
 }
 
 impl AllocationClient {
@@ -149,7 +151,7 @@
             boot,
             next_number: AtomicU64::new(1),
             leases: Mutex::default(),
-            passed_over: Mutex::default(),
+            skipped: Mutex::default(),
         })
     }
 
@@ -157,8 +159,8 @@
         self.socket.as_ref()
     }
 
-    /// Sends a message, or drops it if the socket takes no more: whoever waits for an answer
-    /// has a time limit.
+    /// Sends a message, or drops it if the socket's buffer is full. Dropping is safe because every
+    /// sender that expects a reply has a timeout.
     pub(crate) fn send(&self, to: SocketAddr, message: Message) {
         let Some(socket) = &self.socket else {
             return;
@@ -174,19 +176,20 @@
         counter!(metric::DATAGRAMS, "result" => result).increment(1);
     }
 
-    /// Asks an allocator for a target.
+    /// Sends an acquire request to an allocator and returns the pending lease.
     pub(crate) fn acquire(
         self: &Arc<Self>,
-        allocating: &AllocatorHandle,
-        wanted: AcquireRequest,
+        handle: &AllocatorHandle,
+        acquire_request: AcquireRequest,
     ) -> Acquisition {
         let number = LeaseNumber(self.next_number.fetch_add(1, Ordering::Relaxed));
         let (replies, receiver) = mpsc::unbounded_channel();
-        let allocator = match allocating {
+        let allocator = match handle {
             AllocatorHandle::Local(_) => None,
-            AllocatorHandle::Remote(place) => Some(place.vm.clone()),
+            AllocatorHandle::Remote(process) => Some(process.vm.clone()),
         };
-        let AcquireRequest { service, group, may_redirect, is_first_choice, priority, .. } = wanted;
+        let AcquireRequest { service, group, may_redirect, is_first_choice, priority, .. } =
+            acquire_request;
         let AcquireRequest {
             deadline,
             wait,
@@ -196,7 +199,7 @@
             tried,
             excluded,
             ..
-        } = wanted;
+        } = acquire_request;
         let open = OpenLease {
             service: service.clone(),
             group: group.clone(),
@@ -204,13 +207,13 @@
             replies,
         };
         self.leases.lock().insert(number, open);
-        let held = self.held(&service, &group, allocator.as_ref());
+        let held = self.held_leases(&service, &group, allocator.as_ref());
         let lease = AllocationLease {
             client: self.clone(),
             number,
             service: service.clone(),
             group: group.clone(),
-            allocating: allocating.clone(),
+            handle: handle.clone(),
             report: LeaseReport::default(),
             is_open: true,
         };
@@ -231,9 +234,11 @@
             excluded,
             held,
         };
-        match allocating {
+        match handle {
             AllocatorHandle::Local(runtime) => runtime.acquire(self.own_holder(), acquire),
-            AllocatorHandle::Remote(place) => self.send(place.address, Message::Acquire(acquire)),
+            AllocatorHandle::Remote(process) => {
+                self.send(process.address, Message::Acquire(acquire))
+            }
         }
         Acquisition { lease, replies: receiver }
     }
@@ -242,7 +247,7 @@
         LeaseHolder { vm: self.vm.clone(), boot: self.boot, address: None }
     }
 
-    /// Tells a holder what became of its request.
+    /// Sends the reply to an acquire request to its holder.
     pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: AllocatorReply) {
         match holder.address {
             Some(address) => self.send(address, reply.into_message(number)),
@@ -250,83 +255,84 @@
         }
     }
 
-    /// An allocator answered.
+    /// Passes an allocator's reply to the request that waits for it.
     pub(crate) fn deliver_reply(&self, number: LeaseNumber, reply: AllocatorReply) {
         if let Some(open) = self.leases.lock().get(&number) {
             if let (Some(allocator), false) = (&open.allocator, reply == AllocatorReply::Declined) {
-                self.passed_over.lock().remove(allocator);
+                self.skipped.lock().remove(allocator);
             }
-            // Nobody waits any more if this fails, and the lease is released then.
+            // Fails only if the request was dropped, and then its lease is released.
             let _ = open.replies.send(reply);
         }
     }
 
-    /// Leases that were asked of an allocator for a group and have not ended.
-    fn held(
+    /// Returns the open leases of a group that were requested from `allocator`.
+    fn held_leases(
         &self,
         service: &ServiceName,
         group: &Group,
         allocator: Option<&VmName>,
     ) -> Vec<LeaseNumber> {
         let leases = self.leases.lock();
-        let held = leases.iter().filter(|(_, open)| open.is_of(service, group, allocator));
-        held.map(|(number, _)| *number).take(HELD_MAX).collect()
+        let held = leases.iter().filter(|(_, open)| open.matches(service, group, allocator));
+        held.map(|(number, _)| *number).take(HELD_LEASES_MAX).collect()
     }
 
-    /// This process's VM.
+    /// Returns the name of the VM that this process runs on.
     pub(crate) fn vm(&self) -> &VmName {
         &self.vm
     }
 
-    /// An allocator did not answer, or does not allocate.
-    pub(crate) fn skip_process(&self, allocator: &VmName, now: Timestamp) {
-        debug!("allocator_passed_over", kv: { allocator: = allocator });
-        let mut passed_over = self.passed_over.lock();
-        let first = SkippedProcess { until: now, times: 0 };
-        let entry = passed_over.entry(allocator.clone()).or_insert(first);
-        entry.until = now + PASSED_OVER * 2_u32.pow(entry.times.min(DOUBLINGS_MAX));
-        entry.times += 1;
+    /// Skips a process that did not reply or declined, for a time that doubles with each call.
+    pub(crate) fn skip_process(&self, vm: &VmName, now: Timestamp) {
+        debug!("allocator_passed_over", kv: { allocator: = vm });
+        let mut skipped = self.skipped.lock();
+        let first = SkippedProcess { until: now, skip_count: 0 };
+        let entry = skipped.entry(vm.clone()).or_insert(first);
+        entry.until = now + SKIP_BASE * 2_u32.pow(entry.skip_count.min(SKIP_DOUBLINGS_MAX));
+        entry.skip_count += 1;
     }
 
-    pub(crate) fn is_skipped(&self, allocator: &VmName, now: Timestamp) -> bool {
-        self.passed_over.lock().get(allocator).is_some_and(|entry| now < entry.until)
+    /// Returns whether a process is currently skipped as unresponsive.
+    pub(crate) fn is_skipped(&self, vm: &VmName, now: Timestamp) -> bool {
+        self.skipped.lock().get(vm).is_some_and(|entry| now < entry.until)
     }
 }
 
-/// A request for a target on its way.
+/// Acquire request in progress: its lease and the channel of the allocator's replies.
 pub(crate) struct Acquisition {
     pub(crate) lease: AllocationLease,
     pub(crate) replies: mpsc::UnboundedReceiver<AllocatorReply>,
 }
 
-/// A lease of a target, released when it is dropped.
+/// Lease of a target; dropping it releases the lease at the allocator.
 pub(crate) struct AllocationLease {
     client: Arc<AllocationClient>,
     number: LeaseNumber,
     service: ServiceName,
     group: Group,
-    allocating: AllocatorHandle,
+    handle: AllocatorHandle,
     report: LeaseReport,
     is_open: bool,
 }
 
 impl AllocationLease {
-    /// What this process knows of the target's limit; told to the allocator at the end.
+    /// Sets the target's rate limit known to this process, which the release reports to the allocator.
     pub(crate) fn set_rate_limit(&mut self, known: Option<RateLimitUpdate>) {
         self.report.rate_limit = known;
     }
 
-    /// The incarnation of the target that this process knows to leave; reported at the end.
+    /// Sets the target incarnation known to be leaving, which the release reports to the allocator.
     pub(crate) fn set_leaving(&mut self, incarnation: Option<Incarnation>) {
         self.report.leaving = incarnation;
     }
 
-    /// What the attempt showed; told to the allocator at the end.
+    /// Sets the result of the attempt, which the release reports to the allocator.
     pub(crate) fn observe(&mut self, observation: Observation) {
         self.report.observation = Some(observation);
     }
 
-    /// The allocator ended it itself.
+    /// Drops the lease without sending a release, because the allocator has already closed it.
     pub(crate) fn closed_by_allocator(mut self) {
         self.is_open = false;
     }
@@ -338,21 +344,21 @@
         if !self.is_open {
             return;
         }
-        let allocator = match &self.allocating {
+        let allocator = match &self.handle {
             AllocatorHandle::Local(_) => None,
-            AllocatorHandle::Remote(place) => Some(&place.vm),
+            AllocatorHandle::Remote(process) => Some(&process.vm),
         };
         let release = Release {
             number: self.number,
             service: self.service.clone(),
             group: self.group.clone(),
             report: self.report,
-            held: self.client.held(&self.service, &self.group, allocator),
+            held: self.client.held_leases(&self.service, &self.group, allocator),
         };
-        match &self.allocating {
+        match &self.handle {
             AllocatorHandle::Local(runtime) => runtime.release(self.client.own_holder(), &release),
-            AllocatorHandle::Remote(place) => {
-                self.client.send(place.address, Message::Release(release))
+            AllocatorHandle::Remote(process) => {
+                self.client.send(process.address, Message::Release(release))
             }
         }
     }
