--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -1,7 +1,7 @@
-//! What all tasks of the process share.
+//! State that all tasks of the entry process share.
 //!
-//! * [`in_force`]: the configuration and the targets in force.
-//! * [`rate_limits`]: the limits of targets in need, as processes tell each other.
+//! * [`in_force`]: applies configuration, discovered targets, leaving marks and orders.
+//! * [`rate_limits`]: exchange of rate-limited targets' stated limits between processes.
 
 mod in_force;
 mod rate_limits;
@@ -51,17 +51,17 @@
 use crate::service::ServiceContext;
 use crate::target_client::UnknownHeaders;
 
-/// Log lines about single requests in a second.
-const REQUEST_LINES_PER_S: u64 = 50;
+/// Maximum number of log lines about single requests per second.
+const REQUEST_LOG_LINES_PER_S: u64 = 50;
 
-/// Processes in the order in which they do a task; None is this process.
+/// Processes ranked for a task, preferred one first; `None` stands for this process.
 pub(crate) type RankedProcesses = Arc<[Option<AllocatorAddress>]>;
 
-/// Figures of the process as a whole.
+/// Counters and gauges of the whole process.
 #[derive(Default)]
 pub(crate) struct ProcessMetrics {
     pub(crate) requests_in_flight: AtomicU64,
-    /// Requests begun while one before them on their connection is under way.
+    /// Pipelined requests in progress: started while an earlier request of the same connection runs.
     pub(crate) pipelined_requests: AtomicU64,
     pub(crate) caller_connections: AtomicU64,
     pub(crate) platform_calls: AtomicU64,
@@ -70,47 +70,47 @@
 /// Shared state of an entry process.
 pub(crate) struct Shared {
     settings: RwLock<Arc<Settings>>,
-    /// The file that the settings came from.
+    /// Path of the settings file, if the settings were read from one.
     pub(crate) settings_path: Option<String>,
     pub(crate) boot: Boot,
     pub(crate) started_at: Timestamp,
     pub(crate) metrics: ProcessMetrics,
-    /// Ends waits that a suspension of the VM has made too long.
+    /// Ends waits whose deadline passed while the VM was suspended.
     pub(crate) gaps: Gaps,
     pub(crate) fleet: Mutex<Fleet>,
-    /// Whether there is a configuration in force.
+    /// Whether a configuration is in force.
     pub(crate) has_configuration: watch::Sender<bool>,
     pub(crate) phase: watch::Sender<Phase>,
-    /// Rings when peers should hear something at once.
+    /// Wakes the peer task to exchange state with a few peers at once.
     pub(crate) peer_exchange_due: Notify,
     pub(crate) platform_answered_at: Mutex<Option<Timestamp>>,
     pub(crate) statuses: Statuses,
     pub(crate) links: Links,
     pub(crate) allocation: Arc<AllocationClient>,
     pub(crate) quotas: Quotas,
-    /// Rings when a request begins to wait.
+    /// Wakes the ticker when a request is queued.
     pub(crate) request_queued: Arc<Notify>,
-    /// Rings when a group is asked for a target after a rest.
+    /// Wakes the pace prober when a group receives an acquire request after an idle period.
     pub(crate) group_activated: Arc<Notify>,
     pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
-    /// Requests for a target that wait until the best targets have been probed.
+    /// Acquire requests that are decided after the best targets have been probed.
     pub(crate) pending_acquires_receiver: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
     pub(crate) unknown_headers: UnknownHeaders,
-    /// Bounds the log lines about single requests.
+    /// Rate limit of log lines about single requests.
     pub(crate) request_log_budget: LineBudget,
-    /// Whether this process waits for a document from the one above it in its data hall.
+    /// Whether this process waits for a document from its parent in the data hall's relay tree.
     pub(crate) is_awaiting_relay: AtomicBool,
-    /// Whether this process rests before it fetches a list of targets.
+    /// Whether this process waits for [`Shared::list_fetch_delay`] before it fetches a list of targets.
     pub(crate) is_list_fetch_delayed: AtomicBool,
     pub(crate) list_pace: Mutex<ListPace>,
     crashes_reported: AtomicU64,
-    /// Limits of targets told to peers so far, for taking turns.
+    /// Number of rate limits sent to peers so far; selects which limits the next message holds.
     rate_limits_cursor: AtomicUsize,
-    /// Whether targets are discovered apart from the configuration.
-    discovers: bool,
+    /// Whether targets are discovered separately from the configuration.
+    has_discovery: bool,
     pub(crate) metrics_text: MetricsText,
     routing: RwLock<Option<Arc<Routing>>>,
-    /// Data halls that are drained by orders, as far as the routing takes them into account.
+    /// Data halls drained by orders when the current routing was built.
     drained_by_order: Mutex<Vec<DataHallName>>,
 }
 
@@ -120,7 +120,7 @@
         settings_path: Option<String>,
         boot: Boot,
         socket: Option<Arc<UdpSocket>>,
-        discovers: bool,
+        has_discovery: bool,
         metrics_text: MetricsText,
     ) -> Arc<Self> {
         let (pending_acquires, pending_acquires_receiver) = mpsc::unbounded_channel();
@@ -138,13 +138,13 @@
             unknown_headers: UnknownHeaders::default(),
             request_queued: Arc::default(),
             group_activated: Arc::default(),
-            request_log_budget: LineBudget::new(REQUEST_LINES_PER_S),
+            request_log_budget: LineBudget::new(REQUEST_LOG_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
             is_list_fetch_delayed: AtomicBool::new(false),
             list_pace: Mutex::default(),
             crashes_reported: AtomicU64::new(0),
             rate_limits_cursor: AtomicUsize::new(0),
-            discovers,
+            has_discovery,
             settings_path,
             settings: RwLock::new(Arc::new(settings)),
             boot,
@@ -172,35 +172,36 @@
         }
     }
 
-    /// Whether a log line about a single request may be written now.
+    /// Returns whether a log line about a single request may be written now, and counts it.
     pub(crate) fn allows_request_log_line(&self) -> bool {
         self.request_log_budget.allows(BootClock.now().as_micros())
     }
 
-    /// How long this process rests before it takes in another list of targets.
+    /// Returns how long this process waits before it applies another list of targets.
     pub(crate) fn list_fetch_delay(&self) -> Duration {
         self.list_pace.lock().rest(BootClock.now())
     }
 
-    /// Numbers the reports of crashed targets that this process makes.
+    /// Returns the sequence number of this process's next report of a crashed target.
     pub(crate) fn next_crash_number(&self) -> u64 {
         self.crashes_reported.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub(crate) fn settings(&self) -> Arc<Settings> {
         self.settings.read().clone()
     }
 
-    /// Takes in settings that were read again. Addresses listened on stay as they are.
+    /// Applies reloaded settings. Listeners stay bound to their current addresses.
     pub(crate) fn set_settings(&self, settings: Settings) {
         self.fleet.lock().members.set_hints(settings.peers.clone());
         *self.settings.write() = Arc::new(settings);
     }
 
-    /// The processes in the order in which they allocate a group of `service`'s targets; None
-    /// is this process. A data hall's group is allocated within the hall, if it has processes,
-    /// another group by the contacts of all halls.
+    /// Returns the ranked allocators of a group of `service`'s targets; `None` stands for this process.
+    ///
+    /// A data hall's group is allocated by the serving processes of that hall. If there are none, and for
+    /// the group of all targets, the contacts of all data halls are ranked.
     pub(crate) fn allocator_order(
         &self,
         service: &ServiceName,
@@ -215,10 +216,10 @@
         if eligible.is_empty() {
             eligible = fleet.members.contacts(now);
         }
-        places_in_order(&fleet, &allocator_task(service, group), eligible)
+        ranked_addresses(&fleet, &allocator_task(service, group), eligible)
     }
 
-    /// Where this process stands among those that may allocate a group of `service`'s targets.
+    /// Returns the rank of this process among the possible allocators of a group of `service`'s targets.
     pub(crate) fn allocator_rank(
         &self,
         service: &ServiceName,
@@ -226,38 +227,39 @@
         now: Timestamp,
     ) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let of_hall = match group {
+        let hall_reach = match group {
             Group::All => None,
             Group::Hall(hall) => Some(fleet.members.reach_in(hall, now)),
         };
-        // The processes of a hall that none is heard of may still allocate its group there.
-        let is_hall_silent =
-            of_hall.as_ref().is_some_and(|reach| reach.heard.is_empty() && reach.known > 0);
-        let reach = of_hall.filter(|reach| !reach.heard.is_empty());
+        // Unreachable processes of a hall may still allocate the hall's group, so they count as one
+        // process that ranks before this one.
+        let is_hall_unreachable =
+            hall_reach.as_ref().is_some_and(|reach| reach.heard.is_empty() && reach.known > 0);
+        let reach = hall_reach.filter(|reach| !reach.heard.is_empty());
         let reach = reach.unwrap_or_else(|| fleet.members.reach(now));
         let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
-        AllocatorRank { before: rank.before + usize::from(is_hall_silent), ..rank }
+        AllocatorRank { before: rank.before + usize::from(is_hall_unreachable), ..rank }
     }
 
-    /// Where this process stands among those that do a task for the whole fleet.
+    /// Returns the rank of this process among all processes for a fleet-wide task.
     pub(crate) fn rank_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
         let fleet = self.fleet.lock();
         let reach = fleet.members.reach(now);
         rank_in(&fleet, task, &reach)
     }
 
-    /// The contacts of all data halls in the order in which they do a task for the whole fleet;
-    /// None is this process.
+    /// Returns the contacts of all data halls ranked for a fleet-wide task; `None` stands for this
+    /// process.
     pub(crate) fn ranked_contacts(
         &self,
         task: &str,
         now: Timestamp,
     ) -> Vec<Option<AllocatorAddress>> {
         let fleet = self.fleet.lock();
-        places_in_order(&fleet, task, fleet.members.contacts(now))
+        ranked_addresses(&fleet, task, fleet.members.contacts(now))
     }
 
-    /// The configuration in force, joined with what runs.
+    /// Returns the routing of the configuration in force, if there is one.
     pub(crate) fn routing(&self) -> Option<Arc<Routing>> {
         self.routing.read().clone()
     }
@@ -274,15 +276,16 @@
         self.phase() == Phase::Stopping
     }
 
-    /// Tells the own data hall what this process says of itself now: until all
-    /// of the hall know of a start or a stop, two processes may allocate the same targets.
+    /// Announces the current phase to all processes of the own data hall. Until all of them know of a
+    /// start or a stop, two processes may allocate the same targets.
     pub(crate) fn announce_phase(&self) {
         let (member, addresses) = {
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
             fleet.members.beat(self.phase(), revision);
-            let near = fleet.members.neighbours(BootClock.now());
-            let addresses: Vec<_> = near.filter_map(|member| member.datagram_address).collect();
+            let neighbours = fleet.members.neighbours(BootClock.now());
+            let addresses: Vec<_> =
+                neighbours.filter_map(|member| member.datagram_address).collect();
             (fleet.members.own().clone(), addresses)
         };
         for address in addresses {
@@ -298,24 +301,24 @@
     AllocatorRank { before, heard: reach.heard.len(), known: reach.known }
 }
 
-/// What processes are ranked for as allocators of a group.
+/// Returns the task string that the processes are ranked by as allocators of a group.
 fn allocator_task(service: &ServiceName, group: &Group) -> String {
     format!("allocate {service}/{group}")
 }
 
-/// Members in the order in which they do a task, with where they are reached; None is this process.
-fn places_in_order(
+/// Returns the datagram addresses of `eligible` members ranked for a task; `None` stands for this process.
+fn ranked_addresses(
     fleet: &Fleet,
     task: &str,
     eligible: Vec<&Member>,
 ) -> Vec<Option<AllocatorAddress>> {
     let own = fleet.members.own();
-    let place = |vm: &VmName| {
+    let address_of = |vm: &VmName| {
         let address = fleet.members.find(vm)?.datagram_address?;
         Some(AllocatorAddress { vm: vm.clone(), address })
     };
     ranked(task, eligible.into_iter().map(Member::contender))
         .into_iter()
-        .filter_map(|vm| if *vm == own.vm { Some(None) } else { place(vm).map(Some) })
+        .filter_map(|vm| if *vm == own.vm { Some(None) } else { address_of(vm).map(Some) })
         .collect()
 }
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -1,5 +1,5 @@
-//! What is in force at this process: documents from any source, joined with what the fleet knows
-//! of leaving targets and with operators' orders.
+//! State in force at this process: the configuration and the discovered targets from any source,
+//! combined with the fleet's leaving marks and with operators' orders.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -30,30 +30,30 @@
 use crate::service::ServiceRuntime;
 use crate::shared::Shared;
 
-/// Lines about entries that are left out, for one list.
-const LEFT_OUT_LOGGED_MAX: usize = 10;
+/// Maximum number of log lines about left-out entries for each list of targets.
+const LEFT_OUT_LOG_LINES_MAX: usize = 10;
 
 impl Shared {
-    /// Offers a configuration from any source.
+    /// Adopts a published configuration from any source if it is newer than the one in force.
     pub(crate) fn offer_configuration(&self, published: &Published, source: &str) -> Offer {
         let now = BootClock.now();
         let mut fleet = self.fleet.lock();
         let (offer, adopted) = fleet.configuration.offer(published, now, Configuration::parse);
         if let Some(configuration) = adopted {
             fleet.base_configuration = Some(configuration);
-            self.put_in_force(&mut fleet, now);
+            self.rebuild_routing(&mut fleet, now);
         }
         let rejection = fleet.configuration.rejection().map(|rejection| rejection.mistakes.clone());
         drop(fleet);
         log_offer("configuration", offer, published, source, rejection);
         if offer == Offer::Adopted {
             gauge!(metric::REVISION).set(published.head().revision.as_u64() as f64);
-            self.pass_on();
+            self.announce_document();
         }
         offer
     }
 
-    /// Offers discovered targets from any source.
+    /// Adopts a published list of discovered targets from any source if it is newer than the one in force.
     pub(crate) fn offer_targets(&self, published: &Published, source: &str) -> Offer {
         let now = BootClock.now();
         let mut fleet = self.fleet.lock();
@@ -64,7 +64,7 @@
             if kept > 0 {
                 info!("targets_kept", kv: { kept, revision: = published.head().revision });
             }
-            self.put_in_force(&mut fleet, now);
+            self.rebuild_routing(&mut fleet, now);
         }
         let rejection = fleet.targets.rejection().map(|rejection| rejection.mistakes.clone());
         drop(fleet);
@@ -72,23 +72,23 @@
         if offer == Offer::Adopted {
             let ended = BootClock.now();
             self.list_pace.lock().taken(ended.since(now), ended);
-            self.pass_on();
+            self.announce_document();
         }
         offer
     }
 
-    /// Drops targets that were kept after an outage of the source and not listed again.
+    /// Drops targets that were kept after an outage of the source and have not been listed again.
     pub(crate) fn drop_kept_targets(&self, now: Timestamp) {
         let mut fleet = self.fleet.lock();
         if fleet.drop_kept_targets(now) {
             info!("kept_targets_dropped");
-            self.put_in_force(&mut fleet, now);
+            self.rebuild_routing(&mut fleet, now);
         }
     }
 
-    /// Tells other processes that there is a new document here: those below in the data hall
-    /// where there are datagrams, else a few peers.
-    fn pass_on(&self) {
+    /// Announces a new document to the children in the data hall's relay tree, or to a few peers if this
+    /// process has no datagram socket.
+    fn announce_document(&self) {
         if self.allocation.socket().is_some() {
             tell_below(self);
         } else {
@@ -96,12 +96,14 @@
         }
     }
 
-    /// Under the fleet's lock, so that routings replace each other in the order of their
+    /// Builds a routing from the fleet state and puts it in force.
+    ///
+    /// The caller holds the fleet's lock, so that routings replace each other in the order of their
     /// revisions.
-    fn put_in_force(&self, fleet: &mut Fleet, now: Timestamp) {
+    fn rebuild_routing(&self, fleet: &mut Fleet, now: Timestamp) {
         let configuration = match (&fleet.base_configuration, &fleet.discovery) {
             (None, _) => return,
-            (Some(_), None) if self.discovers => return,
+            (Some(_), None) if self.has_discovery => return,
             (Some(base), None) => base.clone(),
             (Some(base), Some(discovery)) => base.with_discovered(discovery),
         };
@@ -138,7 +140,7 @@
         self.has_configuration.send_replace(true);
     }
 
-    /// A target said here that it is leaving.
+    /// Records that a target announced to this process that it is leaving.
     pub(crate) fn record_leaving(&self, mark: &LeavingMark, source: &str) {
         let is_news = self.fleet.lock().add_mark(mark);
         if is_news {
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Stops new work for a target whose leaving is news, and passes that on.
+    /// Stops new requests to a target with a new leaving mark and triggers an exchange with peers.
     pub(crate) fn apply_mark(&self, mark: &LeavingMark, source: &str) {
         let routing = self.routing();
         let service = routing.as_ref().and_then(|routing| routing.service(mark.service.as_str()));
@@ -160,7 +162,7 @@
         self.peer_exchange_due.notify_one();
     }
 
-    /// Applies the orders that hold now.
+    /// Applies the operators' orders that are currently effective.
     pub(crate) fn apply_orders(&self) {
         let Some(routing) = self.routing() else {
             return;
@@ -168,7 +170,7 @@
         let now = BootClock.now();
         let mut fleet = self.fleet.lock();
         if fleet.orders.drained_halls(now) != *self.drained_by_order.lock() {
-            self.put_in_force(&mut fleet, now);
+            self.rebuild_routing(&mut fleet, now);
             return;
         }
         for service in &routing.services {
@@ -177,8 +179,8 @@
     }
 }
 
-/// Forgets the marks of targets that have not been listed for long, or are listed with a later
-/// incarnation.
+/// Removes the leaving marks of targets that have been unlisted for a long time or are listed with a
+/// later incarnation.
 fn prune_marks(fleet: &mut Fleet, configuration: &Configuration, now: Timestamp) {
     if fleet.leaving.is_empty() {
         return;
@@ -209,19 +211,19 @@
     });
 }
 
-/// One line for each entry that is left out and was not before, up to a number, and how many there
-/// are.
+/// Logs each newly left-out entry, up to [`LEFT_OUT_LOG_LINES_MAX`], and sets the gauge of all left-out
+/// entries.
 fn log_left_out(before: Option<&Discovery>, now: &Discovery) {
     let before = before.map_or(&[][..], |before| &before.left_out);
-    let news = now.left_out.iter().filter(|entry| !before.contains(entry));
-    for entry in news.take(LEFT_OUT_LOGGED_MAX) {
+    let new_entries = now.left_out.iter().filter(|entry| !before.contains(entry));
+    for entry in new_entries.take(LEFT_OUT_LOG_LINES_MAX) {
         let (name, mistake) = (entry.name.as_str(), entry.mistake.as_str());
         warn!("entry_left_out", kv: { name, mistake });
     }
     gauge!(metric::ENTRIES_LEFT_OUT).set(now.left_out.len() as f64);
 }
 
-/// One line for each data hall that is drained or taken back, and the number of drained ones.
+/// Logs each data hall that is newly drained or no longer drained, and sets the gauge of drained halls.
 fn log_halls(before: Option<&Configuration>, now: &Configuration) {
     let before = before.map_or(&[][..], |before| &before.drained_halls);
     for hall in now.drained_halls.iter().filter(|hall| !before.contains(hall)) {
--- a/crates/thymeshift_entry/src/shared/rate_limits.rs
+++ b/crates/thymeshift_entry/src/shared/rate_limits.rs
@@ -1,7 +1,8 @@
-//! The limits of targets in need, as processes tell each other.
+//! Exchange of rate-limited targets' stated limits between processes.
 //!
-//! A process that has never had an answer of such a target would send to it freely while it reaches
-//! no allocator, and one that begins to allocate would grant it freely.
+//! Without this exchange, a process that never received an answer of a rate-limited target would send
+//! to it without a limit while no allocator replies, and would grant it without a limit after becoming
+//! its allocator.
 
 use std::sync::atomic::Ordering;
 
@@ -11,11 +12,12 @@
 
 use crate::shared::Shared;
 
-/// Limits in one message, in turn: about 50 bytes each.
-const TOLD_AT_ONCE: usize = 8;
+/// Maximum number of rate limits in one message, about 50 bytes each. Successive messages rotate through
+/// all known limits.
+const RATE_LIMITS_PER_MESSAGE: usize = 8;
 
 impl Shared {
-    /// Some of the limits that this process knows.
+    /// Returns the next few of the targets' rate limits that this process knows, to be sent to a peer.
     pub(crate) fn rate_limit_updates(&self) -> Vec<TargetRateLimit> {
         let Some(routing) = self.routing() else {
             return Vec::new();
@@ -26,18 +28,18 @@
         if known.is_empty() {
             return known;
         }
-        let count = known.len().min(TOLD_AT_ONCE);
+        let count = known.len().min(RATE_LIMITS_PER_MESSAGE);
         let first = self.rate_limits_cursor.fetch_add(count, Ordering::Relaxed) % known.len();
         known.into_iter().cycle().skip(first).take(count).collect()
     }
 
-    /// Takes in what a peer knows.
-    pub(crate) fn merge_rate_limits(&self, told: &[TargetRateLimit]) {
-        let Some(routing) = self.routing().filter(|_| !told.is_empty()) else {
+    /// Merges targets' rate limits that a peer sent.
+    pub(crate) fn merge_rate_limits(&self, received: &[TargetRateLimit]) {
+        let Some(routing) = self.routing().filter(|_| !received.is_empty()) else {
             return;
         };
         let now = BootClock.now();
-        for limit in told {
+        for limit in received {
             if let Some(service) = routing.service(limit.service.as_str()) {
                 service.merge_rate_limit(limit, now);
             }
