--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What this process knows of the fleet, under one lock.
+//! State that this process shares with the fleet, guarded by one lock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -37,55 +37,60 @@
 use thymeshift_wire::Exchange;
 use thymeshift_wire::Heads;
 
-/// Leaving marks in one message that are repeated in turn, for processes that missed them.
-const MARKS_REPEATED: usize = 4;
-/// Newest leaving marks, which every message holds.
-const MARKS_RECENT: usize = 4;
-/// Suspects in one message, in turn: about 300 bytes each. News of them is told at once by
-/// datagram; this is for processes that missed it.
-const SUSPECTS_REPEATED: usize = 4;
-/// The same to a process that has hardly heard of others.
-const SUSPECTS_TOLD_NEW: usize = 64;
+/// Number of leaving marks in one message that are repeated for processes that missed them. Successive
+/// messages rotate through all marks.
+const REPEATED_MARKS_MAX: usize = 4;
+/// Number of newest leaving marks, which are part of every message.
+const RECENT_MARKS_MAX: usize = 4;
+/// Maximum number of suspects in one message, about 300 bytes each. Successive messages rotate through
+/// all suspects, for processes that missed the datagram that is sent when a suspect changes.
+const REPEATED_SUSPECTS_MAX: usize = 4;
+/// Maximum number of suspects in an answer to a process that knows hardly any other process yet.
+const NEWCOMER_SUSPECTS_MAX: usize = 64;
 
-/// State that is shared with other processes by messages.
+/// State that is synchronised with other processes by messages.
 pub(crate) struct Fleet {
     pub(crate) configuration: Adoption,
     pub(crate) vm_list: Adoption,
-    /// Targets that are discovered apart from the configuration.
+    /// Targets that are discovered separately from the configuration.
     pub(crate) targets: Adoption,
     discovery_reader: DiscoveryReader,
     pub(crate) readers: Readers,
-    /// News of readers that was passed on within the data hall.
+    /// Tracks which readers' reports were already forwarded within the data hall.
     pub(crate) news_forwarding: PassingOn<Heads>,
-    /// The configuration in force, without discovered targets.
+    /// Configuration in force, without discovered targets.
     pub(crate) base_configuration: Option<Configuration>,
-    /// The discovered targets in force: those listed, and those kept for a moment.
+    /// Discovered targets in force: the listed ones and, after an outage of the source, the kept ones.
     pub(crate) discovery: Option<Discovery>,
-    /// The discovered targets as listed, while others are kept beside them.
-    listed: Option<Discovery>,
+    /// Latest list of discovered targets while unlisted targets are kept in addition; `None` otherwise.
+    listed_targets: Option<Discovery>,
     pub(crate) election: WatchElection,
     pub(crate) members: Members,
     pub(crate) leaving: LeavingRegister,
     pub(crate) orders: Orders,
-    /// Requests that crash the targets which run them.
+    /// Requests that are known or suspected to crash targets.
     pub(crate) quarantine: Quarantine,
-    suspects_repeated_to: Option<Fingerprint>,
-    repeated_to: Option<LeavingMark>,
+    /// Last suspect in the previous message; the next message continues after it.
+    suspects_cursor: Option<Fingerprint>,
+    /// Last repeated leaving mark in the previous message; the next message continues after it.
+    marks_cursor: Option<LeavingMark>,
+    /// Newest leaving marks first, at most [`RECENT_MARKS_MAX`].
     recent_marks: VecDeque<LeavingMark>,
 }
 
-/// What is to be done after a message was taken in.
+/// Follow-up work after a peer's summary was applied.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ExchangeOutcome {
-    /// Documents that the sender has newer.
+    /// Documents of which the sender has a newer revision.
     pub(crate) wanted_documents: Vec<Document>,
-    /// Marks that are news.
+    /// Leaving marks that were not known before.
     pub(crate) new_marks: Vec<LeavingMark>,
     /// Whether an order changed.
     pub(crate) has_new_orders: bool,
-    /// Suspects of which something is news.
+    /// Suspects that are new or have changed.
     pub(crate) new_suspects: Vec<Fingerprint>,
-    /// Other content that the sender runs under the revision in force here.
+    /// Head of the sender's configuration if it newly shows different content under the revision in force
+    /// here.
     pub(crate) conflicting_head: Option<Head>,
 }
 
@@ -112,19 +117,19 @@
             news_forwarding: PassingOn::default(),
             base_configuration: None,
             discovery: None,
-            listed: None,
+            listed_targets: None,
             election: WatchElection::new(settings.vm.clone(), boot),
             members: Members::new(own, settings.peers.clone()),
             leaving: LeavingRegister::default(),
             orders: Orders::default(),
             quarantine: Quarantine::default(),
-            suspects_repeated_to: None,
-            repeated_to: None,
+            suspects_cursor: None,
+            marks_cursor: None,
             recent_marks: VecDeque::new(),
         }
     }
 
-    /// The summary to send.
+    /// Returns the summary of this process's fleet state to send to a peer.
     pub(crate) fn summary(
         &mut self,
         breadth: Breadth<'_>,
@@ -141,12 +146,12 @@
             watchers: self.election.watchers(now),
             leaving: self.marks_to_send(),
             orders: self.orders.list(now),
-            suspects: self.suspects_to_send(SUSPECTS_REPEATED, now),
+            suspects: self.suspects_to_send(REPEATED_SUSPECTS_MAX, now),
             rate_limits: Vec::new(),
         }
     }
 
-    /// The summary that answers `theirs`.
+    /// Returns the summary that answers a peer's summary `theirs`.
     pub(crate) fn answer(
         &mut self,
         theirs: &Exchange,
@@ -164,12 +169,12 @@
         });
         let mut answer = self.summary(breadth, now, rng);
         if theirs.is_new {
-            answer.suspects = self.quarantine.page(None, SUSPECTS_TOLD_NEW, now);
+            answer.suspects = self.quarantine.page(None, NEWCOMER_SUSPECTS_MAX, now);
         }
         answer
     }
 
-    /// Whether a request may be sent to a target. An operator's order goes before what is known.
+    /// Returns whether a request may be sent to a target. An operator's order overrides the quarantine.
     pub(crate) fn verdict(&self, fingerprint: Fingerprint, now: Timestamp) -> Verdict {
         match self.orders.holding(&OrderSubject::Request(fingerprint), now) {
             Some((OrderChange::Stop, left)) => Verdict::Refused(left),
@@ -178,28 +183,28 @@
         }
     }
 
-    /// A few of the suspects, in turn.
+    /// Returns the next `count` suspects in rotation.
     fn suspects_to_send(&mut self, count: usize, now: Timestamp) -> Vec<SuspectReport> {
-        let mut page = self.quarantine.page(self.suspects_repeated_to, count, now);
+        let mut page = self.quarantine.page(self.suspects_cursor, count, now);
         if page.is_empty() {
             page = self.quarantine.page(None, count, now);
         }
-        self.suspects_repeated_to = page.last().map(|told| told.fingerprint);
+        self.suspects_cursor = page.last().map(|suspect| suspect.fingerprint);
         page
     }
 
-    /// The newest marks, and a few of all the others in turn.
+    /// Returns the newest leaving marks and the next few of all marks in rotation.
     fn marks_to_send(&mut self) -> Vec<LeavingMark> {
-        let mut repeated = self.leaving.page(self.repeated_to.as_ref(), MARKS_REPEATED);
+        let mut repeated = self.leaving.page(self.marks_cursor.as_ref(), REPEATED_MARKS_MAX);
         if repeated.is_empty() {
-            repeated = self.leaving.page(None, MARKS_REPEATED);
+            repeated = self.leaving.page(None, REPEATED_MARKS_MAX);
         }
-        self.repeated_to = repeated.last().cloned();
+        self.marks_cursor = repeated.last().cloned();
         let recent = self.recent_marks.iter().filter(|mark| !repeated.contains(mark));
         recent.cloned().chain(repeated.iter().cloned()).collect()
     }
 
-    /// Offers a list of discovered targets; returns it if it is to be put in force.
+    /// Offers a published list of discovered targets; returns the parsed list if it is adopted.
     pub(crate) fn offer_targets(
         &mut self,
         published: &Published,
@@ -209,40 +214,41 @@
         self.targets.offer(published, now, |text| reader.parse(text))
     }
 
-    /// Takes in discovered targets. While the source has just returned from an outage,
-    /// targets that served before are kept although it does not list them: it may have
-    /// forgotten them meanwhile, and those that live are listed again soon. Returns how many
-    /// are kept.
+    /// Puts a list of discovered targets in force and returns how many unlisted targets are kept.
+    ///
+    /// Shortly after an outage of the source, targets that are missing from its list stay in force: the
+    /// source may have lost its state, and targets that still run are listed again soon.
     pub(crate) fn adopt_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
         let before = self.discovery.take().filter(|_| self.readers.is_just_back(now));
         let Some(before) = before else {
-            self.listed = None;
+            self.listed_targets = None;
             self.discovery = Some(listed);
             return 0;
         };
         let (kept, count) = listed.keeping(&before);
         self.discovery = Some(kept);
-        self.listed = (count > 0).then_some(listed);
+        self.listed_targets = (count > 0).then_some(listed);
         count
     }
 
-    /// Drops kept targets that were not listed again in time. Returns whether there were any.
+    /// Drops the kept targets that the source has not listed again, once its recovery period is over.
+    /// Returns whether any targets had been kept.
     pub(crate) fn drop_kept_targets(&mut self, now: Timestamp) -> bool {
         if self.readers.is_just_back(now) {
             return false;
         }
-        let Some(listed) = self.listed.take() else {
+        let Some(listed) = self.listed_targets.take() else {
             return false;
         };
         self.discovery = Some(listed);
         true
     }
 
-    /// Takes in a leaving mark. Returns whether it is news.
+    /// Adds a leaving mark. Returns whether the mark was not known before.
     pub(crate) fn add_mark(&mut self, mark: &LeavingMark) -> bool {
         let is_news = self.leaving.add(mark);
         if is_news {
-            self.recent_marks.truncate(MARKS_RECENT - 1);
+            self.recent_marks.truncate(RECENT_MARKS_MAX - 1);
             self.recent_marks.push_front(mark.clone());
         } else if !self.leaving.is_leaving(&mark.service, &mark.target, mark.incarnation) {
             warn!("leaving_mark_dropped", kv: { service: = mark.service, target: = mark.target });
@@ -250,7 +256,7 @@
         is_news
     }
 
-    /// Takes in a summary.
+    /// Applies a peer's summary to the fleet state.
     pub(crate) fn apply_exchange(
         &mut self,
         exchange: &Exchange,
@@ -258,41 +264,41 @@
     ) -> ExchangeOutcome {
         if let Some((sender, others)) = exchange.members.split_first() {
             self.members.answered(&sender.member, now);
-            for told in others {
-                self.members.learn(told, now);
+            for member in others {
+                self.members.learn(member, now);
             }
         }
         for watcher in &exchange.watchers {
             self.election.learn(watcher, now);
         }
         let marks = exchange.leaving.iter();
-        let marks = marks.filter(|mark| self.is_wanted(mark) && self.add_mark(mark));
+        let marks = marks.filter(|mark| self.concerns_known_target(mark) && self.add_mark(mark));
         let marks = marks.cloned().collect();
         let mut has_new_orders = false;
         for order in &exchange.orders {
             has_new_orders |= self.orders.add(order, now);
         }
         let mut suspects = Vec::new();
-        for told in &exchange.suspects {
-            if self.quarantine.take(told, now) {
-                suspects.push(told.fingerprint);
+        for suspect in &exchange.suspects {
+            if self.quarantine.take(suspect, now) {
+                suspects.push(suspect.fingerprint);
             }
         }
-        let seen = exchange.configuration.filter(|head| self.configuration.see(*head));
+        let conflicting_head = exchange.configuration.filter(|head| self.configuration.see(*head));
         ExchangeOutcome {
-            wanted_documents: self.wanted(exchange),
+            wanted_documents: self.newer_documents(exchange),
             new_marks: marks,
             has_new_orders,
             new_suspects: suspects,
-            conflicting_head: seen,
+            conflicting_head,
         }
     }
 
-    /// Whether a mark of a peer is about a target that is known here. A discovered target
-    /// that is gone would otherwise be news again each time its mark had been forgotten.
-    fn is_wanted(&self, mark: &LeavingMark) -> bool {
+    /// Returns whether a peer's leaving mark is about a target that this process knows. Otherwise the
+    /// mark of a removed discovered target would count as new again each time it had expired here.
+    fn concerns_known_target(&self, mark: &LeavingMark) -> bool {
         if self.leaving.is_leaving(&mark.service, &mark.target, mark.incarnation) {
-            // Known already; the list of targets is long.
+            // Marks that are already recorded skip the search through the long list of targets.
             return true;
         }
         let Some(discovery) = &self.discovery else {
@@ -304,7 +310,8 @@
         is_discovered || services.flat_map(|service| &service.targets).any(is_named)
     }
 
-    fn wanted(&self, exchange: &Exchange) -> Vec<Document> {
+    /// Returns the documents of which the sender of `exchange` has a newer revision.
+    fn newer_documents(&self, exchange: &Exchange) -> Vec<Document> {
         let mut wanted = Vec::new();
         if is_newer(exchange.configuration, self.configuration.head()) {
             wanted.push(Document::Configuration);
@@ -326,7 +333,7 @@
         }
     }
 
-    /// This process was paused for `gap`.
+    /// Adjusts time-based state after this process was paused for `gap`.
     pub(crate) fn paused(&mut self, gap: Duration) {
         self.election.paused();
         self.readers.paused(gap);
@@ -334,7 +341,7 @@
     }
 }
 
-/// Whether the other side has a larger revision.
+/// Returns whether the peer's revision is larger than the own one.
 fn is_newer(theirs: Option<Head>, ours: Option<Head>) -> bool {
     match (theirs, ours) {
         (None, _) => false,
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -1,4 +1,5 @@
-//! The configuration in force, joined with what runs: replaced as a whole.
+//! Routing table: the configuration in force with the runtimes of its services and kinds. A new
+//! configuration replaces the table as a whole.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -23,10 +24,10 @@
 use crate::service::ServiceContext;
 use crate::service::ServiceRuntime;
 
-/// Answers over which their length is averaged.
-const ANSWERS_MEMORY: u64 = 8;
+/// Number of answers over which the moving average of the answer length is taken.
+const ANSWERS_AVERAGED: u64 = 8;
 
-/// A figure that is kept for dumps and for metrics at once.
+/// Counter that updates a metric and can also be read, which state dumps need.
 pub(crate) struct ReadableCounter {
     count: AtomicU64,
     metric: Counter,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Figures of one kind since the process started.
+/// Request metrics of one kind since the process started.
 pub(crate) struct KindMetrics {
     pub(crate) accepted: AtomicU64,
     pub(crate) answered: ReadableCounter,
@@ -57,9 +58,9 @@
     pub(crate) retries: ReadableCounter,
     pub(crate) waited: ReadableCounter,
     pub(crate) duration_seconds: Histogram,
-    /// Length of answers in the mean, in bytes.
+    /// Moving average of the answer length in bytes; 0 before the first answer.
     answer_bytes: AtomicU64,
-    /// How long callers usually wait.
+    /// Estimate of how long callers usually wait for an answer.
     pub(crate) patience: Mutex<Patience>,
 }
 
@@ -85,23 +86,24 @@
         })
     }
 
-    /// An answer of this length was passed on.
+    /// Adds the length of a forwarded answer to the moving average.
     pub(crate) fn record_answer_bytes(&self, bytes: u64) {
         let before = self.answer_bytes.load(Ordering::Relaxed);
         let mean = if before == 0 {
             bytes
         } else {
-            before - before / ANSWERS_MEMORY + bytes / ANSWERS_MEMORY
+            before - before / ANSWERS_AVERAGED + bytes / ANSWERS_AVERAGED
         };
         self.answer_bytes.store(mean, Ordering::Relaxed);
     }
 
-    /// Length of answers in the mean, in KiB; 0 if none is known.
+    /// Returns the average answer length in KiB, rounded up; 0 before the first answer.
     pub(crate) fn answer_kib(&self) -> u32 {
         let kib = self.answer_bytes.load(Ordering::Relaxed).div_ceil(1_024);
         u32::try_from(kib).unwrap_or(u32::MAX)
     }
 
+    /// Returns the counter of failed requests with this outcome.
     pub(crate) fn failure_counter(&self, outcome: Outcome) -> &ReadableCounter {
         match outcome {
             Outcome::NotRun => &self.not_run,
@@ -111,20 +113,20 @@
     }
 }
 
-/// A kind with its services.
+/// Runtime of one kind: its settings, services and metrics.
 pub(crate) struct KindRuntime {
     pub(crate) kind: Kind,
     pub(crate) service: Arc<ServiceRuntime>,
-    /// Services of a split.
-    parts: Vec<Arc<ServiceRuntime>>,
+    /// Services of the kind's traffic split.
+    split_services: Vec<Arc<ServiceRuntime>>,
     pub(crate) metrics: Arc<KindMetrics>,
 }
 
 impl KindRuntime {
-    /// The service for a request that drew `draw`.
+    /// Returns the service that a request with the random number `draw` is routed to.
     pub(crate) fn service_for(&self, draw: u64) -> &Arc<ServiceRuntime> {
         let name = self.kind.service_for(draw);
-        self.parts.iter().find(|part| part.name() == name).unwrap_or(&self.service)
+        self.split_services.iter().find(|part| part.name() == name).unwrap_or(&self.service)
     }
 
     fn dump(&self) -> KindDump {
@@ -144,18 +146,18 @@
     }
 }
 
-/// What requests are decided by.
+/// Configuration in force with the runtimes that requests are routed to.
 pub(crate) struct Routing {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) services: Vec<Arc<ServiceRuntime>>,
     kinds: Vec<Arc<KindRuntime>>,
-    /// The keys of all organisations.
+    /// API keys of all organisations.
     pub(crate) keys: Arc<KeyRing>,
 }
 
 impl Routing {
-    /// Builds the routing of a configuration; services and figures that were there before
-    /// go on.
+    /// Builds the routing of a configuration. Services, metrics and an unchanged key ring are taken over
+    /// from the routing `before`.
     pub(crate) fn new(
         configuration: Configuration,
         before: Option<&Self>,
@@ -201,7 +203,8 @@
     }
 }
 
-/// None cannot happen: the configuration's check found the service of each kind.
+/// Builds the runtime of a kind. `None` cannot occur, because the configuration check ensures that the
+/// service of each kind exists.
 fn kind_runtime(
     kind: &Kind,
     services: &[Arc<ServiceRuntime>],
@@ -209,9 +212,9 @@
 ) -> Option<Arc<KindRuntime>> {
     let find = |name: &ServiceName| services.iter().find(|service| service.name() == name).cloned();
     let service = find(&kind.service)?;
-    let parts = kind.split.iter().filter_map(|part| find(&part.service)).collect();
+    let split_services = kind.split.iter().filter_map(|part| find(&part.service)).collect();
     let mut known = before.into_iter().flat_map(|before| before.kinds.iter());
     let known = known.find(|known| known.kind.name == kind.name);
     let metrics = known.map_or_else(|| KindMetrics::new(kind), |known| known.metrics.clone());
-    Some(Arc::new(KindRuntime { kind: kind.clone(), service, parts, metrics }))
+    Some(Arc::new(KindRuntime { kind: kind.clone(), service, split_services, metrics }))
 }
