--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -246,14 +246,14 @@
 
     /// Adds a leaving mark. Returns whether the mark was not known before.
     pub(crate) fn add_mark(&mut self, mark: &LeavingMark) -> bool {
-        let is_news = self.leaving.add(mark);
-        if is_news {
+        let is_new = self.leaving.add(mark);
+        if is_new {
             self.recent_marks.truncate(RECENT_MARKS_MAX - 1);
             self.recent_marks.push_front(mark.clone());
         } else if !self.leaving.is_leaving(&mark.service, &mark.target, mark.incarnation) {
             warn!("leaving_mark_dropped", kv: { service: = mark.service, target: = mark.target });
         }
-        is_news
+        is_new
     }
 
     /// Applies a peer's summary to the fleet state.
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -48,9 +48,9 @@
 const LOAD_REPORT_AGE_MAX: Duration = Duration::from_millis(10);
 /// Maximum number of targets that are probed before one of them is granted.
 ///
-/// In a simulated day without faults, probing three targets reduced late answers from 460 to 218 of
+/// In a replayed day without faults, probing three targets reduced late answers from 460 to 218 of
 /// 14,119 and sent 5% more probes. Values from five to sixteen showed no consistent difference on
-/// two simulated days with high load.
+/// two replayed days with high load.
 const PROBES_BEFORE_GRANT: usize = 5;
 
 /// Acquire request whose decision waits until the best targets have been probed.
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -313,15 +313,15 @@
     }
 
     pub(crate) fn mark_leaving(&self, mark: &LeavingMark) -> bool {
-        let mut is_news = self.local.lock().dispatcher.mark_leaving(&mark.target, mark.incarnation);
+        let mut is_new = self.local.lock().dispatcher.mark_leaving(&mark.target, mark.incarnation);
         let groups = self.groups();
         for group in &groups {
-            is_news |= group.mark_leaving(mark);
+            is_new |= group.mark_leaving(mark);
         }
-        if is_news {
+        if is_new {
             self.wake_all(&groups);
         }
-        is_news
+        is_new
     }
 
     pub(crate) fn set_stopped(&self, is_stopped: impl Fn(&TargetName) -> bool) {
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -142,8 +142,8 @@
 
     /// Records that a target announced to this process that it is leaving.
     pub(crate) fn record_leaving(&self, mark: &LeavingMark, source: &str) {
-        let is_news = self.fleet.lock().add_mark(mark);
-        if is_news {
+        let is_new = self.fleet.lock().add_mark(mark);
+        if is_new {
             self.apply_mark(mark, source);
         }
     }
