--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -236,9 +236,7 @@
         };
         match handle {
             AllocatorHandle::Local(runtime) => runtime.acquire(self.own_holder(), acquire),
-            AllocatorHandle::Remote(process) => {
-                self.send(process.address, Message::Acquire(acquire))
-            }
+            AllocatorHandle::Remote(to) => self.send(to.address, Message::Acquire(acquire)),
         }
         Acquisition { lease, replies: receiver }
     }
@@ -251,12 +249,12 @@
     pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: AllocatorReply) {
         match holder.address {
             Some(address) => self.send(address, reply.into_message(number)),
-            None => self.deliver_reply(number, reply),
+            None => self.deliver(number, reply),
         }
     }
 
     /// Passes an allocator's reply to the request that waits for it.
-    pub(crate) fn deliver_reply(&self, number: LeaseNumber, reply: AllocatorReply) {
+    pub(crate) fn deliver(&self, number: LeaseNumber, reply: AllocatorReply) {
         if let Some(open) = self.leases.lock().get(&number) {
             if let (Some(allocator), false) = (&open.allocator, reply == AllocatorReply::Declined) {
                 self.skipped.lock().remove(allocator);
@@ -357,9 +355,7 @@
         };
         match &self.handle {
             AllocatorHandle::Local(runtime) => runtime.release(self.client.own_holder(), &release),
-            AllocatorHandle::Remote(process) => {
-                self.client.send(process.address, Message::Release(release))
-            }
+            AllocatorHandle::Remote(to) => self.client.send(to.address, Message::Release(release)),
         }
     }
 }
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -77,21 +77,21 @@
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
-        Message::Waiting(number) => client.deliver_reply(number, AllocatorReply::Waiting),
+        Message::Waiting(number) => client.deliver(number, AllocatorReply::Waiting),
         Message::Granted(number, granted) => {
-            client.deliver_reply(number, AllocatorReply::Granted(granted))
+            client.deliver(number, AllocatorReply::Granted(granted))
         }
-        Message::Declined(number) => client.deliver_reply(number, AllocatorReply::Declined),
+        Message::Declined(number) => client.deliver(number, AllocatorReply::Declined),
         Message::Redirected(number, group, allocator) => {
-            client.deliver_reply(number, AllocatorReply::Redirected(group, allocator));
+            client.deliver(number, AllocatorReply::Redirected(group, allocator));
         }
         Message::AskInstead(number, member) => {
             shared.fleet.lock().members.introduced(&member, BootClock.now());
-            client.deliver_reply(number, AllocatorReply::AskInstead(member));
+            client.deliver(number, AllocatorReply::AskInstead(member));
         }
         Message::Refused(number, reason, retry_after) => {
             let refusal = Refusal { reason, retry_after };
-            client.deliver_reply(number, AllocatorReply::Refused(refusal));
+            client.deliver(number, AllocatorReply::Refused(refusal));
         }
     }
 }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -265,9 +265,7 @@
         process: Option<AllocatorAddress>,
     ) -> AllocatorHandle {
         match process {
-            Some(process) if process.vm != *self.context.allocation.vm() => {
-                AllocatorHandle::Remote(process)
-            }
+            Some(peer) if peer.vm != *self.context.allocation.vm() => AllocatorHandle::Remote(peer),
             Some(_) | None => AllocatorHandle::Local(self.local_group(shared, group)),
         }
     }
