--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -66,7 +66,7 @@
 
 /// Allocator's reply to an acquire request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum AllocatorReply {
+pub(crate) enum AcquireReply {
     Waiting,
     Granted(Granted),
     Refused(Refusal),
@@ -77,7 +77,7 @@
     AskInstead(Member),
 }
 
-impl AllocatorReply {
+impl AcquireReply {
     fn into_message(self, number: LeaseNumber) -> Message {
         match self {
             Self::Waiting => Message::Waiting(number),
@@ -111,7 +111,7 @@
     group: Group,
     /// VM of the allocator; `None` if this process is the allocator.
     allocator: Option<VmName>,
-    replies: mpsc::UnboundedSender<AllocatorReply>,
+    replies: mpsc::UnboundedSender<AcquireReply>,
 }
 
 impl OpenLease {
@@ -246,7 +246,7 @@
     }
 
     /// Sends the reply to an acquire request to its holder.
-    pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: AllocatorReply) {
+    pub(crate) fn reply(&self, holder: &LeaseHolder, number: LeaseNumber, reply: AcquireReply) {
         match holder.address {
             Some(address) => self.send(address, reply.into_message(number)),
             None => self.deliver(number, reply),
@@ -254,9 +254,9 @@
     }
 
     /// Passes an allocator's reply to the request that waits for it.
-    pub(crate) fn deliver(&self, number: LeaseNumber, reply: AllocatorReply) {
+    pub(crate) fn deliver(&self, number: LeaseNumber, reply: AcquireReply) {
         if let Some(open) = self.leases.lock().get(&number) {
-            if let (Some(allocator), false) = (&open.allocator, reply == AllocatorReply::Declined) {
+            if let (Some(allocator), false) = (&open.allocator, reply == AcquireReply::Declined) {
                 self.skipped.lock().remove(allocator);
             }
             // Fails only if the request was dropped, and then its lease is released.
@@ -300,7 +300,7 @@
 /// Acquire request in progress: its lease and the channel of the allocator's replies.
 pub(crate) struct Acquisition {
     pub(crate) lease: AllocationLease,
-    pub(crate) replies: mpsc::UnboundedReceiver<AllocatorReply>,
+    pub(crate) replies: mpsc::UnboundedReceiver<AcquireReply>,
 }
 
 /// Lease of a target; dropping it releases the lease at the allocator.
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -14,7 +14,7 @@
 use thymeshift_wire::Datagram;
 use thymeshift_wire::Message;
 
-use crate::allocation_client::AllocatorReply;
+use crate::allocation_client::AcquireReply;
 use crate::allocation_client::LeaseHolder;
 use crate::control_plane::relay::take_news;
 use crate::control_plane::rooms::take_room;
@@ -77,21 +77,21 @@
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
-        Message::Waiting(number) => client.deliver(number, AllocatorReply::Waiting),
+        Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
         Message::Granted(number, granted) => {
-            client.deliver(number, AllocatorReply::Granted(granted))
+            client.deliver(number, AcquireReply::Granted(granted))
         }
-        Message::Declined(number) => client.deliver(number, AllocatorReply::Declined),
+        Message::Declined(number) => client.deliver(number, AcquireReply::Declined),
         Message::Redirected(number, group, allocator) => {
-            client.deliver(number, AllocatorReply::Redirected(group, allocator));
+            client.deliver(number, AcquireReply::Redirected(group, allocator));
         }
         Message::AskInstead(number, member) => {
             shared.fleet.lock().members.introduced(&member, BootClock.now());
-            client.deliver(number, AllocatorReply::AskInstead(member));
+            client.deliver(number, AcquireReply::AskInstead(member));
         }
         Message::Refused(number, reason, retry_after) => {
             let refusal = Refusal { reason, retry_after };
-            client.deliver(number, AllocatorReply::Refused(refusal));
+            client.deliver(number, AcquireReply::Refused(refusal));
         }
     }
 }
@@ -105,7 +105,7 @@
     if acquire.is_first_choice
         && let Some(member) = service.preferred_allocator(shared, &acquire.group)
     {
-        client.reply(&holder, acquire.number, AllocatorReply::AskInstead(member));
+        client.reply(&holder, acquire.number, AcquireReply::AskInstead(member));
         return;
     }
     service.local_group(shared, &acquire.group).acquire(holder, acquire);
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -34,7 +34,7 @@
 use thymeshift_wire::Release;
 use thymeshift_wire::TargetRateLimit;
 
-use crate::allocation_client::AllocatorReply;
+use crate::allocation_client::AcquireReply;
 use crate::allocation_client::LeaseHolder;
 use crate::service::ServiceContext;
 use crate::service::SharedGroupReports;
@@ -172,7 +172,7 @@
         let now = BootClock.now();
         let key = LeaseKey { holder, number: acquire.number.0 };
         let reply = self.decide(&key, acquire, received_at, now);
-        if reply == AllocatorReply::Waiting {
+        if reply == AcquireReply::Waiting {
             self.context.request_queued.notify_one();
         }
         self.context.allocation.reply(&key.holder, acquire.number, reply);
@@ -185,7 +185,7 @@
         acquire: &Acquire,
         received_at: Timestamp,
         now: Timestamp,
-    ) -> AllocatorReply {
+    ) -> AcquireReply {
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
         dispatcher.set_backed(self.group_reports.lock().rooms.is_elsewhere(&self.group, now));
@@ -195,7 +195,7 @@
             && dispatcher.room(now) == 0
             && let Some((other, by)) = self.group_reports.lock().reserve_elsewhere(&self.group, now)
         {
-            return AllocatorReply::Redirected(other, by);
+            return AcquireReply::Redirected(other, by);
         }
         let request = request_of(acquire, dispatcher, received_at);
         let allocation = allocator.acquire(key.clone(), request, dispatcher, now, &mut rand::rng());
@@ -353,11 +353,11 @@
     }
 }
 
-fn reply_of(allocation: Allocation) -> AllocatorReply {
+fn reply_of(allocation: Allocation) -> AcquireReply {
     match allocation {
-        Allocation::Granted(granted) => AllocatorReply::Granted(granted),
-        Allocation::Waiting => AllocatorReply::Waiting,
-        Allocation::Refused(refusal) => AllocatorReply::Refused(refusal),
+        Allocation::Granted(granted) => AcquireReply::Granted(granted),
+        Allocation::Waiting => AcquireReply::Waiting,
+        Allocation::Refused(refusal) => AcquireReply::Refused(refusal),
     }
 }
 
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -28,7 +28,7 @@
 use crate::allocation_client::AcquireRequest;
 use crate::allocation_client::Acquisition;
 use crate::allocation_client::AllocatorHandle;
-use crate::allocation_client::AllocatorReply;
+use crate::allocation_client::AcquireReply;
 use crate::service::GrantGuard;
 use crate::service::GroupRuntime;
 use crate::service::LocalDecision;
@@ -345,10 +345,10 @@
         let mut limit = FIRST_REPLY_TIMEOUT;
         loop {
             match timeout(limit, acquisition.replies.recv()).await {
-                Ok(Some(AllocatorReply::Waiting)) => {
+                Ok(Some(AcquireReply::Waiting)) => {
                     limit = BootClock.now().until(request.wait_until) + FINAL_REPLY_GRACE;
                 }
-                Ok(Some(AllocatorReply::Granted(granted))) => {
+                Ok(Some(AcquireReply::Granted(granted))) => {
                     let by = match allocator {
                         AllocatorHandle::Local(_) => "here",
                         AllocatorHandle::Remote(_) => "allocator",
@@ -356,19 +356,19 @@
                     counter!(metric::OBTAINED, "by" => by).increment(1);
                     return self.accept_lease(acquisition, &group, &granted);
                 }
-                Ok(Some(AllocatorReply::Refused(refusal))) => {
+                Ok(Some(AcquireReply::Refused(refusal))) => {
                     acquisition.lease.closed_by_allocator();
                     return AcquireOutcome::Refused(refusal);
                 }
-                Ok(Some(AllocatorReply::Redirected(group, allocator))) => {
+                Ok(Some(AcquireReply::Redirected(group, allocator))) => {
                     acquisition.lease.closed_by_allocator();
                     return AcquireOutcome::Redirected(group, allocator);
                 }
-                Ok(Some(AllocatorReply::AskInstead(_))) => {
+                Ok(Some(AcquireReply::AskInstead(_))) => {
                     acquisition.lease.closed_by_allocator();
                     return AcquireOutcome::AskInstead;
                 }
-                Ok(Some(AllocatorReply::Declined)) => {
+                Ok(Some(AcquireReply::Declined)) => {
                     acquisition.lease.closed_by_allocator();
                     self.skip_process(allocator);
                     return AcquireOutcome::Unusable;
