--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -78,9 +78,7 @@
         }
         Message::Room(told) => take_room(shared, &sender, &told),
         Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
-        Message::Granted(number, granted) => {
-            client.deliver(number, AcquireReply::Granted(granted))
-        }
+        Message::Granted(number, granted) => client.deliver(number, AcquireReply::Granted(granted)),
         Message::Declined(number) => client.deliver(number, AcquireReply::Declined),
         Message::Redirected(number, group, allocator) => {
             client.deliver(number, AcquireReply::Redirected(group, allocator));
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -25,10 +25,10 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
+use crate::allocation_client::AcquireReply;
 use crate::allocation_client::AcquireRequest;
 use crate::allocation_client::Acquisition;
 use crate::allocation_client::AllocatorHandle;
-use crate::allocation_client::AcquireReply;
 use crate::service::GrantGuard;
 use crate::service::GroupRuntime;
 use crate::service::LocalDecision;
