--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -147,7 +147,8 @@
     loop {
         let spread = rand::rng().random_range(0.8..1.2);
         let every = exchange_every(&shared);
-        let is_news = timeout(every.mul_f64(spread), shared.news.notified()).await.is_ok();
+        let is_news =
+            timeout(every.mul_f64(spread), shared.peer_exchange_due.notified()).await.is_ok();
         if is_news {
             exchange_with(&shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
         } else {
@@ -229,7 +230,7 @@
 ) -> Result<(), ExchangeError> {
     let wanted = take_summary(shared, exchange);
     for document in wanted {
-        let is_resting = document == Document::Targets && !shared.rest().is_zero();
+        let is_resting = document == Document::Targets && !shared.list_fetch_delay().is_zero();
         if is_resting || !shared.links.begin_fetch(document, BootClock.now()) {
             continue;
         }
@@ -252,11 +253,11 @@
     shared: &Arc<Shared>,
     exchange: &Exchange,
 ) -> Vec<thymeshift_wire::Document> {
-    let taken = shared.fleet.lock().take(exchange, BootClock.now());
-    for mark in &taken.marks {
+    let taken = shared.fleet.lock().apply_exchange(exchange, BootClock.now());
+    for mark in &taken.new_marks {
         shared.apply_mark(mark, "peer");
     }
-    if let Some(head) = taken.conflicting {
+    if let Some(head) = taken.conflicting_head {
         counter!(metric::DOCUMENTS_REFUSED, "offer" => "conflicting").increment(1);
         error!("document_conflicting", kv: {
             document = "configuration",
@@ -265,11 +266,11 @@
     }
     if taken.has_new_orders {
         shared.apply_orders();
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
     }
     shared.merge_rate_limits(&exchange.rate_limits);
-    for fingerprint in &taken.suspects {
+    for fingerprint in &taken.new_suspects {
         log_verdict(shared, *fingerprint, "peer");
     }
-    taken.wanted
+    taken.wanted_documents
 }
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -34,7 +34,7 @@
 
 use crate::organisations::QuotaReply;
 use crate::organisations::questions::Questions;
-use crate::shared::RankedPlaces;
+use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
 /// Waits for a counter's answer, after each of which but the last the question is sent again: a
@@ -67,7 +67,7 @@
 /// The order of an organisation's counters, while it is fresh.
 #[derive(Clone)]
 struct Ranking {
-    order: RankedPlaces,
+    order: RankedProcesses,
     /// The part of the limit that this process may hand out, should it be asked.
     share: RateShare,
     made_at: Timestamp,
@@ -199,7 +199,7 @@
         let order = self.order(shared, &organisation.name);
         let now = BootClock.now();
         let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
             None => !shared.is_stopping(),
         };
         for place in order.iter().filter(is_usable).take(COUNTERS_ASKED_MAX) {
@@ -210,7 +210,7 @@
                 Some(QuotaReply::Counted(told)) => return Some(told),
                 Some(QuotaReply::Elsewhere) => {}
                 None => {
-                    shared.allocation.pass_over(&place.vm, BootClock.now());
+                    shared.allocation.skip_process(&place.vm, BootClock.now());
                     info!("quota_unanswered", kv: {
                         organisation: = organisation.name, counter: = place.vm
                     });
@@ -266,13 +266,13 @@
         let now = BootClock.now();
         let order = self.order(shared, name);
         let mut usable = order.iter().filter(|place| match place {
-            Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
             None => true,
         });
         usable.next().is_some_and(Option::is_none)
     }
 
-    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedPlaces {
+    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedProcesses {
         self.ranking(shared, name).order
     }
 
@@ -285,8 +285,8 @@
             return known.clone();
         }
         let task = counter_task(name);
-        let order = shared.contacts_for(&task, now).into();
-        let share = shared.standing_for(&task, now).rate_share();
+        let order = shared.ranked_contacts(&task, now).into();
+        let share = shared.rank_for(&task, now).rate_share();
         let made = Ranking { order, share, made_at: now, changes };
         self.rankings.lock().insert(name.clone(), made.clone());
         made
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -1,4 +1,4 @@
-//! What a request holds while it has, or waits for, a target.
+//! RAII guards for a granted target and for a place in the local dispatcher's queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use crate::allocation_client::AllocationLease;
 use crate::service::Destination;
 use crate::service::ServiceRuntime;
-use crate::service::Woken;
+use crate::service::WaitResult;
 
-/// A grant that is given back when it is dropped.
+/// Grant of a target; dropping the guard returns the grant to the dispatcher.
 pub(crate) struct GrantGuard {
     service: Arc<ServiceRuntime>,
     grant: Option<Grant>,
-    /// The allocator's count of the same request, if another process chose the target.
+    /// Lease of the same request at the allocator; `None` if the local dispatcher chose the target.
     lease: Option<AllocationLease>,
 }
 
@@ -44,17 +44,17 @@
 
     pub(crate) fn destination(&self) -> Option<Destination> {
         let grant = self.grant.as_ref()?;
-        let own = self.service.own.lock();
-        let name = own.dispatcher.target_name(grant);
+        let local = self.service.local.lock();
+        let name = local.dispatcher.target_name(grant);
         Some(Destination {
             service: self.service.name().clone(),
             index: Some(grant.target()),
             name,
-            address: own.dispatcher.address(grant),
+            address: local.dispatcher.address(grant),
         })
     }
 
-    /// Who chose the target.
+    /// Returns who chose the target, as logged: `allocator`, or `alone` for the local dispatcher.
     pub(crate) fn obtained_by(&self) -> &'static str {
         if self.lease.is_some() { "allocator" } else { "alone" }
     }
@@ -63,49 +63,54 @@
         self.grant.as_ref().map(Grant::target)
     }
 
-    /// The start of the target that was meant.
+    /// Returns the incarnation of the target that the grant is valid for.
     pub(crate) fn incarnation(&self) -> Option<Incarnation> {
         self.grant.as_ref().map(Grant::incarnation)
     }
 
-    /// To be asked immediately before the first byte.
+    /// Returns whether the request may still be sent; must be called immediately before its first byte.
+    ///
+    /// The target may have started to leave, or the process may have been paused, since the grant.
     pub(crate) fn may_send(&self, deadline: Timestamp) -> bool {
         let Some(grant) = &self.grant else {
             return false;
         };
-        self.service.own.lock().dispatcher.may_send(grant, deadline, BootClock.now())
+        self.service.local.lock().dispatcher.may_send(grant, deadline, BootClock.now())
     }
 
-    /// Learns what an answer stated of the target's limit. Returns whether that is news here.
-    pub(crate) fn learn_rate_limit(&self, stated: Option<RequestRate>) -> bool {
+    /// Records the rate limit that an answer stated, or its absence. Returns whether it changed.
+    pub(crate) fn record_rate_limit(&self, stated: Option<RequestRate>) -> bool {
         let Some(grant) = &self.grant else {
             return false;
         };
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.record_rate_limit(grant, stated, now)
+        self.service.local.lock().dispatcher.record_rate_limit(grant, stated, now)
     }
 
-    /// The target asked this process for a backoff.
+    /// Starts the backoff that the target requested, up to the service's maximum.
     pub(crate) fn back_off(&self, wait: Duration) {
         if let Some(grant) = &self.grant {
             let wait = wait.min(self.service.settings().backoff_max());
-            self.service.own.lock().dispatcher.record_backoff(grant, wait, BootClock.now());
+            self.service.local.lock().dispatcher.record_backoff(grant, wait, BootClock.now());
         }
     }
 
-    /// The target said that it leaves. Returns the mark to pass on if that is news here.
+    /// Marks the target as leaving, as its answer announced. Returns the mark to forward to peers if it
+    /// was not known before.
     pub(crate) fn mark_leaving(&self) -> Option<LeavingMark> {
         let grant = self.grant.as_ref()?;
-        self.service.own.lock().dispatcher.mark_granted_leaving(grant)
+        self.service.local.lock().dispatcher.mark_granted_leaving(grant)
     }
 
-    pub(crate) fn learn(&mut self, observation: Observation) -> Option<LeavingMark> {
+    /// Records the result of an attempt here and in the lease report. Returns a leaving mark to forward
+    /// to peers if the result shows that the target leaves.
+    pub(crate) fn record_observation(&mut self, observation: Observation) -> Option<LeavingMark> {
         if let Some(lease) = &mut self.lease {
             lease.observe(observation);
         }
         let grant = self.grant.as_ref()?;
         let now = BootClock.now();
-        self.service.own.lock().dispatcher.record_attempt(grant, observation, now)
+        self.service.local.lock().dispatcher.record_attempt(grant, observation, now)
     }
 }
 
@@ -115,23 +120,23 @@
             return;
         };
         if let Some(lease) = &mut self.lease {
-            let own = self.service.own.lock();
-            lease.set_rate_limit(own.dispatcher.rate_limit_update(&grant, BootClock.now()));
-            lease.set_leaving(own.dispatcher.leaving_incarnation(grant.target()));
+            let local = self.service.local.lock();
+            lease.set_rate_limit(local.dispatcher.rate_limit_update(&grant, BootClock.now()));
+            lease.set_leaving(local.dispatcher.leaving_incarnation(grant.target()));
         }
         self.service.release(grant);
     }
 }
 
-/// A place in the queue that is given up when it is dropped.
+/// Place in the local dispatcher's queue; dropping the guard cancels the wait.
 pub(crate) struct WaitGuard {
     pub(super) service: Arc<ServiceRuntime>,
     pub(super) ticket: Ticket,
-    pub(super) receiver: oneshot::Receiver<Woken>,
+    pub(super) receiver: oneshot::Receiver<WaitResult>,
 }
 
 impl WaitGuard {
-    /// Waits for the decision. None if the service was removed meanwhile.
+    /// Waits for the dispatcher's decision. Returns `None` if the service was removed meanwhile.
     pub(crate) async fn decided(mut self) -> Option<Result<GrantGuard, Refusal>> {
         let woken = (&mut self.receiver).await.ok()?;
         Some(woken.map(|grant| GrantGuard::new(&self.service, grant)))
@@ -141,9 +146,9 @@
 impl Drop for WaitGuard {
     fn drop(&mut self) {
         let granted = {
-            let mut own = self.service.own.lock();
-            own.waiting.remove(&self.ticket);
-            own.dispatcher.cancel(self.ticket);
+            let mut local = self.service.local.lock();
+            local.waiting.remove(&self.ticket);
+            local.dispatcher.cancel(self.ticket);
             self.receiver.try_recv()
         };
         if let Ok(Ok(grant)) = granted {
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -61,7 +61,7 @@
 /// Probes for ever.
 pub(crate) async fn run_pace_probes<D: Dialect>(shared: Arc<Shared>) -> Result<(), TaskError> {
     let probing = Probing::default();
-    let mut wanted = shared.acquires_pending.lock().await;
+    let mut wanted = shared.pending_acquires_receiver.lock().await;
     loop {
         let now = BootClock.now();
         probing.lock().retain(|_, pacing| !pacing.is_idle(now));
@@ -72,7 +72,7 @@
         loop {
             tokio::select! {
                 () = &mut until => break,
-                () = shared.allocating.notified() => break,
+                () = shared.group_activated.notified() => break,
                 Some(pending) = wanted.recv() => probe_then_decide::<D>(&shared, &probing, pending),
             }
         }
@@ -145,7 +145,7 @@
         let now = BootClock.now();
         for group in service.groups() {
             let is_too_large = is_alone && group.target_count() > PROBED_ALONE_MAX;
-            if is_too_large || !group.is_asked_within(IN_USE, now) {
+            if is_too_large || !group.was_acquired_within(IN_USE, now) {
                 continue;
             }
             is_allocating = true;
@@ -162,7 +162,7 @@
                     begun += 1;
                 }
             }
-            group.probed(begun);
+            group.spend_probe_budget(begun);
         }
     }
     is_allocating
@@ -213,8 +213,8 @@
     let Ok(Some(report)) = answer else {
         return false;
     };
-    if let Some(mark) = group.learn_probe(&destination.name, report) {
-        shared.note_leaving(&mark, "probe");
+    if let Some(mark) = group.record_probe(&destination.name, report) {
+        shared.record_leaving(&mark, "probe");
     }
     true
 }
--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -147,9 +147,9 @@
     counter!(metric::PROBES, "service" => name.clone()).increment(1);
     counter!(metric::MEASURING_US, "service" => name).increment(counted_us);
     if let Ok(Some(report)) = answer
-        && let Some(mark) = service.learn_probe(&destination.name, report)
+        && let Some(mark) = service.record_probe(&destination.name, report)
     {
-        shared.note_leaving(&mark, "probe");
+        shared.record_leaving(&mark, "probe");
     }
     let subject = Subject { service: service.name().clone(), target: destination.name };
     Ended { subject, spent }
