--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -26,7 +26,7 @@
 use thymeshift_wire::AttemptHead;
 use thymeshift_wire::CallContext;
 use thymeshift_wire::Dialect;
-use thymeshift_wire::Meaning;
+use thymeshift_wire::AnswerClass;
 
 use crate::service::Destination;
 use crate::service::GrantGuard;
@@ -208,7 +208,7 @@
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
         let failure = match taken {
-            Some(Ok(response)) if meaning == Meaning::Failed => {
+            Some(Ok(response)) if meaning == AnswerClass::Failed => {
                 let failure = Failure::new(Outcome::Failed, Reason::TargetFailed, Step::Wait, peer);
                 return Err(Box::new(AttemptFailure {
                     failure,
@@ -238,15 +238,15 @@
     }
 
     /// The failure that an answer's meaning amounts to, if it is not to be passed on.
-    fn failed_by(&self, meaning: Meaning, destination: &Destination) -> Option<AttemptFailure> {
+    fn failed_by(&self, meaning: AnswerClass, destination: &Destination) -> Option<AttemptFailure> {
         let is_proof = self.grant.service().settings().shed_means_not_run;
         let (outcome, reason) = match meaning {
-            Meaning::Answered | Meaning::Failed | Meaning::ShedByDeeperLayer => return None,
-            Meaning::Shed if !is_proof => return None,
-            Meaning::Shed | Meaning::NotRun | Meaning::OtherTarget => {
+            AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => return None,
+            AnswerClass::Shed if !is_proof => return None,
+            AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::OtherTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
-            Meaning::Foreign | Meaning::Spoiled => (Outcome::Unknown, Reason::WrongAnswer),
+            AnswerClass::Foreign | AnswerClass::Spoiled => (Outcome::Unknown, Reason::WrongAnswer),
         };
         let failure = Failure::new(outcome, reason, Step::Wait, self.peer(destination));
         Some(self.failure(failure, None))
@@ -338,18 +338,18 @@
 }
 
 fn observation(
-    meaning: Meaning,
+    meaning: AnswerClass,
     statements: &Statements,
     report: Option<LoadReport>,
 ) -> Observation {
     match meaning {
-        Meaning::Shed | Meaning::NotRun if statements.asks_for_backoff() => {
+        AnswerClass::Shed | AnswerClass::NotRun if statements.asks_for_backoff() => {
             Observation::ShedWithBackoff(report)
         }
-        Meaning::Answered => Observation::Answered(report),
-        Meaning::Failed => Observation::Failed(report),
-        Meaning::Shed | Meaning::ShedByDeeperLayer | Meaning::NotRun => Observation::Shed(report),
-        Meaning::OtherTarget | Meaning::Foreign | Meaning::Spoiled => Observation::Broken,
+        AnswerClass::Answered => Observation::Answered(report),
+        AnswerClass::Failed => Observation::Failed(report),
+        AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => Observation::Shed(report),
+        AnswerClass::OtherTarget | AnswerClass::Foreign | AnswerClass::Spoiled => Observation::Broken,
     }
 }
 
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -10,7 +10,7 @@
 use thymeshift_config::RequestRate;
 use thymeshift_telemetry::metric;
 use thymeshift_wire::Dialect;
-use thymeshift_wire::Meaning;
+use thymeshift_wire::AnswerClass;
 use thymeshift_wire::RateLimitMistake;
 use thymeshift_wire::RetryAfterMistake;
 
@@ -44,11 +44,11 @@
     /// says nothing of this one.
     pub(super) fn learn_statements(
         &mut self,
-        meaning: Meaning,
+        meaning: AnswerClass,
         statements: Statements,
         destination: &Destination,
     ) {
-        if matches!(meaning, Meaning::OtherTarget | Meaning::Foreign) {
+        if matches!(meaning, AnswerClass::OtherTarget | AnswerClass::Foreign) {
             return;
         }
         self.learn_rate_limit(meaning, statements.rate_limit, destination);
@@ -64,7 +64,7 @@
     /// of a limit.
     fn learn_rate_limit(
         &self,
-        meaning: Meaning,
+        meaning: AnswerClass,
         stated: Result<Option<RequestRate>, RateLimitMistake>,
         destination: &Destination,
     ) {
@@ -77,7 +77,7 @@
                 return;
             }
         };
-        let may_end_it = matches!(meaning, Meaning::Answered | Meaning::Failed);
+        let may_end_it = matches!(meaning, AnswerClass::Answered | AnswerClass::Failed);
         if stated.is_none() && !may_end_it {
             return;
         }
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -41,7 +41,7 @@
 
 /// What an answer's head says about the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Meaning {
+pub enum AnswerClass {
     /// The target's answer, to be passed on.
     Answered,
     /// The target ran the request and says that it failed; may be passed on.
@@ -75,7 +75,7 @@
     fn write_attempt(map: &mut HeaderMap, attempt: &AttemptHead<'_>);
 
     /// Reads what an answer's head means.
-    fn meaning(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> Meaning;
+    fn meaning(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass;
 
     /// Reads the load report of an answer, if it carries a readable one.
     fn report(map: &HeaderMap) -> Option<LoadReport>;
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -59,7 +59,7 @@
 pub use datagram::SourceHeartbeat;
 pub use dialect::AttemptHead;
 pub use dialect::Dialect;
-pub use dialect::Meaning;
+pub use dialect::AnswerClass;
 pub use dump::ConfigurationDump;
 pub use dump::HallDump;
 pub use dump::KindDump;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -23,7 +23,7 @@
 use crate::Dialect;
 use crate::HeaderAudience;
 use crate::HeaderMistake;
-use crate::Meaning;
+use crate::AnswerClass;
 use crate::RateLimitMistake;
 use crate::RetryAfterMistake;
 use crate::answer_headers::standard_audience;
@@ -65,18 +65,18 @@
         map.insert(headers::ATTEMPT, attempt.attempt_id.clone());
     }
 
-    fn meaning(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> Meaning {
+    fn meaning(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass {
         let is_foreign = map.get(&headers::ATTEMPT).is_some_and(|echo| echo != attempt.attempt_id);
         if is_foreign {
-            return Meaning::Foreign;
+            return AnswerClass::Foreign;
         }
         match status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
                 let is_deeper_layers = map.contains_key(&headers::OUTCOME);
-                if is_deeper_layers { Meaning::ShedByDeeperLayer } else { Meaning::Shed }
+                if is_deeper_layers { AnswerClass::ShedByDeeperLayer } else { AnswerClass::Shed }
             }
-            status if status.is_server_error() => Meaning::Failed,
-            _ => Meaning::Answered,
+            status if status.is_server_error() => AnswerClass::Failed,
+            _ => AnswerClass::Answered,
         }
     }
 
