--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -184,7 +184,7 @@
             }
             Some(Ok(response)) => response,
         };
-        let meaning = D::meaning(response.status(), response.headers(), &attempt);
+        let meaning = D::classify_answer(response.status(), response.headers(), &attempt);
         self.shared.unknown_headers.note::<D>(response.headers(), &destination);
         let statements = Statements::read::<D>(response.status(), response.headers());
         let shown = observation(meaning, &statements, D::report(response.headers()));
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -65,7 +65,7 @@
         map.insert(headers::ATTEMPT, attempt.attempt_id.clone());
     }
 
-    fn meaning(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass {
+    fn classify_answer(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass {
         let is_foreign = map.get(&headers::ATTEMPT).is_some_and(|echo| echo != attempt.attempt_id);
         if is_foreign {
             return AnswerClass::Foreign;
