--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -246,7 +246,7 @@
             AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::OtherTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
-            AnswerClass::Foreign | AnswerClass::Spoiled => (Outcome::Unknown, Reason::WrongAnswer),
+            AnswerClass::Foreign | AnswerClass::Invalid => (Outcome::Unknown, Reason::WrongAnswer),
         };
         let failure = Failure::new(outcome, reason, Step::Wait, self.peer(destination));
         Some(self.failure(failure, None))
@@ -349,7 +349,7 @@
         AnswerClass::Answered => Observation::Answered(report),
         AnswerClass::Failed => Observation::Failed(report),
         AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => Observation::Shed(report),
-        AnswerClass::OtherTarget | AnswerClass::Foreign | AnswerClass::Spoiled => Observation::Broken,
+        AnswerClass::OtherTarget | AnswerClass::Foreign | AnswerClass::Invalid => Observation::Broken,
     }
 }
 
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -59,7 +59,7 @@
     Foreign,
     /// It cannot be passed on as it is: a part that makes it valid is missing, or its status
     /// promises what the target did not state.
-    Spoiled,
+    Invalid,
 }
 
 /// The headers and statuses of one environment.
