--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -243,7 +243,7 @@
         let (outcome, reason) = match meaning {
             AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => return None,
             AnswerClass::Shed if !is_proof => return None,
-            AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::OtherTarget => {
+            AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::WrongTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
             AnswerClass::Foreign | AnswerClass::Invalid => (Outcome::Unknown, Reason::WrongAnswer),
@@ -349,7 +349,7 @@
         AnswerClass::Answered => Observation::Answered(report),
         AnswerClass::Failed => Observation::Failed(report),
         AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => Observation::Shed(report),
-        AnswerClass::OtherTarget | AnswerClass::Foreign | AnswerClass::Invalid => Observation::Broken,
+        AnswerClass::WrongTarget | AnswerClass::Foreign | AnswerClass::Invalid => Observation::Broken,
     }
 }
 
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -48,7 +48,7 @@
         statements: Statements,
         destination: &Destination,
     ) {
-        if matches!(meaning, AnswerClass::OtherTarget | AnswerClass::Foreign) {
+        if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::Foreign) {
             return;
         }
         self.learn_rate_limit(meaning, statements.rate_limit, destination);
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -54,7 +54,7 @@
     /// The target states that it did not run the request.
     NotRun,
     /// Another target has the address; the one that was meant did not run the request.
-    OtherTarget,
+    WrongTarget,
     /// It belongs to another request or attempt.
     Foreign,
     /// It cannot be passed on as it is: a part that makes it valid is missing, or its status
