--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -246,7 +246,7 @@
             AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::WrongTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
-            AnswerClass::Foreign | AnswerClass::Invalid => (Outcome::Unknown, Reason::WrongAnswer),
+            AnswerClass::WrongAttempt | AnswerClass::Invalid => (Outcome::Unknown, Reason::WrongAnswer),
         };
         let failure = Failure::new(outcome, reason, Step::Wait, self.peer(destination));
         Some(self.failure(failure, None))
@@ -349,7 +349,7 @@
         AnswerClass::Answered => Observation::Answered(report),
         AnswerClass::Failed => Observation::Failed(report),
         AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => Observation::Shed(report),
-        AnswerClass::WrongTarget | AnswerClass::Foreign | AnswerClass::Invalid => Observation::Broken,
+        AnswerClass::WrongTarget | AnswerClass::WrongAttempt | AnswerClass::Invalid => Observation::Broken,
     }
 }
 
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -48,7 +48,7 @@
         statements: Statements,
         destination: &Destination,
     ) {
-        if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::Foreign) {
+        if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
             return;
         }
         self.learn_rate_limit(meaning, statements.rate_limit, destination);
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -56,7 +56,7 @@
     /// Another target has the address; the one that was meant did not run the request.
     WrongTarget,
     /// It belongs to another request or attempt.
-    Foreign,
+    WrongAttempt,
     /// It cannot be passed on as it is: a part that makes it valid is missing, or its status
     /// promises what the target did not state.
     Invalid,
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -68,7 +68,7 @@
     fn classify_answer(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass {
         let is_foreign = map.get(&headers::ATTEMPT).is_some_and(|echo| echo != attempt.attempt_id);
         if is_foreign {
-            return AnswerClass::Foreign;
+            return AnswerClass::WrongAttempt;
         }
         match status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
