--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -178,7 +178,7 @@
         }
         let (mut parts, body) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
-        D::clean_answer(&mut parts.headers);
+        D::strip_internal_headers(&mut parts.headers);
         Ok(Response::from_parts(parts, AnswerBody::Target(Box::new(body))))
     }
 
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -99,7 +99,7 @@
     fn header_audience(name: &HeaderName) -> HeaderAudience;
 
     /// Removes from an answer what is not meant for clients.
-    fn clean_answer(map: &mut HeaderMap);
+    fn strip_internal_headers(map: &mut HeaderMap);
 
     /// The answer that tells a client of a failure.
     fn failure(failure: &Failure, request_id: &HeaderValue) -> Response<Vec<u8>>;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -113,7 +113,7 @@
         if is_own || *name == RETRY_AFTER { HeaderAudience::Proxy } else { standard_audience(name) }
     }
 
-    fn clean_answer(map: &mut HeaderMap) {
+    fn strip_internal_headers(map: &mut HeaderMap) {
         map.remove(headers::ATTEMPT);
         map.remove(headers::LOAD);
     }
