--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -15,7 +15,7 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 use thymeshift_wire::AllocatorAddress;
-use thymeshift_wire::GroupRoom;
+use thymeshift_wire::GroupHeadroomReport;
 use thymeshift_wire::Message;
 use tokio::time::sleep;
 
@@ -53,7 +53,7 @@
         if !is_allocated_here(shared, service, group, now) {
             continue;
         }
-        let told = GroupRoom {
+        let told = GroupHeadroomReport {
             service: service.name().clone(),
             group: group.clone(),
             allocator: allocator.clone(),
@@ -76,7 +76,7 @@
 
 /// Another group told its room. A process that allocates none of the service's groups passes it on
 /// to who does in its own data hall.
-pub(crate) fn take_room(shared: &Shared, sender: &VmName, told: &GroupRoom) {
+pub(crate) fn take_room(shared: &Shared, sender: &VmName, told: &GroupHeadroomReport) {
     let routing = shared.routing();
     let Some(service) = routing.as_ref().and_then(|all| all.service(told.service.as_str())) else {
         return;
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -43,7 +43,7 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 use thymeshift_wire::AllocatorAddress;
-use thymeshift_wire::GroupRoom;
+use thymeshift_wire::GroupHeadroomReport;
 use thymeshift_wire::TargetRateLimit;
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
@@ -256,7 +256,7 @@
     }
 
     /// Records the spare capacity that a group reported, with the address of its allocator.
-    pub(crate) fn record_group_room(&self, report: &GroupRoom) {
+    pub(crate) fn record_group_room(&self, report: &GroupHeadroomReport) {
         let mut groups = self.group_reports.lock();
         groups.rooms.record(report.group.clone(), report.room, BootClock.now());
         groups.allocators.insert(report.group.clone(), report.allocator.clone());
--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -72,7 +72,7 @@
     /// A target is given back.
     Release(Release),
     /// How many more requests a group would take.
-    Room(GroupRoom),
+    Room(GroupHeadroomReport),
     /// The sender has taken in documents.
     News(Heads),
     /// The sender has started, begins to serve, or stops.
@@ -165,7 +165,7 @@
 
 /// The room of a group of targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GroupRoom {
+pub struct GroupHeadroomReport {
     /// The service.
     pub service: ServiceName,
     /// The group.
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -48,7 +48,7 @@
 pub use datagram::DATAGRAM_BYTES_MAX;
 pub use datagram::Datagram;
 pub use datagram::DatagramError;
-pub use datagram::GroupRoom;
+pub use datagram::GroupHeadroomReport;
 pub use datagram::Heads;
 pub use datagram::LeaseNumber;
 pub use datagram::Message;
