--- a/crates/thymeshift_entry/src/organisations/questions.rs
+++ b/crates/thymeshift_entry/src/organisations/questions.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use parking_lot::Mutex;
-use thymeshift_wire::QuestionNumber;
+use thymeshift_wire::QuotaRequestNumber;
 use thymeshift_wire::QuotaGrant;
 use tokio::sync::oneshot;
 
@@ -21,29 +21,29 @@
 #[derive(Default)]
 pub(super) struct Questions {
     next_number: AtomicU64,
-    open: Mutex<HashMap<QuestionNumber, oneshot::Sender<QuotaReply>>>,
+    open: Mutex<HashMap<QuotaRequestNumber, oneshot::Sender<QuotaReply>>>,
 }
 
 /// A question that is forgotten when it is dropped.
 pub(super) struct Question<'a> {
     questions: &'a Questions,
-    number: QuestionNumber,
+    number: QuotaRequestNumber,
     pub(super) reply: oneshot::Receiver<QuotaReply>,
 }
 
 impl Questions {
-    pub(super) fn next_number(&self) -> QuestionNumber {
-        QuestionNumber(self.next_number.fetch_add(1, Ordering::Relaxed))
+    pub(super) fn next_number(&self) -> QuotaRequestNumber {
+        QuotaRequestNumber(self.next_number.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Waits for the answer to a question.
-    pub(super) fn open(&self, number: QuestionNumber) -> Question<'_> {
+    pub(super) fn open(&self, number: QuotaRequestNumber) -> Question<'_> {
         let (sender, reply) = oneshot::channel();
         self.open.lock().insert(number, sender);
         Question { questions: self, number, reply }
     }
 
-    pub(super) fn replied(&self, number: QuestionNumber, reply: QuotaReply) {
+    pub(super) fn replied(&self, number: QuotaRequestNumber, reply: QuotaReply) {
         if let Some(sender) = self.open.lock().remove(&number) {
             // Nobody waits any more if this fails.
             let _ = sender.send(reply);
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -26,7 +26,7 @@
 use thymeshift_wire::AllocatorAddress;
 use thymeshift_wire::Message;
 use thymeshift_wire::OrganisationDump;
-use thymeshift_wire::QuestionNumber;
+use thymeshift_wire::QuotaRequestNumber;
 use thymeshift_wire::QuotaAsk;
 use thymeshift_wire::QuotaGrant;
 use tokio::sync::Notify;
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(crate) fn replied(&self, number: QuestionNumber, reply: QuotaReply) {
+    pub(crate) fn replied(&self, number: QuotaRequestNumber, reply: QuotaReply) {
         self.questions.replied(number, reply);
     }
 
--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -82,10 +82,10 @@
     /// Asks for tokens of an organisation.
     QuotaAsk(QuotaAsk),
     /// What the counter of an organisation answers.
-    QuotaCounted(QuestionNumber, QuotaGrant),
+    QuotaCounted(QuotaRequestNumber, QuotaGrant),
     /// The receiver does not count the organisation's requests: another process ranks before it,
     /// or it is stopping.
-    QuotaElsewhere(QuestionNumber),
+    QuotaElsewhere(QuotaRequestNumber),
 }
 
 /// Number of a question, counted by the asking process from its start.
@@ -103,13 +103,13 @@
     Serialize,
     Deserialize,
 )]
-pub struct QuestionNumber(pub u64);
+pub struct QuotaRequestNumber(pub u64);
 
 /// A process that wants tokens of an organisation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaAsk {
     /// The question.
-    pub number: QuestionNumber,
+    pub number: QuotaRequestNumber,
     /// The organisation.
     pub organisation: OrganisationName,
     /// Tokens wanted.
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -52,7 +52,7 @@
 pub use datagram::Heads;
 pub use datagram::LeaseNumber;
 pub use datagram::Message;
-pub use datagram::QuestionNumber;
+pub use datagram::QuotaRequestNumber;
 pub use datagram::QuotaAsk;
 pub use datagram::QuotaGrant;
 pub use datagram::Release;
