--- a/crates/thymeshift_wire/src/call_context.rs
+++ b/crates/thymeshift_wire/src/call_context.rs
@@ -16,7 +16,7 @@
 /// A header of ours that is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("header {name}: expected one whole number up to {NUMBER_MAX}")]
-pub struct HeaderMistake {
+pub struct HeaderError {
     /// Which header.
     pub name: HeaderName,
 }
@@ -34,7 +34,7 @@
 
 impl CallContext {
     /// Reads the context from a request's headers.
-    pub fn read(map: &HeaderMap) -> Result<Self, HeaderMistake> {
+    pub fn read(map: &HeaderMap) -> Result<Self, HeaderError> {
         let timeout = number(map, &headers::TIMEOUT_MS)?.map(Duration::from_millis);
         let attempts_left = number(map, &headers::ATTEMPTS_LEFT)?;
         let depth = number(map, &headers::DEPTH)?.unwrap_or(0);
@@ -60,7 +60,7 @@
     }
 }
 
-fn number(map: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, HeaderMistake> {
+fn number(map: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, HeaderError> {
     let mut values = map.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -70,6 +70,6 @@
     let is_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     match text.parse::<u64>() {
         Ok(number) if is_alone && is_digits && number <= NUMBER_MAX => Ok(Some(number)),
-        _ => Err(HeaderMistake { name: name.clone() }),
+        _ => Err(HeaderError { name: name.clone() }),
     }
 }
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -20,7 +20,7 @@
 
 use crate::CallContext;
 use crate::HeaderAudience;
-use crate::HeaderMistake;
+use crate::HeaderError;
 use crate::RateLimitMistake;
 use crate::RetryAfterMistake;
 
@@ -65,7 +65,7 @@
 /// The headers and statuses of one environment.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads what a client says of its call.
-    fn read_call(map: &HeaderMap) -> Result<CallContext, HeaderMistake>;
+    fn read_call(map: &HeaderMap) -> Result<CallContext, HeaderError>;
 
     /// Takes the key out of a call, with what the caller says of its organisation: targets are
     /// shown neither. None if there is no key that could be known.
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -31,7 +31,7 @@
 pub use answer_headers::HeaderAudience;
 pub use answer_headers::standard_audience;
 pub use call_context::CallContext;
-pub use call_context::HeaderMistake;
+pub use call_context::HeaderError;
 pub use codec::CodecError;
 pub use codec::Postcard;
 pub use control::Control;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -22,7 +22,7 @@
 use crate::CallContext;
 use crate::Dialect;
 use crate::HeaderAudience;
-use crate::HeaderMistake;
+use crate::HeaderError;
 use crate::AnswerClass;
 use crate::RateLimitMistake;
 use crate::RetryAfterMistake;
@@ -49,7 +49,7 @@
 }
 
 impl Dialect for Native {
-    fn read_call(map: &HeaderMap) -> Result<CallContext, HeaderMistake> {
+    fn read_call(map: &HeaderMap) -> Result<CallContext, HeaderError> {
         CallContext::read(map)
     }
 
