--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -11,7 +11,7 @@
 use thymeshift_telemetry::metric;
 use thymeshift_wire::Dialect;
 use thymeshift_wire::AnswerClass;
-use thymeshift_wire::RateLimitMistake;
+use thymeshift_wire::RateLimitError;
 use thymeshift_wire::RetryAfterMistake;
 
 use crate::service::Destination;
@@ -19,7 +19,7 @@
 
 /// The statements of one answer.
 pub(super) struct Statements {
-    rate_limit: Result<Option<RequestRate>, RateLimitMistake>,
+    rate_limit: Result<Option<RequestRate>, RateLimitError>,
     backoff: Result<Option<Duration>, RetryAfterMistake>,
     is_leaving: bool,
 }
@@ -65,7 +65,7 @@
     fn learn_rate_limit(
         &self,
         meaning: AnswerClass,
-        stated: Result<Option<RequestRate>, RateLimitMistake>,
+        stated: Result<Option<RequestRate>, RateLimitError>,
         destination: &Destination,
     ) {
         let stated = match stated {
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -21,7 +21,7 @@
 use crate::CallContext;
 use crate::HeaderAudience;
 use crate::HeaderError;
-use crate::RateLimitMistake;
+use crate::RateLimitError;
 use crate::RetryAfterMistake;
 
 /// One attempt as the target hears of it.
@@ -82,7 +82,7 @@
 
     /// Reads the requests a second that a target says it takes from all processes together; none if
     /// it says nothing of that.
-    fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitMistake>;
+    fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitError>;
 
     /// Reads the load report of a probe's answer: unlike that of a request, it does not count
     /// what it answers.
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -77,7 +77,7 @@
 pub use peer::PeerLink;
 pub use peer::PeerLinkClient;
 pub use peer::TargetRateLimit;
-pub use rate_header::RateLimitMistake;
+pub use rate_header::RateLimitError;
 pub use rate_header::read_rate_limit;
 pub use retry_after::RetryAfterMistake;
 pub use retry_after::read_retry_after;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -24,7 +24,7 @@
 use crate::HeaderAudience;
 use crate::HeaderError;
 use crate::AnswerClass;
-use crate::RateLimitMistake;
+use crate::RateLimitError;
 use crate::RetryAfterMistake;
 use crate::answer_headers::standard_audience;
 use crate::headers;
@@ -84,7 +84,7 @@
         load_header::read(map)
     }
 
-    fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitMistake> {
+    fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitError> {
         read_rate_limit(map, &headers::RATE_LIMIT)
     }
 
--- a/crates/thymeshift_wire/src/rate_header.rs
+++ b/crates/thymeshift_wire/src/rate_header.rs
@@ -13,7 +13,7 @@
 /// need, nor that its need is over.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("header {name}: expected requests a second as one decimal number from 0 on")]
-pub struct RateLimitMistake {
+pub struct RateLimitError {
     /// Which header.
     pub name: HeaderName,
 }
@@ -22,14 +22,14 @@
 pub fn read_rate_limit(
     map: &HeaderMap,
     name: &HeaderName,
-) -> Result<Option<RequestRate>, RateLimitMistake> {
+) -> Result<Option<RequestRate>, RateLimitError> {
     let mut least: Option<f64> = None;
     for value in map.get_all(name) {
         let text = value.to_str().ok().filter(|text| text.len() <= VALUE_BYTES_MAX);
         let number = text.and_then(|text| text.trim().parse::<f64>().ok());
         let is_rate = |number: &f64| number.is_finite() && *number >= 0.0;
         let Some(number) = number.filter(is_rate) else {
-            return Err(RateLimitMistake { name: name.clone() });
+            return Err(RateLimitError { name: name.clone() });
         };
         least = Some(least.map_or(number, |least| least.min(number)));
     }
