--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -12,7 +12,7 @@
 use thymeshift_wire::Dialect;
 use thymeshift_wire::AnswerClass;
 use thymeshift_wire::RateLimitError;
-use thymeshift_wire::RetryAfterMistake;
+use thymeshift_wire::RetryAfterError;
 
 use crate::service::Destination;
 use crate::target_client::Attempt;
@@ -20,7 +20,7 @@
 /// The statements of one answer.
 pub(super) struct Statements {
     rate_limit: Result<Option<RequestRate>, RateLimitError>,
-    backoff: Result<Option<Duration>, RetryAfterMistake>,
+    backoff: Result<Option<Duration>, RetryAfterError>,
     is_leaving: bool,
 }
 
@@ -92,7 +92,7 @@
 
     fn learn_backoff(
         &self,
-        asked: Result<Option<Duration>, RetryAfterMistake>,
+        asked: Result<Option<Duration>, RetryAfterError>,
         destination: &Destination,
     ) {
         let service = destination.service.as_str().to_owned();
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -22,7 +22,7 @@
 use crate::HeaderAudience;
 use crate::HeaderError;
 use crate::RateLimitError;
-use crate::RetryAfterMistake;
+use crate::RetryAfterError;
 
 /// One attempt as the target hears of it.
 #[derive(Debug, Clone, Copy)]
@@ -93,7 +93,7 @@
 
     /// Reads for how long a target asks to get no requests from the process that it answers; none
     /// if it does not ask for that.
-    fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterMistake>;
+    fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError>;
 
     /// Whom an answer's header addresses.
     fn header_audience(name: &HeaderName) -> HeaderAudience;
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -79,7 +79,7 @@
 pub use peer::TargetRateLimit;
 pub use rate_header::RateLimitError;
 pub use rate_header::read_rate_limit;
-pub use retry_after::RetryAfterMistake;
+pub use retry_after::RetryAfterError;
 pub use retry_after::read_retry_after;
 pub use silence::ASKED_AFTER;
 pub use silence::UNANSWERED_MAX;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -25,7 +25,7 @@
 use crate::HeaderError;
 use crate::AnswerClass;
 use crate::RateLimitError;
-use crate::RetryAfterMistake;
+use crate::RetryAfterError;
 use crate::answer_headers::standard_audience;
 use crate::headers;
 use crate::key_header::take_bearer_key;
@@ -97,7 +97,7 @@
         false
     }
 
-    fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterMistake> {
+    fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
         // A deeper layer speaks of its own targets, not of itself.
         if status != StatusCode::SERVICE_UNAVAILABLE || map.contains_key(&headers::OUTCOME) {
             return Ok(None);
--- a/crates/thymeshift_wire/src/retry_after.rs
+++ b/crates/thymeshift_wire/src/retry_after.rs
@@ -17,15 +17,15 @@
 /// A value that cannot be read. It asks for nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("header retry-after: expected seconds from 0 on, or a date beside the answer's Date")]
-pub struct RetryAfterMistake;
+pub struct RetryAfterError;
 
 /// Reads the time to wait; the longest, if there are several.
-pub fn read_retry_after(map: &HeaderMap) -> Result<Option<Duration>, RetryAfterMistake> {
+pub fn read_retry_after(map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
     // A date is compared with the sender's own clock: clocks may differ by seconds.
     let sent_at = map.get(DATE).and_then(date);
     let mut longest = None;
     for value in map.get_all(RETRY_AFTER) {
-        let wait = seconds(value).or_else(|| until(value, sent_at?)).ok_or(RetryAfterMistake)?;
+        let wait = seconds(value).or_else(|| until(value, sent_at?)).ok_or(RetryAfterError)?;
         longest = longest.max(Some(wait));
     }
     Ok(longest)
