--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -82,7 +82,7 @@
 pub use retry_after::RetryAfterError;
 pub use retry_after::read_retry_after;
 pub use silence::KEEPALIVE_INTERVAL;
-pub use silence::UNANSWERED_MAX;
+pub use silence::KEEPALIVE_PROBES_MAX;
 pub use silence::UNCONFIRMED_MAX;
 pub use silence::end_if_silent;
 pub use transport::CALLS_PER_CONNECTION_MAX;
--- a/crates/thymeshift_wire/src/silence.rs
+++ b/crates/thymeshift_wire/src/silence.rs
@@ -18,7 +18,7 @@
 /// Time without a byte after which the other side is asked; the kernel takes whole seconds.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Questions without an answer after which the connection ends, one each [`KEEPALIVE_INTERVAL`].
-pub const UNANSWERED_MAX: u32 = 2;
+pub const KEEPALIVE_PROBES_MAX: u32 = 2;
 /// Time after which bytes that were not confirmed end the connection: three repeats of a lost
 /// packet fit in, which the kernel sends 0.2, 0.6 and 1.4 s after the first.
 pub const UNCONFIRMED_MAX: Duration = Duration::from_millis(1_500);
@@ -29,7 +29,7 @@
     set_socket_keepalive(stream, true)?;
     set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
     set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
-    set_tcp_keepcnt(stream, UNANSWERED_MAX)?;
+    set_tcp_keepcnt(stream, KEEPALIVE_PROBES_MAX)?;
     set_tcp_user_timeout(stream, UNCONFIRMED_MAX.as_millis() as u32)?;
     Ok(())
 }
--- a/crates/thymeshift_wire/tests/silence.rs
+++ b/crates/thymeshift_wire/tests/silence.rs
@@ -9,7 +9,7 @@
 use rustix::net::sockopt::tcp_keepidle;
 use rustix::net::sockopt::tcp_keepintvl;
 use rustix::net::sockopt::tcp_user_timeout;
-use thymeshift_wire::UNANSWERED_MAX;
+use thymeshift_wire::KEEPALIVE_PROBES_MAX;
 use thymeshift_wire::UNCONFIRMED_MAX;
 use thymeshift_wire::end_if_silent;
 use tokio::net::TcpListener;
@@ -26,7 +26,7 @@
     let idle = tcp_keepidle(&stream).expect("an option");
     let between = tcp_keepintvl(&stream).expect("an option");
     let count = tcp_keepcnt(&stream).expect("an option");
-    assert_eq!(count, UNANSWERED_MAX);
+    assert_eq!(count, KEEPALIVE_PROBES_MAX);
     assert!(idle + between * count <= Duration::from_secs(3), "while it is idle");
     let unconfirmed_ms = tcp_user_timeout(&stream).expect("an option");
     assert_eq!(u128::from(unconfirmed_ms), UNCONFIRMED_MAX.as_millis(), "while it is in use");
