--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -83,7 +83,7 @@
 pub use retry_after::read_retry_after;
 pub use silence::KEEPALIVE_INTERVAL;
 pub use silence::KEEPALIVE_PROBES_MAX;
-pub use silence::UNCONFIRMED_MAX;
+pub use silence::UNACKNOWLEDGED_DATA_TIMEOUT;
 pub use silence::end_if_silent;
 pub use transport::CALLS_PER_CONNECTION_MAX;
 pub use transport::ControlChannel;
--- a/crates/thymeshift_wire/src/silence.rs
+++ b/crates/thymeshift_wire/src/silence.rs
@@ -21,7 +21,7 @@
 pub const KEEPALIVE_PROBES_MAX: u32 = 2;
 /// Time after which bytes that were not confirmed end the connection: three repeats of a lost
 /// packet fit in, which the kernel sends 0.2, 0.6 and 1.4 s after the first.
-pub const UNCONFIRMED_MAX: Duration = Duration::from_millis(1_500);
+pub const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Has the kernel end the connection when the other side falls silent: it then fails like one that
 /// was reset.
@@ -30,6 +30,6 @@
     set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
     set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
     set_tcp_keepcnt(stream, KEEPALIVE_PROBES_MAX)?;
-    set_tcp_user_timeout(stream, UNCONFIRMED_MAX.as_millis() as u32)?;
+    set_tcp_user_timeout(stream, UNACKNOWLEDGED_DATA_TIMEOUT.as_millis() as u32)?;
     Ok(())
 }
--- a/crates/thymeshift_wire/tests/silence.rs
+++ b/crates/thymeshift_wire/tests/silence.rs
@@ -10,7 +10,7 @@
 use rustix::net::sockopt::tcp_keepintvl;
 use rustix::net::sockopt::tcp_user_timeout;
 use thymeshift_wire::KEEPALIVE_PROBES_MAX;
-use thymeshift_wire::UNCONFIRMED_MAX;
+use thymeshift_wire::UNACKNOWLEDGED_DATA_TIMEOUT;
 use thymeshift_wire::end_if_silent;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
@@ -29,5 +29,5 @@
     assert_eq!(count, KEEPALIVE_PROBES_MAX);
     assert!(idle + between * count <= Duration::from_secs(3), "while it is idle");
     let unconfirmed_ms = tcp_user_timeout(&stream).expect("an option");
-    assert_eq!(u128::from(unconfirmed_ms), UNCONFIRMED_MAX.as_millis(), "while it is in use");
+    assert_eq!(u128::from(unconfirmed_ms), UNACKNOWLEDGED_DATA_TIMEOUT.as_millis(), "while it is in use");
 }
