--- a/crates/thymeshift_entry/src/control_plane/accept.rs
+++ b/crates/thymeshift_entry/src/control_plane/accept.rs
@@ -6,7 +6,7 @@
 use spdlog::debug;
 use spdlog::warn;
 use thymeshift_supervisor::TaskError;
-use thymeshift_wire::end_if_silent;
+use thymeshift_wire::set_dead_peer_timeouts;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
@@ -37,7 +37,7 @@
                 continue;
             }
         };
-        if let Err(error) = end_if_silent(&stream) {
+        if let Err(error) = set_dead_peer_timeouts(&stream) {
             // It went away in this very moment, or is served without.
             debug!("silence_unbounded", kv: { error: = error });
         }
--- a/crates/thymeshift_entry/src/target_client/pool.rs
+++ b/crates/thymeshift_entry/src/target_client/pool.rs
@@ -25,7 +25,7 @@
 use thymeshift_types::Clock;
 use thymeshift_types::ServiceName;
 use thymeshift_types::Timestamp;
-use thymeshift_wire::end_if_silent;
+use thymeshift_wire::set_dead_peer_timeouts;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
@@ -130,7 +130,7 @@
         let opening = async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
-            end_if_silent(&stream)?;
+            set_dead_peer_timeouts(&stream)?;
             io::Result::Ok(stream)
         };
         let Ok(opened) = timeout(limit, opening).await else {
--- a/crates/thymeshift_wire/src/silence.rs
+++ b/crates/thymeshift_wire/src/dead_peer.rs
@@ -25,7 +25,7 @@
 
 /// Has the kernel end the connection when the other side falls silent: it then fails like one that
 /// was reset.
-pub fn end_if_silent(stream: &TcpStream) -> io::Result<()> {
+pub fn set_dead_peer_timeouts(stream: &TcpStream) -> io::Result<()> {
     set_socket_keepalive(stream, true)?;
     set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
     set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
--- a/crates/thymeshift_wire/src/transport.rs
+++ b/crates/thymeshift_wire/src/transport.rs
@@ -32,7 +32,7 @@
 use crate::control::ControlResponse;
 use crate::peer::PeerLinkRequest;
 use crate::peer::PeerLinkResponse;
-use crate::silence::end_if_silent;
+use crate::dead_peer::set_dead_peer_timeouts;
 
 /// Longest frame, in bytes. Checked before anything is allocated for it.
 const FRAME_BYTES_MAX: usize = MESSAGE_BYTES_MAX;
@@ -78,7 +78,7 @@
     };
     let stream = opened.map_err(|source| LinkError::Refused { address, source })?;
     stream.set_nodelay(true).map_err(|source| LinkError::Refused { address, source })?;
-    end_if_silent(&stream).map_err(|source| LinkError::Refused { address, source })?;
+    set_dead_peer_timeouts(&stream).map_err(|source| LinkError::Refused { address, source })?;
     Ok(stream)
 }
 
--- a/crates/thymeshift_wire/tests/silence.rs
+++ b/crates/thymeshift_wire/tests/dead_peer.rs
@@ -11,7 +11,7 @@
 use rustix::net::sockopt::tcp_user_timeout;
 use thymeshift_wire::KEEPALIVE_PROBES_MAX;
 use thymeshift_wire::UNACKNOWLEDGED_DATA_TIMEOUT;
-use thymeshift_wire::end_if_silent;
+use thymeshift_wire::set_dead_peer_timeouts;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
@@ -21,7 +21,7 @@
     let address = listener.local_addr().expect("an address");
     let stream = TcpStream::connect(address).await.expect("a connection");
     assert!(!socket_keepalive(&stream).expect("an option"), "as the kernel makes it");
-    end_if_silent(&stream).expect("options");
+    set_dead_peer_timeouts(&stream).expect("options");
     assert!(socket_keepalive(&stream).expect("an option"));
     let idle = tcp_keepidle(&stream).expect("an option");
     let between = tcp_keepintvl(&stream).expect("an option");
