--- a/crates/thymeshift_wire/src/counted.rs
+++ b/crates/thymeshift_wire/src/counted.rs
@@ -34,18 +34,18 @@
 
 /// A stream that counts.
 #[derive(Debug)]
-pub struct CountedStream {
+pub struct ByteCountingStream {
     stream: TcpStream,
     bytes: Arc<LinkBytes>,
 }
 
-impl CountedStream {
+impl ByteCountingStream {
     pub(crate) fn new(stream: TcpStream, bytes: Arc<LinkBytes>) -> Self {
         Self { stream, bytes }
     }
 }
 
-impl AsyncRead for CountedStream {
+impl AsyncRead for ByteCountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -59,7 +59,7 @@
     }
 }
 
-impl AsyncWrite for CountedStream {
+impl AsyncWrite for ByteCountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -41,7 +41,7 @@
 pub use control::Explanation;
 pub use control::OrderAnswer;
 pub use control::OrderRequest;
-pub use counted::CountedStream;
+pub use counted::ByteCountingStream;
 pub use counted::LinkBytes;
 pub use datagram::Acquire;
 pub use datagram::AllocatorAddress;
--- a/crates/thymeshift_wire/src/transport.rs
+++ b/crates/thymeshift_wire/src/transport.rs
@@ -23,7 +23,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::ControlClient;
-use crate::CountedStream;
+use crate::ByteCountingStream;
 use crate::LinkBytes;
 use crate::PeerLinkClient;
 use crate::codec::MESSAGE_BYTES_MAX;
@@ -88,7 +88,7 @@
     limit: Duration,
     bytes: &Arc<LinkBytes>,
 ) -> Result<PeerLinkClient, LinkError> {
-    let stream = CountedStream::new(open(address, limit).await?, bytes.clone());
+    let stream = ByteCountingStream::new(open(address, limit).await?, bytes.clone());
     Ok(PeerLinkClient::new(client::Config::default(), transport(stream)).spawn())
 }
 
@@ -111,7 +111,7 @@
 /// The server's side of a peer's connection: execute it with a [`crate::PeerLink`].
 /// The bytes of the link are added to `bytes`.
 pub fn peer_channel(stream: TcpStream, bytes: &Arc<LinkBytes>) -> PeerChannel {
-    let stream = CountedStream::new(stream, bytes.clone());
+    let stream = ByteCountingStream::new(stream, bytes.clone());
     BaseChannel::new(server_config(), transport(stream))
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// See [`peer_channel`].
-pub type PeerChannel = ServerChannel<PeerLinkRequest, PeerLinkResponse, CountedStream>;
+pub type PeerChannel = ServerChannel<PeerLinkRequest, PeerLinkResponse, ByteCountingStream>;
 /// See [`control_channel`].
 pub type ControlChannel = ServerChannel<ControlRequest, ControlResponse, TcpStream>;
 
