--- a/crates/thymeshift_config/src/configuration.rs
+++ b/crates/thymeshift_config/src/configuration.rs
@@ -8,7 +8,7 @@
 use thymeshift_types::ServiceName;
 use thymeshift_types::TargetName;
 
-use crate::Discovered;
+use crate::DiscoveredTarget;
 use crate::Discovery;
 use crate::Kind;
 use crate::Limits;
@@ -99,7 +99,7 @@
         let mut joined = self.clone();
         for service in &mut joined.services {
             let found = discovery.targets.iter().filter(|found| found.service == service.name);
-            let found: Vec<&Discovered> = found.collect();
+            let found: Vec<&DiscoveredTarget> = found.collect();
             if let Some(slots) = found.iter().map(|found| found.slots).max() {
                 service.slots_per_target = slots;
             }
--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -32,7 +32,7 @@
 
 /// One discovered target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Discovered {
+pub struct DiscoveredTarget {
     /// The service whose work it does.
     pub service: ServiceName,
     /// Requests that it runs at a time.
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Discovery {
     /// The targets, of all services.
-    pub targets: Vec<Discovered>,
+    pub targets: Vec<DiscoveredTarget>,
     /// Data halls whose targets get no new work.
     pub drained_halls: Vec<DataHallName>,
     /// Items that cannot be used.
@@ -64,7 +64,7 @@
 /// One item of the list.
 #[derive(Debug, Clone)]
 enum Item {
-    Target(Discovered),
+    Target(DiscoveredTarget),
     DrainedHall(DataHallName),
     LeftOut(LeftOut),
 }
@@ -87,12 +87,12 @@
         let names: HashSet<&str> = listed.chain(left_out).collect();
         let addresses: HashSet<SocketAddr> =
             self.targets.iter().map(|listed| listed.target.address).collect();
-        let is_listed = |kept: &Discovered| {
+        let is_listed = |kept: &DiscoveredTarget| {
             names.contains(kept.target.name.as_str()) || addresses.contains(&kept.target.address)
         };
         let served =
             before.targets.iter().filter(|known| known.target.state == TargetState::Serving);
-        let kept: Vec<Discovered> = served.filter(|known| !is_listed(known)).cloned().collect();
+        let kept: Vec<DiscoveredTarget> = served.filter(|known| !is_listed(known)).cloned().collect();
         let count = kept.len();
         let targets = self.targets.iter().cloned().chain(kept).collect();
         (Self { targets, ..self.clone() }, count)
@@ -208,11 +208,11 @@
             map.finish();
             return Some(Self::DrainedHall(hall));
         }
-        Discovered::read(map).map(Self::Target)
+        DiscoveredTarget::read(map).map(Self::Target)
     }
 }
 
-impl Discovered {
+impl DiscoveredTarget {
     fn read(mut map: MapReader<'_, '_>) -> Option<Self> {
         let service = map.required("service");
         let slots = map.number_or("slots", 1..=100_000, 1);
--- a/crates/thymeshift_config/src/lib.rs
+++ b/crates/thymeshift_config/src/lib.rs
@@ -21,7 +21,7 @@
 mod tree;
 
 pub use configuration::Configuration;
-pub use discovery::Discovered;
+pub use discovery::DiscoveredTarget;
 pub use discovery::Discovery;
 pub use discovery::DiscoveryReader;
 pub use discovery::LeftOut;
