--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -81,7 +81,7 @@
 
     /// These targets, and those that served `before` and are missing here, unless their
     /// address is in use again or their own item was left out. Returns how many were kept, too.
-    pub fn keeping(&self, before: &Self) -> (Self, usize) {
+    pub fn retaining_missing(&self, before: &Self) -> (Self, usize) {
         let listed = self.targets.iter().map(|listed| listed.target.name.as_str());
         let left_out = self.left_out.iter().map(|left| left.name.as_str());
         let names: HashSet<&str> = listed.chain(left_out).collect();
--- a/crates/thymeshift_config/tests/discovery.rs
+++ b/crates/thymeshift_config/tests/discovery.rs
@@ -62,7 +62,7 @@
     ];
     for Case { note, before, listed, kept } in cases {
         let listed = if listed.is_empty() { Discovery::default() } else { discovery(listed) };
-        let (joined, count) = listed.keeping(&discovery(before));
+        let (joined, count) = listed.retaining_missing(&discovery(before));
         assert_eq!(count, kept.len(), "{note}");
         let names: Vec<&str> = joined.targets[listed.targets.len()..]
             .iter()
@@ -138,7 +138,7 @@
     };
     let (before, after) = (list(0), list(10));
     let begun = std::time::Instant::now();
-    let (kept, count) = after.keeping(&before);
+    let (kept, count) = after.retaining_missing(&before);
     let taken = begun.elapsed();
     assert!(taken < LIMIT, "{taken:?}");
     assert_eq!(count, 10);
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -225,7 +225,7 @@
             self.discovery = Some(listed);
             return 0;
         };
-        let (kept, count) = listed.keeping(&before);
+        let (kept, count) = listed.retaining_missing(&before);
         self.discovery = Some(kept);
         self.listed_targets = (count > 0).then_some(listed);
         count
