--- a/crates/thymeshift_telemetry/src/lib.rs
+++ b/crates/thymeshift_telemetry/src/lib.rs
@@ -8,7 +8,7 @@
 mod line_budget;
 mod logging;
 pub mod metric;
-mod unblocking_sink;
+mod non_blocking_sink;
 
 pub use format::KeyValueFormatter;
 pub use line_budget::LineBudget;
@@ -16,4 +16,4 @@
 pub use logging::start_logging;
 pub use metric::MetricsText;
 pub use metric::start_metrics;
-pub use unblocking_sink::take_unwritten_lines;
+pub use non_blocking_sink::take_unwritten_lines;
--- a/crates/thymeshift_telemetry/src/logging.rs
+++ b/crates/thymeshift_telemetry/src/logging.rs
@@ -12,7 +12,7 @@
 use thymeshift_config::LogLevel;
 
 use crate::KeyValueFormatter;
-use crate::unblocking_sink::UnblockingSink;
+use crate::non_blocking_sink::NonBlockingSink;
 
 /// The log could not be started.
 #[derive(Debug, Display, Error, From)]
@@ -30,7 +30,7 @@
         LogLevel::Debug => Level::Debug,
     });
     let logger =
-        Logger::builder().sink(Arc::new(UnblockingSink::new(sink))).level_filter(filter).build()?;
+        Logger::builder().sink(Arc::new(NonBlockingSink::new(sink))).level_filter(filter).build()?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
--- a/crates/thymeshift_telemetry/src/unblocking_sink.rs
+++ b/crates/thymeshift_telemetry/src/non_blocking_sink.rs
@@ -32,17 +32,17 @@
 }
 
 /// A sink to standard output that drops what would have to wait.
-pub(crate) struct UnblockingSink {
+pub(crate) struct NonBlockingSink {
     stream: StdStreamSink,
 }
 
-impl UnblockingSink {
+impl NonBlockingSink {
     pub(crate) fn new(stream: StdStreamSink) -> Self {
         Self { stream }
     }
 }
 
-impl Sink for UnblockingSink {
+impl Sink for NonBlockingSink {
     fn log(&self, record: &Record) -> Result<(), Error> {
         if takes_more() {
             return self.stream.log(record);
@@ -56,7 +56,7 @@
     }
 }
 
-impl SinkPropAccess for UnblockingSink {
+impl SinkPropAccess for NonBlockingSink {
     fn level_filter(&self) -> LevelFilter {
         self.stream.level_filter()
     }
