--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -9,7 +9,7 @@
 use spdlog::warn;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
-use thymeshift_telemetry::take_unwritten_lines;
+use thymeshift_telemetry::take_dropped_lines;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
 use thymeshift_types::Timestamp;
@@ -84,7 +84,7 @@
     if left_out > 0 {
         warn!("request_lines_left_out", kv: { count = left_out });
     }
-    let unwritten = take_unwritten_lines();
+    let unwritten = take_dropped_lines();
     if unwritten > 0 {
         warn!("log_lines_unwritten", kv: { count = unwritten });
     }
--- a/crates/thymeshift_telemetry/src/lib.rs
+++ b/crates/thymeshift_telemetry/src/lib.rs
@@ -16,4 +16,4 @@
 pub use logging::start_logging;
 pub use metric::MetricsText;
 pub use metric::start_metrics;
-pub use non_blocking_sink::take_unwritten_lines;
+pub use non_blocking_sink::take_dropped_lines;
--- a/crates/thymeshift_telemetry/src/non_blocking_sink.rs
+++ b/crates/thymeshift_telemetry/src/non_blocking_sink.rs
@@ -27,7 +27,7 @@
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
 /// Lines that were left out, since the last call, because standard output took no more.
-pub fn take_unwritten_lines() -> u64 {
+pub fn take_dropped_lines() -> u64 {
     LEFT_OUT.swap(0, Ordering::Relaxed)
 }
 
