--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -25,7 +25,7 @@
 use thymeshift_fleet::VisibleMembers;
 use thymeshift_fleet::ranked;
 use thymeshift_supervisor::Statuses;
-use thymeshift_telemetry::LineBudget;
+use thymeshift_telemetry::LogRateLimiter;
 use thymeshift_telemetry::MetricsText;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
@@ -97,7 +97,7 @@
     pub(crate) pending_acquires_receiver: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
     pub(crate) unknown_headers: UnknownHeaders,
     /// Rate limit of log lines about single requests.
-    pub(crate) request_log_budget: LineBudget,
+    pub(crate) request_log_budget: LogRateLimiter,
     /// Whether this process waits for a document from its parent in the data hall's relay tree.
     pub(crate) is_awaiting_relay: AtomicBool,
     /// Whether this process waits for [`Shared::list_fetch_delay`] before it fetches a list of targets.
@@ -138,7 +138,7 @@
             unknown_headers: UnknownHeaders::default(),
             request_queued: Arc::default(),
             group_activated: Arc::default(),
-            request_log_budget: LineBudget::new(REQUEST_LOG_LINES_PER_S),
+            request_log_budget: LogRateLimiter::new(REQUEST_LOG_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
             is_list_fetch_delayed: AtomicBool::new(false),
             list_pace: Mutex::default(),
--- a/crates/thymeshift_telemetry/src/lib.rs
+++ b/crates/thymeshift_telemetry/src/lib.rs
@@ -5,13 +5,13 @@
 //! * [`metric`] names every metric, and [`start_metrics`] collects them for Prometheus.
 
 mod format;
-mod line_budget;
+mod log_rate_limiter;
 mod logging;
 pub mod metric;
 mod non_blocking_sink;
 
 pub use format::KeyValueFormatter;
-pub use line_budget::LineBudget;
+pub use log_rate_limiter::LogRateLimiter;
 pub use logging::StartError;
 pub use logging::start_logging;
 pub use metric::MetricsText;
--- a/crates/thymeshift_telemetry/src/line_budget.rs
+++ b/crates/thymeshift_telemetry/src/log_rate_limiter.rs
@@ -13,14 +13,14 @@
 
 /// Counts lines; shared by all that write them.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LogRateLimiter {
     lines_per_s: u64,
     window: AtomicU64,
     written: AtomicU64,
     left_out: AtomicU64,
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// A budget of so many lines a second.
     pub const fn new(lines_per_s: u64) -> Self {
         Self {
