--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -80,7 +80,7 @@
 }
 
 fn keep_house(shared: &Shared, now: Timestamp) {
-    let left_out = shared.request_log_budget.take_left_out();
+    let left_out = shared.request_log_budget.take_suppressed();
     if left_out > 0 {
         warn!("request_lines_left_out", kv: { count = left_out });
     }
--- a/crates/thymeshift_telemetry/src/log_rate_limiter.rs
+++ b/crates/thymeshift_telemetry/src/log_rate_limiter.rs
@@ -46,7 +46,7 @@
     }
 
     /// Lines left out since this was last asked.
-    pub fn take_left_out(&self) -> u64 {
+    pub fn take_suppressed(&self) -> u64 {
         self.left_out.swap(0, Ordering::Relaxed)
     }
 }
--- a/crates/thymeshift_telemetry/tests/log_rate_limiter.rs
+++ b/crates/thymeshift_telemetry/tests/log_rate_limiter.rs
@@ -7,10 +7,10 @@
     let budget = LogRateLimiter::new(3);
     let written = (0..10).filter(|index| budget.allows(5_000_000 + index)).count();
     assert_eq!(written, 3);
-    assert_eq!(budget.take_left_out(), 7);
-    assert_eq!(budget.take_left_out(), 0, "handed out once");
+    assert_eq!(budget.take_suppressed(), 7);
+    assert_eq!(budget.take_suppressed(), 0, "handed out once");
     assert!(budget.allows(6_000_000), "the next second");
-    assert_eq!(budget.take_left_out(), 0);
+    assert_eq!(budget.take_suppressed(), 0);
 }
 
 #[test]
