--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -143,7 +143,7 @@
         }
         let (view, by) =
             if has_allocators { (View::Fallback, "fallback") } else { (View::Own, "alone") };
-        counter!(metric::OBTAINED, "by" => by).increment(1);
+        counter!(metric::TARGETS_OBTAINED, "by" => by).increment(1);
         match self.admit(request, view, BootClock.now()) {
             LocalDecision::Send(grant) => Ok(grant),
             LocalDecision::Refused(refusal) => Err(Some(refusal)),
@@ -353,7 +353,7 @@
                         AllocatorHandle::Local(_) => "here",
                         AllocatorHandle::Remote(_) => "allocator",
                     };
-                    counter!(metric::OBTAINED, "by" => by).increment(1);
+                    counter!(metric::TARGETS_OBTAINED, "by" => by).increment(1);
                     return self.accept_lease(acquisition, &group, &granted);
                 }
                 Ok(Some(AcquireReply::Refused(refusal))) => {
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -54,7 +54,7 @@
 /// Grants that were given back unused: whoever granted did not know of the target's limit.
 pub const UNCOUNTED_GRANTS: &str = "thymeshift_uncounted_grants_total";
 /// Targets obtained, by `by` (`allocator`, `here`, `alone`, `fallback`).
-pub const OBTAINED: &str = "thymeshift_targets_obtained_total";
+pub const TARGETS_OBTAINED: &str = "thymeshift_targets_obtained_total";
 /// Exchanges with peers, by `result` (`answered`, `failed`).
 pub const PEER_EXCHANGES: &str = "thymeshift_peer_exchanges_total";
 /// Bytes over links to and from peers since start, by `way` (`received`, `sent`).
