--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -59,7 +59,7 @@
     let metrics = &shared.metrics;
     gauge!(metric::TICK_LATE_SECONDS).set(late_max.as_secs_f64());
     let in_flight = metrics.requests_in_flight.load(Ordering::Relaxed);
-    gauge!(metric::IN_FLIGHT).set(in_flight as f64);
+    gauge!(metric::REQUESTS_IN_FLIGHT).set(in_flight as f64);
     gauge!(metric::PEER_BYTES, "way" => "received").set(shared.links.bytes().received() as f64);
     gauge!(metric::PEER_BYTES, "way" => "sent").set(shared.links.bytes().sent() as f64);
     let connections = metrics.caller_connections.load(Ordering::Relaxed);
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -12,7 +12,7 @@
 /// Time from reading a request's head to the head of its answer, in seconds, by `kind`.
 pub const REQUEST_SECONDS: &str = "thymeshift_request_seconds";
 /// Requests in flight.
-pub const IN_FLIGHT: &str = "thymeshift_requests_in_flight";
+pub const REQUESTS_IN_FLIGHT: &str = "thymeshift_requests_in_flight";
 /// Connections from callers.
 pub const CALLER_CONNECTIONS: &str = "thymeshift_caller_connections";
 /// Connections from callers that were closed at once because there were too many.
