--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -260,7 +260,7 @@
     }
 
     fn begin<D: Dialect>(&self, shared: &Arc<Shared>, caller: SocketAddr, parts: Parts) {
-        counter!(metric::REQUESTS_AHEAD).increment(1);
+        counter!(metric::PIPELINED_REQUESTS).increment(1);
         shared.metrics.pipelined_requests.fetch_add(1, Ordering::Relaxed);
         let request = Request::from_parts(parts, None);
         let answer = tokio::spawn(handle::<D>(shared.clone(), caller, request));
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -34,7 +34,7 @@
 /// Requests refused because they carried no known key.
 pub const UNKNOWN_KEYS: &str = "thymeshift_unknown_keys_total";
 /// Requests begun while one before them on their connection was under way.
-pub const REQUESTS_AHEAD: &str = "thymeshift_requests_ahead_total";
+pub const PIPELINED_REQUESTS: &str = "thymeshift_requests_ahead_total";
 /// Probes sent, by `service`.
 pub const PROBES: &str = "thymeshift_probes_total";
 /// Target time spent on measuring, in microseconds, by `service`.
