--- a/crates/thymeshift_entry/src/caller/listener.rs
+++ b/crates/thymeshift_entry/src/caller/listener.rs
@@ -53,7 +53,7 @@
         };
         let limits = limits(&shared);
         let Some(counted) = Counted::new(&shared, &limits) else {
-            counter!(metric::CALLERS_TURNED_AWAY).increment(1);
+            counter!(metric::CALLER_CONNECTIONS_REJECTED).increment(1);
             continue;
         };
         if let Err(error) = prepare(&stream) {
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -16,7 +16,7 @@
 /// Connections from callers.
 pub const CALLER_CONNECTIONS: &str = "thymeshift_caller_connections";
 /// Connections from callers that were closed at once because there were too many.
-pub const CALLERS_TURNED_AWAY: &str = "thymeshift_callers_turned_away_total";
+pub const CALLER_CONNECTIONS_REJECTED: &str = "thymeshift_callers_turned_away_total";
 /// Connections opened to targets, by `service`.
 pub const TARGET_CONNECTIONS_OPENED: &str = "thymeshift_target_connections_opened_total";
 /// Connections lost while a target had a request, by `service`.
