--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -47,7 +47,7 @@
         drop(fleet);
         log_offer("configuration", offer, published, source, rejection);
         if offer == OfferOutcome::Adopted {
-            gauge!(metric::REVISION).set(published.head().revision.as_u64() as f64);
+            gauge!(metric::CONFIGURATION_REVISION).set(published.head().revision.as_u64() as f64);
             self.announce_document();
         }
         offer
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -40,7 +40,7 @@
 /// Target time spent on measuring, in microseconds, by `service`.
 pub const MEASURING_US: &str = "thymeshift_measuring_us_total";
 /// Revision of the configuration in force.
-pub const REVISION: &str = "thymeshift_configuration_revision";
+pub const CONFIGURATION_REVISION: &str = "thymeshift_configuration_revision";
 /// Data halls whose targets get no new work.
 pub const DRAINED_HALLS: &str = "thymeshift_drained_halls";
 /// Entries of the list of targets that cannot be used.
