--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -79,7 +79,7 @@
             unknown: result("unknown"),
             failed: result("failed"),
             retries: ReadableCounter::new(counter!(metric::RETRIES, "kind" => name.clone())),
-            waited: ReadableCounter::new(counter!(metric::WAITED, "kind" => name.clone())),
+            waited: ReadableCounter::new(counter!(metric::REQUESTS_WAITED, "kind" => name.clone())),
             duration_seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
             answer_bytes: AtomicU64::new(0),
             patience: Mutex::default(),
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -8,7 +8,7 @@
 /// Attempts after the first, by `kind`.
 pub const RETRIES: &str = "thymeshift_retries_total";
 /// Requests that waited for a target, by `kind`.
-pub const WAITED: &str = "thymeshift_waited_total";
+pub const REQUESTS_WAITED: &str = "thymeshift_waited_total";
 /// Time from reading a request's head to the head of its answer, in seconds, by `kind`.
 pub const REQUEST_SECONDS: &str = "thymeshift_request_seconds";
 /// Requests in flight.
