--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -21,7 +21,7 @@
 use crate::tree::Content;
 use crate::tree::Entry;
 use crate::tree::Node;
-use crate::tree::Place;
+use crate::tree::Location;
 
 /// Smallest likeness at which a known field is suggested for an unknown one.
 const SUGGESTION_LIKENESS_MIN: f64 = 0.7;
@@ -55,18 +55,18 @@
     expected: impl Into<String>,
     mistakes: &mut Mistakes,
 ) -> Option<T> {
-    add(node.place, path, node.to_string(), expected.into(), mistakes);
+    add(node.location, path, node.to_string(), expected.into(), mistakes);
     None
 }
 
 pub(crate) fn add(
-    place: Place,
+    location: Location,
     path: &str,
     found: String,
     expected: String,
     mistakes: &mut Mistakes,
 ) {
-    let Place { line, column } = place;
+    let Location { line, column } = location;
     mistakes.add(Mistake { line, column, field: path.to_owned(), found, expected });
 }
 
@@ -89,7 +89,7 @@
 /// Reads the fields of one map and at the end reports those nobody asked for.
 pub(crate) struct MapReader<'n, 'm> {
     entries: &'n [Entry],
-    place: Place,
+    location: Location,
     path: String,
     known: Vec<&'static str>,
     mistakes: &'m mut Mistakes,
@@ -102,7 +102,7 @@
             return refuse(node, path, "a map", mistakes);
         };
         let known = Vec::new();
-        Some(Self { entries, place: node.place, path: path.to_owned(), known, mistakes })
+        Some(Self { entries, location: node.location, path: path.to_owned(), known, mistakes })
     }
 
     /// A field that must be there.
@@ -110,7 +110,7 @@
         let Some(node) = self.find(name) else {
             let path = self.path_of(name);
             let expected = format!("the field '{name}'");
-            add(self.place, &path, "nothing".to_owned(), expected, self.mistakes);
+            add(self.location, &path, "nothing".to_owned(), expected, self.mistakes);
             return None;
         };
         T::decode(node, &self.path_of(name), self.mistakes)
@@ -182,8 +182,8 @@
             return Some(Some((value * parts).round() as u64));
         }
         let expected = format!("a number from {} to {}", range.start(), range.end());
-        let place = self.find(name).map_or(self.place, |node| node.place);
-        add(place, &self.path_of(name), format!("'{value}'"), expected, self.mistakes);
+        let location = self.find(name).map_or(self.location, |node| node.location);
+        add(location, &self.path_of(name), format!("'{value}'"), expected, self.mistakes);
         None
     }
 
@@ -209,10 +209,10 @@
         if range.contains(&value) {
             return Some(value);
         }
-        let place = self.find(name).map_or(self.place, |node| node.place);
+        let location = self.find(name).map_or(self.location, |node| node.location);
         let path = self.path_of(name);
         let expected = format!("a number from {} to {}", range.start(), range.end());
-        add(place, &path, format!("'{value}'"), expected, self.mistakes);
+        add(location, &path, format!("'{value}'"), expected, self.mistakes);
         None
     }
 
@@ -323,7 +323,7 @@
         let digest = text.parse().ok();
         if digest.is_none() {
             // What stands there may be the key itself, which is to be shown nowhere.
-            add(node.place, path, "another text".to_owned(), expected.to_owned(), mistakes);
+            add(node.location, path, "another text".to_owned(), expected.to_owned(), mistakes);
         }
         digest
     }
--- a/crates/thymeshift_config/src/tree.rs
+++ b/crates/thymeshift_config/src/tree.rs
@@ -23,12 +23,12 @@
 
 /// Where a node starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub(crate) line: usize,
     pub(crate) column: usize,
 }
 
-impl Place {
+impl Location {
     fn of(marker: &Marker) -> Self {
         Self { line: marker.line(), column: marker.col() + 1 }
     }
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) key: String,
-    pub(crate) key_place: Place,
+    pub(crate) key_place: Location,
     pub(crate) value: Node,
 }
 
@@ -57,7 +57,7 @@
 /// A node and its place.
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) content: Content,
 }
 
@@ -97,7 +97,7 @@
     }
 
     /// The place of the node at `path`, or of the deepest one on the way that exists.
-    pub(crate) fn place_of(&self, path: &str) -> Place {
+    pub(crate) fn place_of(&self, path: &str) -> Location {
         let mut node = self;
         for step in path.split(['.', '[']).filter(|step| !step.is_empty()) {
             let next = match (&node.content, step.strip_suffix(']')) {
@@ -112,7 +112,7 @@
             let Some(next) = next else { break };
             node = next;
         }
-        node.place
+        node.location
     }
 }
 
@@ -159,7 +159,7 @@
         if depth > DEPTH_MAX {
             return Err(mistake(span, "nesting too deep", "at most 24 levels"));
         }
-        let place = Place::of(&span.start);
+        let location = Location::of(&span.start);
         let content = match event {
             Event::Scalar(text, style, _, None) => scalar(text, style),
             Event::SequenceStart(_, None) => Content::List(self.list(depth)?),
@@ -167,7 +167,7 @@
             Event::Alias(_) => return Err(mistake(span, "an alias", "the value itself")),
             _ => return Err(mistake(span, "a tag", "a value without tag")),
         };
-        Ok(Node { place, content })
+        Ok(Node { location, content })
     }
 
     fn list(&mut self, depth: usize) -> Result<Vec<Node>, Mistake> {
@@ -194,7 +194,7 @@
             if entries.iter().any(|entry| entry.key == key) {
                 return Err(mistake(span, &format!("'{key}' a second time"), "each field once"));
             }
-            let key_place = Place::of(&span.start);
+            let key_place = Location::of(&span.start);
             let (event, span) = self.next()?;
             let value = self.node(event, span, depth + 1)?;
             entries.push(Entry { key: key.into_owned(), key_place, value });
@@ -210,7 +210,7 @@
 }
 
 fn mistake(span: Span, found: &str, expected: &str) -> Mistake {
-    let Place { line, column } = Place::of(&span.start);
+    let Location { line, column } = Location::of(&span.start);
     Mistake {
         line,
         column,
@@ -221,7 +221,7 @@
 }
 
 fn syntax_mistake(error: &ScanError) -> Mistake {
-    let Place { line, column } = Place::of(error.marker());
+    let Location { line, column } = Location::of(error.marker());
     Mistake {
         line,
         column,
--- a/crates/thymeshift_config/src/tree/json_lines.rs
+++ b/crates/thymeshift_config/src/tree/json_lines.rs
@@ -21,7 +21,7 @@
 use crate::tree::Content;
 use crate::tree::Entry;
 use crate::tree::Node;
-use crate::tree::Place;
+use crate::tree::Location;
 
 /// Openings of lists and maps in one line above which the general reader looks at the depth.
 const OPENINGS_MAX: usize = 20;
@@ -33,7 +33,7 @@
     let mut entries: Vec<Entry> = Vec::new();
     let mut lines = text.lines().enumerate().peekable();
     while let Some((number, line)) = lines.next() {
-        let place = place(number);
+        let location = location(number);
         let (key, rest) = line.split_once(':')?;
         let is_repeated = entries.iter().any(|entry| entry.key == key);
         if !is_plain_key(key) || is_repeated {
@@ -53,10 +53,10 @@
             value(rest.strip_prefix(' ')?, number)?.content
         };
         let key = key.to_owned();
-        entries.push(Entry { key, key_place: place, value: Node { place, content } });
+        entries.push(Entry { key, key_place: location, value: Node { location, content } });
     }
     let is_map = !entries.is_empty();
-    is_map.then_some(Node { place: place(0), content: Content::Map(entries) })
+    is_map.then_some(Node { location: location(0), content: Content::Map(entries) })
 }
 
 fn is_plain_key(key: &str) -> bool {
@@ -64,8 +64,8 @@
     !key.is_empty() && key.len() <= KEY_BYTES_MAX && key.bytes().all(is_letter)
 }
 
-fn place(line: usize) -> Place {
-    Place { line: line + 1, column: 1 }
+fn location(line: usize) -> Location {
+    Location { line: line + 1, column: 1 }
 }
 
 /// A value that stands in one line.
@@ -76,26 +76,26 @@
         return None;
     }
     let Value(content) = serde_json::from_str(json).ok()?;
-    Some(at(content, place(line)))
+    Some(at(content, location(line)))
 }
 
 /// The same content with one place for all that is in it.
-fn at(content: Read, place: Place) -> Node {
+fn at(content: Read, location: Location) -> Node {
     let content = match content {
         Read::Scalar { text, is_quoted } => Content::Scalar { text, is_quoted },
         Read::List(items) => {
-            Content::List(items.into_iter().map(|Value(item)| at(item, place)).collect())
+            Content::List(items.into_iter().map(|Value(item)| at(item, location)).collect())
         }
         Read::Map(entries) => {
             let entry = |(key, Value(value)): (String, Value)| Entry {
                 key,
-                key_place: place,
-                value: at(value, place),
+                key_place: location,
+                value: at(value, location),
             };
             Content::Map(entries.into_iter().map(entry).collect())
         }
     };
-    Node { place, content }
+    Node { location, content }
 }
 
 /// A JSON value with its scalars as texts.
