--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -24,7 +24,7 @@
 
 impl Checker<'_> {
     fn refuse(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
-        add(self.node.place_of(path), path, found.into(), expected.into(), self.mistakes);
+        add(self.node.location_of(path), path, found.into(), expected.into(), self.mistakes);
     }
 
     fn unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
--- a/crates/thymeshift_config/src/tree.rs
+++ b/crates/thymeshift_config/src/tree.rs
@@ -97,7 +97,7 @@
     }
 
     /// The place of the node at `path`, or of the deepest one on the way that exists.
-    pub(crate) fn place_of(&self, path: &str) -> Location {
+    pub(crate) fn location_of(&self, path: &str) -> Location {
         let mut node = self;
         for step in path.split(['.', '[']).filter(|step| !step.is_empty()) {
             let next = match (&node.content, step.strip_suffix(']')) {
