--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -196,7 +196,7 @@
             let path = join(&self.path, &entry.key);
             let found = format!("the unknown field '{}'", entry.key.escape_debug());
             let expected = suggestion(&entry.key, &self.known);
-            add(entry.key_place, &path, found, expected, self.mistakes);
+            add(entry.key_location, &path, found, expected, self.mistakes);
         }
     }
 
--- a/crates/thymeshift_config/src/tree.rs
+++ b/crates/thymeshift_config/src/tree.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) key: String,
-    pub(crate) key_place: Location,
+    pub(crate) key_location: Location,
     pub(crate) value: Node,
 }
 
@@ -194,10 +194,10 @@
             if entries.iter().any(|entry| entry.key == key) {
                 return Err(mistake(span, &format!("'{key}' a second time"), "each field once"));
             }
-            let key_place = Location::of(&span.start);
+            let key_location = Location::of(&span.start);
             let (event, span) = self.next()?;
             let value = self.node(event, span, depth + 1)?;
-            entries.push(Entry { key: key.into_owned(), key_place, value });
+            entries.push(Entry { key: key.into_owned(), key_location, value });
         }
     }
 }
--- a/crates/thymeshift_config/src/tree/json_lines.rs
+++ b/crates/thymeshift_config/src/tree/json_lines.rs
@@ -53,7 +53,7 @@
             value(rest.strip_prefix(' ')?, number)?.content
         };
         let key = key.to_owned();
-        entries.push(Entry { key, key_place: location, value: Node { location, content } });
+        entries.push(Entry { key, key_location: location, value: Node { location, content } });
     }
     let is_map = !entries.is_empty();
     is_map.then_some(Node { location: location(0), content: Content::Map(entries) })
@@ -89,7 +89,7 @@
         Read::Map(entries) => {
             let entry = |(key, Value(value)): (String, Value)| Entry {
                 key,
-                key_place: location,
+                key_location: location,
                 value: at(value, location),
             };
             Content::Map(entries.into_iter().map(entry).collect())
