--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -186,7 +186,7 @@
             Some(item) if mistakes.is_empty() => item,
             _ => {
                 let name = node.text_of("name").unwrap_or_default();
-                let mistake = mistakes.listed().first().map(Mistake::without_place);
+                let mistake = mistakes.listed().first().map(Mistake::without_location);
                 Self::LeftOut(LeftOut {
                     name: shortened(name),
                     mistake: shortened(&mistake.unwrap_or_default()),
--- a/crates/thymeshift_config/src/mistake.rs
+++ b/crates/thymeshift_config/src/mistake.rs
@@ -25,7 +25,7 @@
 
 impl Mistake {
     /// The mistake as it is told where its line is not known.
-    pub(crate) fn without_place(&self) -> String {
+    pub(crate) fn without_location(&self) -> String {
         let Self { field, found, expected, .. } = self;
         format!("{field}: found {found}, expected {expected}")
     }
