--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -360,7 +360,7 @@
 decode_name!(DataHallName, KindName, OrganisationName, ServiceName, TargetName, VmName);
 
 /// Reads one of a few words as an enum's variant.
-macro_rules! decode_word {
+macro_rules! decode_keyword {
     ($name:ident { $($word:literal => $variant:ident),+ $(,)? }) => {
         impl $crate::decode::Decode for $name {
             fn decode(
@@ -384,4 +384,4 @@
     };
 }
 
-pub(crate) use decode_word;
+pub(crate) use decode_keyword;
--- a/crates/thymeshift_config/src/kind.rs
+++ b/crates/thymeshift_config/src/kind.rs
@@ -8,7 +8,7 @@
 use crate::Mistakes;
 use crate::decode::Decode;
 use crate::decode::MapReader;
-use crate::decode::decode_word;
+use crate::decode::decode_keyword;
 use crate::tree::Node;
 
 /// Largest weight of one part of a split.
@@ -33,7 +33,7 @@
     Unsafe,
 }
 
-decode_word!(Repeat { "safe" => Safe, "unsafe" => Unsafe });
+decode_keyword!(Repeat { "safe" => Safe, "unsafe" => Unsafe });
 
 /// The parts of a request that rules look at. The method is the one on the wire, the
 /// host is in lower case without port.
--- a/crates/thymeshift_config/src/service.rs
+++ b/crates/thymeshift_config/src/service.rs
@@ -14,7 +14,7 @@
 use crate::Mistakes;
 use crate::decode::Decode;
 use crate::decode::MapReader;
-use crate::decode::decode_word;
+use crate::decode::decode_keyword;
 use crate::tree::Node;
 
 /// One second in microseconds: a budget above this would be more than a target's slot.
@@ -50,7 +50,7 @@
     ExpectedTime,
 }
 
-decode_word!(StrategyName {
+decode_keyword!(StrategyName {
     "random" => Random,
     "round_robin" => RoundRobin,
     "least_in_flight" => LeastInFlight,
@@ -71,7 +71,7 @@
     Leaving,
 }
 
-decode_word!(TargetState { "serving" => Serving, "leaving" => Leaving });
+decode_keyword!(TargetState { "serving" => Serving, "leaving" => Leaving });
 
 /// One target of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
--- a/crates/thymeshift_config/src/settings.rs
+++ b/crates/thymeshift_config/src/settings.rs
@@ -11,7 +11,7 @@
 use crate::Mistakes;
 use crate::decode::Decode;
 use crate::decode::MapReader;
-use crate::decode::decode_word;
+use crate::decode::decode_keyword;
 use crate::decode::parse;
 use crate::tree::Node;
 
@@ -44,7 +44,7 @@
     Debug,
 }
 
-decode_word!(LogLevel {
+decode_keyword!(LogLevel {
     "error" => Error,
     "warn" => Warn,
     "info" => Info,
