--- a/crates/thymeshift_config/src/configuration.rs
+++ b/crates/thymeshift_config/src/configuration.rs
@@ -175,14 +175,14 @@
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let mut map = MapReader::new(node, path, mistakes)?;
         let entry_vms_max = map.number("entry_vms_max", 1..=100_000);
-        let data_halls = map.or("data_halls", Vec::new());
-        let drained_halls = map.or("drained_halls", Vec::new());
+        let data_halls = map.value_or("data_halls", Vec::new());
+        let drained_halls = map.value_or("drained_halls", Vec::new());
         let data_hall_one_way_us = map.number_or("data_hall_one_way_us", 0..=1_000_000, 1_500);
         let data_hall_detour_us = map.number_or("data_hall_detour_us", 0..=1_000_000, 0);
-        let limits = map.or("limits", Limits::default());
+        let limits = map.value_or("limits", Limits::default());
         let services = map.required("services");
         let kinds = map.required("kinds");
-        let organisations = map.or("organisations", Vec::new());
+        let organisations = map.value_or("organisations", Vec::new());
         map.finish();
         Some(Self {
             entry_vms_max: entry_vms_max?,
--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -117,7 +117,7 @@
     }
 
     /// A field that has a default, taken too if nothing stands there.
-    pub(crate) fn or<T: Decode>(&mut self, name: &'static str, default: T) -> Option<T> {
+    pub(crate) fn value_or<T: Decode>(&mut self, name: &'static str, default: T) -> Option<T> {
         match self.find(name) {
             Some(node) if !node.is_null() => T::decode(node, &self.path_of(name), self.mistakes),
             _ => Some(default),
@@ -149,7 +149,7 @@
         range: RangeInclusive<u64>,
         default: u64,
     ) -> Option<u64> {
-        let value = self.or(name, default)?;
+        let value = self.value_or(name, default)?;
         self.within(name, value, range)
     }
 
--- a/crates/thymeshift_config/src/kind.rs
+++ b/crates/thymeshift_config/src/kind.rs
@@ -178,7 +178,7 @@
 impl Decode for KindMatch {
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let mut map = MapReader::new(node, path, mistakes)?;
-        let methods = map.or("methods", Vec::new());
+        let methods = map.value_or("methods", Vec::new());
         let host: Option<Option<String>> = map.optional("host");
         let path_prefix = map.optional("path_prefix");
         let header = map.optional("header");
@@ -196,11 +196,11 @@
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let mut map = MapReader::new(node, path, mistakes)?;
         let name = map.required("name");
-        let rules = map.or("match", KindMatch::default());
-        let split: Option<Vec<SplitPart>> = map.or("split", Vec::new());
+        let rules = map.value_or("match", KindMatch::default());
+        let split: Option<Vec<SplitPart>> = map.value_or("split", Vec::new());
         let service = match split.as_ref().and_then(|parts| parts.first()) {
             // The first part stands for the whole where one service is wanted.
-            Some(first) => map.or("service", first.service.clone()),
+            Some(first) => map.value_or("service", first.service.clone()),
             None => map.required("service"),
         };
         let priority = map.number("priority", 1..=9);
@@ -221,7 +221,7 @@
             _ => 0,
         };
         let hedge_after_ms = map.number_or("hedge_after_ms", 0..=600_000, hedge_after_ms);
-        let is_public = map.or("public", false);
+        let is_public = map.value_or("public", false);
         map.finish();
         Some(Self {
             name: name?,
--- a/crates/thymeshift_config/src/service.rs
+++ b/crates/thymeshift_config/src/service.rs
@@ -193,8 +193,8 @@
         let name = map.required("name");
         let address = map.required("address");
         let data_hall = map.required("data_hall");
-        let incarnation = map.or("incarnation", Incarnation::new(1));
-        let state = map.or("state", TargetState::Serving);
+        let incarnation = map.value_or("incarnation", Incarnation::new(1));
+        let state = map.value_or("state", TargetState::Serving);
         let cold_for_ms = map.optional_number("cold_for_ms", 0..=COLD_FOR_MS_MAX);
         Some(Self {
             name: name?,
@@ -219,7 +219,7 @@
 impl Decode for Probe {
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let mut map = MapReader::new(node, path, mistakes)?;
-        let probe_path = map.or("path", "/probe".to_owned());
+        let probe_path = map.value_or("path", "/probe".to_owned());
         let cost_us = map.number("cost_us", 1..=SECOND_US);
         let timeout_ms = map.number_or("timeout_ms", 1..=60_000, 100);
         map.finish();
@@ -250,23 +250,23 @@
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let mut map = MapReader::new(node, path, mistakes)?;
         let name = map.required("name");
-        let strategy = map.or("strategy", StrategyName::ExpectedTime);
+        let strategy = map.value_or("strategy", StrategyName::ExpectedTime);
         let slots_per_target = map.number_or("slots_per_target", 1..=100_000, 1);
         let connections_per_target = map.number("connections_per_target", 1..=1_000_000);
         let connect_timeout_ms = map.number_or("connect_timeout_ms", 1..=60_000, 50);
         let idle_connection_ms = map.number_or("idle_connection_ms", 1..=3_600_000, 30_000);
-        let shed_means_not_run = map.or("shed_means_not_run", false);
+        let shed_means_not_run = map.value_or("shed_means_not_run", false);
         let backoff_max_ms = map.number_or("backoff_max_ms", 0..=86_400_000, 3_600_000);
         let measuring_budget_us_per_s =
             map.number_or("measuring_budget_us_per_s", 0..=SECOND_US, 0);
         let probe = map.optional("probe");
-        let ejection = map.or("ejection", Ejection::default());
+        let ejection = map.value_or("ejection", Ejection::default());
         let cold_start_ramp_ms = map.number_or("cold_start_ramp_ms", 0..=600_000, 2_000);
         let cold_requests_per_s =
             map.optional_decimal("cold_requests_per_s", 0.0..=COLD_PER_S_MAX, 1_000.0);
         let retry_budget_percent = map.number_or("retry_budget_percent", 0..=100, 10);
         let retry_reserve = map.number_or("retry_reserve", 1..=1_000, 10);
-        let targets = map.or("targets", Vec::new());
+        let targets = map.value_or("targets", Vec::new());
         map.finish();
         Some(Self {
             name: name?,
--- a/crates/thymeshift_config/src/settings.rs
+++ b/crates/thymeshift_config/src/settings.rs
@@ -130,10 +130,10 @@
         let control_address = map.required("control_address");
         let observe_address = map.required("observe_address");
         let platform_address = map.required("platform_address");
-        let peers = map.or("peers", Vec::new());
+        let peers = map.value_or("peers", Vec::new());
         let datagram_address = map.optional("datagram_address");
-        let is_first_start = map.or("is_first_start", false);
-        let processor_share = map.or("processor_share", Capacity::default());
+        let is_first_start = map.value_or("is_first_start", false);
+        let processor_share = map.value_or("processor_share", Capacity::default());
         let worker_threads = map.number_or("worker_threads", 0..=1_024, 0);
         let stop_readiness_lag_ms = map.number_or("stop_readiness_lag_ms", 0..=STOP_MS_MAX, 3_000);
         let stop_bound_ms = map.number_or("stop_bound_ms", 0..=STOP_MS_MAX, 60_000);
@@ -145,7 +145,7 @@
             map.optional_decimal("cold_overshoot_ratio", 1.0..=COLD_OVERSHOOT_MAX, 100.0);
         let cold_slack_requests =
             map.number_or("cold_slack_requests", 0..=COLD_SLACK_REQUESTS_MAX, 0);
-        let log_level = map.or("log_level", LogLevel::Info);
+        let log_level = map.value_or("log_level", LogLevel::Info);
         map.finish();
         Some(Self {
             vm: vm?,
