--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -23,7 +23,7 @@
 }
 
 impl Checker<'_> {
-    fn refuse(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
+    fn report(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
         add(self.node.location_of(path), path, found.into(), expected.into(), self.mistakes);
     }
 
@@ -32,7 +32,7 @@
         for (index, name) in names.enumerate() {
             if !seen.insert(name) {
                 let path = format!("{list}[{index}]{field}");
-                self.refuse(&path, format!("'{name}' a second time"), "a unique name");
+                self.report(&path, format!("'{name}' a second time"), "a unique name");
             }
         }
     }
@@ -63,7 +63,7 @@
     for (index, hall) in configuration.drained_halls.iter().enumerate() {
         if !configuration.data_halls.contains(hall) {
             let path = format!("drained_halls[{index}]");
-            checker.refuse(&path, format!("'{hall}'"), "a name from data_halls");
+            checker.report(&path, format!("'{hall}'"), "a name from data_halls");
         }
     }
 }
@@ -79,7 +79,7 @@
     for (index, target) in service.targets.iter().enumerate() {
         if !configuration.data_halls.contains(&target.data_hall) {
             let path = format!("{path}.targets[{index}].data_hall");
-            checker.refuse(&path, format!("'{}'", target.data_hall), "a name from data_halls");
+            checker.report(&path, format!("'{}'", target.data_hall), "a name from data_halls");
         }
     }
     if service.connections_per_target < configuration.entry_vms_max {
@@ -88,42 +88,42 @@
             "at least one connection for each of {} entry VMs",
             configuration.entry_vms_max
         );
-        checker.refuse(&format!("{path}.connections_per_target"), found, expected);
+        checker.report(&format!("{path}.connections_per_target"), found, expected);
     }
     if service.measuring_budget_us_per_s > 0 && service.probe.is_none() {
         let path = format!("{path}.measuring_budget_us_per_s");
         let found = format!("'{}' without a probe", service.measuring_budget_us_per_s);
-        checker.refuse(&path, found, "the field 'probe', or a budget of 0");
+        checker.report(&path, found, "the field 'probe', or a budget of 0");
     }
 }
 
 fn check_kind(configuration: &Configuration, kind: &Kind, path: &str, checker: &mut Checker<'_>) {
     if configuration.service_index(kind.service.as_str()).is_none() {
-        checker.refuse(&format!("{path}.service"), format!("'{}'", kind.service), "a service");
+        checker.report(&format!("{path}.service"), format!("'{}'", kind.service), "a service");
     }
     for (index, part) in kind.split.iter().enumerate() {
         if configuration.service_index(part.service.as_str()).is_none() {
             let path = format!("{path}.split[{index}].service");
-            checker.refuse(&path, format!("'{}'", part.service), "a service");
+            checker.report(&path, format!("'{}'", part.service), "a service");
         }
     }
     if !kind.split.is_empty() && kind.split.iter().all(|part| part.weight == 0) {
-        checker.refuse(&format!("{path}.split"), "weights of 0 only", "a weight above 0");
+        checker.report(&format!("{path}.split"), "weights of 0 only", "a weight above 0");
     }
     if kind.wait_max_ms > kind.deadline_ms {
         let found = format!("'{}'", kind.wait_max_ms);
         let expected = format!("at most deadline_ms ({})", kind.deadline_ms);
-        checker.refuse(&format!("{path}.wait_max_ms"), found, expected);
+        checker.report(&format!("{path}.wait_max_ms"), found, expected);
     }
     if kind.repeat == Repeat::Unsafe && kind.hedge_after_ms > 0 {
         let found = format!("'{}'", kind.hedge_after_ms);
-        checker.refuse(&format!("{path}.hedge_after_ms"), found, "0: an unsafe kind runs once");
+        checker.report(&format!("{path}.hedge_after_ms"), found, "0: an unsafe kind runs once");
     }
     if let Some(prefix) = &kind.rules.path_prefix
         && !prefix.starts_with('/')
     {
         let path = format!("{path}.match.path_prefix");
-        checker.refuse(&path, format!("'{}'", prefix.escape_debug()), "a path that starts with /");
+        checker.report(&path, format!("'{}'", prefix.escape_debug()), "a path that starts with /");
     }
 }
 
@@ -134,7 +134,7 @@
         let same = *earlier.entry(&kind.rules).or_insert(kind);
         if same.name != kind.name {
             let found = format!("the rules of '{}' again", same.name);
-            checker.refuse(&format!("kinds[{index}].match"), found, "rules of its own");
+            checker.report(&format!("kinds[{index}].match"), found, "rules of its own");
         }
     }
 }
@@ -151,7 +151,7 @@
             if *holder != organisation.name {
                 let path = format!("organisations[{index}].key_digests[{place}]");
                 let found = format!("a key of '{holder}' again");
-                checker.refuse(&path, found, "a key of its own");
+                checker.report(&path, found, "a key of its own");
             }
         }
     }
