--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -49,7 +49,7 @@
 }
 
 /// Records that `node` is not what was expected.
-pub(crate) fn refuse<T>(
+pub(crate) fn report_unexpected<T>(
     node: &Node,
     path: &str,
     expected: impl Into<String>,
@@ -81,7 +81,7 @@
         };
         match text.parse::<f64>() {
             Ok(number) if number.is_finite() => Some(Self(number)),
-            _ => refuse(node, path, "a number", mistakes),
+            _ => report_unexpected(node, path, "a number", mistakes),
         }
     }
 }
@@ -99,7 +99,7 @@
     /// A reader of `node`, or a recorded mistake if it is not a map.
     pub(crate) fn new(node: &'n Node, path: &str, mistakes: &'m mut Mistakes) -> Option<Self> {
         let Content::Map(entries) = &node.content else {
-            return refuse(node, path, "a map", mistakes);
+            return report_unexpected(node, path, "a map", mistakes);
         };
         let known = Vec::new();
         Some(Self { entries, location: node.location, path: path.to_owned(), known, mistakes })
@@ -252,7 +252,7 @@
 ) -> Option<(&'n str, bool)> {
     match &node.content {
         Content::Scalar { text, is_quoted } => Some((text, *is_quoted)),
-        _ => refuse(node, path, expected, mistakes),
+        _ => report_unexpected(node, path, expected, mistakes),
     }
 }
 
@@ -260,7 +260,7 @@
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let (text, is_quoted) = scalar(node, path, "a text", mistakes)?;
         if text.is_empty() && !is_quoted {
-            return refuse(node, path, "a text", mistakes);
+            return report_unexpected(node, path, "a text", mistakes);
         }
         Some(text.to_owned())
     }
@@ -271,7 +271,7 @@
         match scalar(node, path, "true or false", mistakes)? {
             ("true", false) => Some(true),
             ("false", false) => Some(false),
-            _ => refuse(node, path, "true or false", mistakes),
+            _ => report_unexpected(node, path, "true or false", mistakes),
         }
     }
 }
@@ -282,7 +282,7 @@
         let is_plain = !is_quoted && text.bytes().all(|byte| byte.is_ascii_digit());
         match text.parse() {
             Ok(number) if is_plain => Some(number),
-            _ => refuse(node, path, "a whole number", mistakes),
+            _ => report_unexpected(node, path, "a whole number", mistakes),
         }
     }
 }
@@ -300,7 +300,7 @@
         let capacity = text.parse().ok().and_then(Self::from_processors);
         match capacity {
             Some(capacity) if !is_quoted => Some(capacity),
-            _ => refuse(node, path, expected, mistakes),
+            _ => report_unexpected(node, path, expected, mistakes),
         }
     }
 }
@@ -311,7 +311,7 @@
         let (text, _) = scalar(node, path, expected, mistakes)?;
         match text.parse() {
             Ok(address) => Some(address),
-            Err(_) => refuse(node, path, expected, mistakes),
+            Err(_) => report_unexpected(node, path, expected, mistakes),
         }
     }
 }
@@ -332,7 +332,7 @@
 impl<T: Decode> Decode for Vec<T> {
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let Content::List(items) = &node.content else {
-            return refuse(node, path, "a list", mistakes);
+            return report_unexpected(node, path, "a list", mistakes);
         };
         let decoded: Vec<Option<T>> = items
             .iter()
@@ -350,7 +350,7 @@
                 let (text, _) = scalar(node, path, "a name", mistakes)?;
                 match Self::new(text) {
                     Ok(name) => Some(name),
-                    Err(error) => refuse(node, path, error.to_string(), mistakes),
+                    Err(error) => report_unexpected(node, path, error.to_string(), mistakes),
                 }
             }
         }
@@ -376,7 +376,7 @@
                     $($word => Some(Self::$variant),)+
                     _ => {
                         let words = [$($word),+].join(", ");
-                        $crate::decode::refuse(node, path, format!("one of: {words}"), mistakes)
+                        $crate::decode::report_unexpected(node, path, format!("one of: {words}"), mistakes)
                     }
                 }
             }
--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -23,7 +23,7 @@
 use crate::decode::Decode;
 use crate::decode::MapReader;
 use crate::decode::parse;
-use crate::decode::refuse;
+use crate::decode::report_unexpected;
 use crate::tree::Content;
 use crate::tree::Node;
 
@@ -172,7 +172,7 @@
 impl Decode for Items {
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
         let Content::List(nodes) = &node.content else {
-            return refuse(node, path, "a list", mistakes);
+            return report_unexpected(node, path, "a list", mistakes);
         };
         Some(Self(nodes.iter().map(Item::read).collect()))
     }
