--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -27,7 +27,7 @@
         add(self.node.location_of(path), path, found.into(), expected.into(), self.mistakes);
     }
 
-    fn unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
+    fn check_unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = HashSet::new();
         for (index, name) in names.enumerate() {
             if !seen.insert(name) {
@@ -41,12 +41,12 @@
 pub(crate) fn check(configuration: &Configuration, node: &Node, mistakes: &mut Mistakes) {
     let mut checker = Checker { node, mistakes };
     let halls = configuration.data_halls.iter().map(DataHallName::as_str);
-    checker.unique("data_halls", "", halls);
+    checker.check_unique("data_halls", "", halls);
     check_drained_halls(configuration, &mut checker);
     let services = configuration.services.iter().map(|service| service.name.as_str());
-    checker.unique("services", ".name", services);
+    checker.check_unique("services", ".name", services);
     let kinds = configuration.kinds.iter().map(|kind| kind.name.as_str());
-    checker.unique("kinds", ".name", kinds);
+    checker.check_unique("kinds", ".name", kinds);
     for (index, service) in configuration.services.iter().enumerate() {
         check_service(configuration, service, &format!("services[{index}]"), &mut checker);
     }
@@ -59,7 +59,7 @@
 
 fn check_drained_halls(configuration: &Configuration, checker: &mut Checker<'_>) {
     let names = configuration.drained_halls.iter().map(DataHallName::as_str);
-    checker.unique("drained_halls", "", names);
+    checker.check_unique("drained_halls", "", names);
     for (index, hall) in configuration.drained_halls.iter().enumerate() {
         if !configuration.data_halls.contains(hall) {
             let path = format!("drained_halls[{index}]");
@@ -75,7 +75,7 @@
     checker: &mut Checker<'_>,
 ) {
     let names = service.targets.iter().map(|target| target.name.as_str());
-    checker.unique(&format!("{path}.targets"), ".name", names);
+    checker.check_unique(&format!("{path}.targets"), ".name", names);
     for (index, target) in service.targets.iter().enumerate() {
         if !configuration.data_halls.contains(&target.data_hall) {
             let path = format!("{path}.targets[{index}].data_hall");
@@ -143,7 +143,7 @@
 fn check_organisations(configuration: &Configuration, checker: &mut Checker<'_>) {
     let organisations = &configuration.organisations;
     let names = organisations.iter().map(|organisation| organisation.name.as_str());
-    checker.unique("organisations", ".name", names);
+    checker.check_unique("organisations", ".name", names);
     let mut holders = HashMap::new();
     for (index, organisation) in organisations.iter().enumerate() {
         for (place, digest) in organisation.key_digests.iter().enumerate() {
