--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -157,7 +157,7 @@
     }
 }
 
-pub(crate) fn too_long(length: usize) -> Mistake {
+pub(crate) fn text_too_long(length: usize) -> Mistake {
     Mistake {
         line: 1,
         column: 1,
--- a/crates/thymeshift_config/src/configuration.rs
+++ b/crates/thymeshift_config/src/configuration.rs
@@ -63,7 +63,7 @@
     pub fn parse(text: &str) -> Result<Self, Mistakes> {
         let mut mistakes = Mistakes::default();
         if text.len() > TEXT_BYTES_MAX {
-            mistakes.add(check::too_long(text.len()));
+            mistakes.add(check::text_too_long(text.len()));
             return Err(mistakes);
         }
         // With a mistake in it the text is read again: the general reader tells the place.
