--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -14,7 +14,7 @@
 use crate::Repeat;
 use crate::Service;
 use crate::configuration::TEXT_BYTES_MAX;
-use crate::decode::add;
+use crate::decode::add_mistake;
 use crate::tree::Node;
 
 struct Checker<'a> {
@@ -24,7 +24,7 @@
 
 impl Checker<'_> {
     fn report(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
-        add(self.node.location_of(path), path, found.into(), expected.into(), self.mistakes);
+        add_mistake(self.node.location_of(path), path, found.into(), expected.into(), self.mistakes);
     }
 
     fn check_unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -55,11 +55,11 @@
     expected: impl Into<String>,
     mistakes: &mut Mistakes,
 ) -> Option<T> {
-    add(node.location, path, node.to_string(), expected.into(), mistakes);
+    add_mistake(node.location, path, node.to_string(), expected.into(), mistakes);
     None
 }
 
-pub(crate) fn add(
+pub(crate) fn add_mistake(
     location: Location,
     path: &str,
     found: String,
@@ -110,7 +110,7 @@
         let Some(node) = self.find(name) else {
             let path = self.path_of(name);
             let expected = format!("the field '{name}'");
-            add(self.location, &path, "nothing".to_owned(), expected, self.mistakes);
+            add_mistake(self.location, &path, "nothing".to_owned(), expected, self.mistakes);
             return None;
         };
         T::decode(node, &self.path_of(name), self.mistakes)
@@ -183,7 +183,7 @@
         }
         let expected = format!("a number from {} to {}", range.start(), range.end());
         let location = self.find(name).map_or(self.location, |node| node.location);
-        add(location, &self.path_of(name), format!("'{value}'"), expected, self.mistakes);
+        add_mistake(location, &self.path_of(name), format!("'{value}'"), expected, self.mistakes);
         None
     }
 
@@ -196,7 +196,7 @@
             let path = join(&self.path, &entry.key);
             let found = format!("the unknown field '{}'", entry.key.escape_debug());
             let expected = suggestion(&entry.key, &self.known);
-            add(entry.key_location, &path, found, expected, self.mistakes);
+            add_mistake(entry.key_location, &path, found, expected, self.mistakes);
         }
     }
 
@@ -212,7 +212,7 @@
         let location = self.find(name).map_or(self.location, |node| node.location);
         let path = self.path_of(name);
         let expected = format!("a number from {} to {}", range.start(), range.end());
-        add(location, &path, format!("'{value}'"), expected, self.mistakes);
+        add_mistake(location, &path, format!("'{value}'"), expected, self.mistakes);
         None
     }
 
@@ -323,7 +323,7 @@
         let digest = text.parse().ok();
         if digest.is_none() {
             // What stands there may be the key itself, which is to be shown nowhere.
-            add(node.location, path, "another text".to_owned(), expected.to_owned(), mistakes);
+            add_mistake(node.location, path, "another text".to_owned(), expected.to_owned(), mistakes);
         }
         digest
     }
