--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -24,7 +24,13 @@
 
 impl Checker<'_> {
     fn report(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
-        add_mistake(self.node.location_of(path), path, found.into(), expected.into(), self.mistakes);
+        add_mistake(
+            self.node.location_of(path),
+            path,
+            found.into(),
+            expected.into(),
+            self.mistakes,
+        );
     }
 
     fn check_unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -20,8 +20,8 @@
 use crate::Mistakes;
 use crate::tree::Content;
 use crate::tree::Entry;
-use crate::tree::Node;
 use crate::tree::Location;
+use crate::tree::Node;
 
 /// Smallest likeness at which a known field is suggested for an unknown one.
 const SUGGESTION_LIKENESS_MIN: f64 = 0.7;
@@ -323,7 +323,13 @@
         let digest = text.parse().ok();
         if digest.is_none() {
             // What stands there may be the key itself, which is to be shown nowhere.
-            add_mistake(node.location, path, "another text".to_owned(), expected.to_owned(), mistakes);
+            add_mistake(
+                node.location,
+                path,
+                "another text".to_owned(),
+                expected.to_owned(),
+                mistakes,
+            );
         }
         digest
     }
--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -92,7 +92,8 @@
         };
         let served =
             before.targets.iter().filter(|known| known.target.state == TargetState::Serving);
-        let kept: Vec<DiscoveredTarget> = served.filter(|known| !is_listed(known)).cloned().collect();
+        let kept: Vec<DiscoveredTarget> =
+            served.filter(|known| !is_listed(known)).cloned().collect();
         let count = kept.len();
         let targets = self.targets.iter().cloned().chain(kept).collect();
         (Self { targets, ..self.clone() }, count)
--- a/crates/thymeshift_config/src/tree/json_lines.rs
+++ b/crates/thymeshift_config/src/tree/json_lines.rs
@@ -20,8 +20,8 @@
 
 use crate::tree::Content;
 use crate::tree::Entry;
-use crate::tree::Node;
 use crate::tree::Location;
+use crate::tree::Node;
 
 /// Openings of lists and maps in one line above which the general reader looks at the depth.
 const OPENINGS_MAX: usize = 20;
--- a/crates/thymeshift_entry/src/organisations/questions.rs
+++ b/crates/thymeshift_entry/src/organisations/questions.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use parking_lot::Mutex;
-use thymeshift_wire::QuotaRequestNumber;
 use thymeshift_wire::QuotaGrant;
+use thymeshift_wire::QuotaRequestNumber;
 use tokio::sync::oneshot;
 
 /// What came back.
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -26,9 +26,9 @@
 use thymeshift_wire::AllocatorAddress;
 use thymeshift_wire::Message;
 use thymeshift_wire::OrganisationDump;
-use thymeshift_wire::QuotaRequestNumber;
 use thymeshift_wire::QuotaAsk;
 use thymeshift_wire::QuotaGrant;
+use thymeshift_wire::QuotaRequestNumber;
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -23,10 +23,10 @@
 use thymeshift_types::Reason;
 use thymeshift_types::Step;
 use thymeshift_types::Timestamp;
+use thymeshift_wire::AnswerClass;
 use thymeshift_wire::AttemptHead;
 use thymeshift_wire::CallContext;
 use thymeshift_wire::Dialect;
-use thymeshift_wire::AnswerClass;
 
 use crate::service::Destination;
 use crate::service::GrantGuard;
@@ -241,12 +241,16 @@
     fn failed_by(&self, meaning: AnswerClass, destination: &Destination) -> Option<AttemptFailure> {
         let is_proof = self.grant.service().settings().shed_means_not_run;
         let (outcome, reason) = match meaning {
-            AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => return None,
+            AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => {
+                return None;
+            }
             AnswerClass::Shed if !is_proof => return None,
             AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::WrongTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
-            AnswerClass::WrongAttempt | AnswerClass::Invalid => (Outcome::Unknown, Reason::WrongAnswer),
+            AnswerClass::WrongAttempt | AnswerClass::Invalid => {
+                (Outcome::Unknown, Reason::WrongAnswer)
+            }
         };
         let failure = Failure::new(outcome, reason, Step::Wait, self.peer(destination));
         Some(self.failure(failure, None))
@@ -348,8 +352,12 @@
         }
         AnswerClass::Answered => Observation::Answered(report),
         AnswerClass::Failed => Observation::Failed(report),
-        AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => Observation::Shed(report),
-        AnswerClass::WrongTarget | AnswerClass::WrongAttempt | AnswerClass::Invalid => Observation::Broken,
+        AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => {
+            Observation::Shed(report)
+        }
+        AnswerClass::WrongTarget | AnswerClass::WrongAttempt | AnswerClass::Invalid => {
+            Observation::Broken
+        }
     }
 }
 
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -9,8 +9,8 @@
 use spdlog::info;
 use thymeshift_config::RequestRate;
 use thymeshift_telemetry::metric;
-use thymeshift_wire::Dialect;
 use thymeshift_wire::AnswerClass;
+use thymeshift_wire::Dialect;
 use thymeshift_wire::RateLimitError;
 use thymeshift_wire::RetryAfterError;
 
--- a/crates/thymeshift_telemetry/src/logging.rs
+++ b/crates/thymeshift_telemetry/src/logging.rs
@@ -29,8 +29,10 @@
         LogLevel::Info => Level::Info,
         LogLevel::Debug => Level::Debug,
     });
-    let logger =
-        Logger::builder().sink(Arc::new(NonBlockingSink::new(sink))).level_filter(filter).build()?;
+    let logger = Logger::builder()
+        .sink(Arc::new(NonBlockingSink::new(sink)))
+        .level_filter(filter)
+        .build()?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -75,7 +75,11 @@
     fn write_attempt(map: &mut HeaderMap, attempt: &AttemptHead<'_>);
 
     /// Reads what an answer's head means.
-    fn classify_answer(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass;
+    fn classify_answer(
+        status: StatusCode,
+        map: &HeaderMap,
+        attempt: &AttemptHead<'_>,
+    ) -> AnswerClass;
 
     /// Reads the load report of an answer, if it carries a readable one.
     fn report(map: &HeaderMap) -> Option<LoadReport>;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -18,12 +18,12 @@
 use thymeshift_types::Outcome;
 use thymeshift_types::Reason;
 
+use crate::AnswerClass;
 use crate::AttemptHead;
 use crate::CallContext;
 use crate::Dialect;
 use crate::HeaderAudience;
 use crate::HeaderError;
-use crate::AnswerClass;
 use crate::RateLimitError;
 use crate::RetryAfterError;
 use crate::answer_headers::standard_audience;
@@ -65,7 +65,11 @@
         map.insert(headers::ATTEMPT, attempt.attempt_id.clone());
     }
 
-    fn classify_answer(status: StatusCode, map: &HeaderMap, attempt: &AttemptHead<'_>) -> AnswerClass {
+    fn classify_answer(
+        status: StatusCode,
+        map: &HeaderMap,
+        attempt: &AttemptHead<'_>,
+    ) -> AnswerClass {
         let is_foreign = map.get(&headers::ATTEMPT).is_some_and(|echo| echo != attempt.attempt_id);
         if is_foreign {
             return AnswerClass::WrongAttempt;
--- a/crates/thymeshift_wire/src/transport.rs
+++ b/crates/thymeshift_wire/src/transport.rs
@@ -22,17 +22,17 @@
 use tokio::time::timeout;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use crate::ControlClient;
 use crate::ByteCountingStream;
+use crate::ControlClient;
 use crate::LinkBytes;
 use crate::PeerLinkClient;
 use crate::codec::MESSAGE_BYTES_MAX;
 use crate::codec::Postcard;
 use crate::control::ControlRequest;
 use crate::control::ControlResponse;
+use crate::dead_peer::set_dead_peer_timeouts;
 use crate::peer::PeerLinkRequest;
 use crate::peer::PeerLinkResponse;
-use crate::dead_peer::set_dead_peer_timeouts;
 
 /// Longest frame, in bytes. Checked before anything is allocated for it.
 const FRAME_BYTES_MAX: usize = MESSAGE_BYTES_MAX;
--- a/crates/thymeshift_wire/tests/dead_peer.rs
+++ b/crates/thymeshift_wire/tests/dead_peer.rs
@@ -29,5 +29,9 @@
     assert_eq!(count, KEEPALIVE_PROBES_MAX);
     assert!(idle + between * count <= Duration::from_secs(3), "while it is idle");
     let unconfirmed_ms = tcp_user_timeout(&stream).expect("an option");
-    assert_eq!(u128::from(unconfirmed_ms), UNACKNOWLEDGED_DATA_TIMEOUT.as_millis(), "while it is in use");
+    assert_eq!(
+        u128::from(unconfirmed_ms),
+        UNACKNOWLEDGED_DATA_TIMEOUT.as_millis(),
+        "while it is in use"
+    );
 }
