--- a/crates/thymeshift_wire/src/answer_headers.rs
+++ b/crates/thymeshift_wire/src/answer_headers.rs
@@ -1,22 +1,22 @@
-//! Whom the headers of an answer address that HTTP itself defines (RFC 9110, 9111, 9112 and their
-//! companions).
+//! Intended recipients of the standard HTTP headers of an answer (RFC 9110, 9111, 9112 and related
+//! documents).
 
 use http::HeaderName;
 use http::header;
 
-/// Whom a header of a target's answer addresses.
+/// Intended recipient of a header of a target's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeaderAudience {
-    /// This process, which reads it.
+    /// The proxy, which reads the header itself.
     Proxy,
-    /// The caller: it is passed on unread.
+    /// The caller; the header is forwarded without being read.
     Caller,
-    /// Nobody that is known here.
+    /// Unknown; this process does not know the header.
     Unknown,
 }
 
-/// Headers between neighbours of a connection: framing (hyper), reuse of connections (the pool).
-const READ_HERE: [HeaderName; 5] = [
+/// Hop-by-hop headers: hyper handles framing, and the connection pool handles connection reuse.
+const HOP_BY_HOP: [HeaderName; 5] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     HeaderName::from_static("keep-alive"),
@@ -24,8 +24,8 @@
     header::TRANSFER_ENCODING,
 ];
 
-/// Headers that an answer may carry to the caller in any environment.
-const FOR_CALLERS: [HeaderName; 36] = [
+/// End-to-end headers that an answer may carry to the caller in any environment.
+const END_TO_END: [HeaderName; 36] = [
     header::ACCEPT_RANGES,
     header::ACCESS_CONTROL_ALLOW_CREDENTIALS,
     header::ACCESS_CONTROL_ALLOW_HEADERS,
@@ -64,12 +64,12 @@
     header::X_XSS_PROTECTION,
 ];
 
-/// Whom a header addresses that HTTP itself defines. One that addresses proxies and is not read
-/// here counts as unknown, so that it does not go unnoticed.
+/// Returns the intended recipient of a standard HTTP header. A header that is meant for proxies but
+/// not read by this process counts as unknown, so that it is reported.
 pub fn standard_audience(name: &HeaderName) -> HeaderAudience {
-    if READ_HERE.contains(name) {
+    if HOP_BY_HOP.contains(name) {
         HeaderAudience::Proxy
-    } else if FOR_CALLERS.contains(name) {
+    } else if END_TO_END.contains(name) {
         HeaderAudience::Caller
     } else {
         HeaderAudience::Unknown
