--- a/crates/thymeshift_wire/src/codec.rs
+++ b/crates/thymeshift_wire/src/codec.rs
@@ -1,5 +1,5 @@
-//! The `postcard` codec behind `tarpc`'s transport. Long messages are compressed: documents
-//! repeat themselves, and many processes fetch them over the same link.
+//! `postcard` codec for the transport of `tarpc`. Long messages are compressed, because documents
+//! are repetitive and many processes fetch them over the same link.
 
 use std::io::Read;
 use std::io::Write;
@@ -18,29 +18,30 @@
 use tokio_serde::Deserializer;
 use tokio_serde::Serializer;
 
-/// Longest message, in bytes, before it is compressed: a whole document of a megabyte and what
-/// surrounds it.
+/// Maximum size of a message before compression, in bytes. It leaves room for a document of one MiB
+/// and the message around it.
 pub(crate) const MESSAGE_BYTES_MAX: usize = 2 * 1_024 * 1_024;
-/// Messages shorter than this, in bytes, are not compressed.
+/// Size above which a message is compressed, in bytes.
 const COMPRESSED_FROM_BYTES: usize = 1_024;
-/// First byte of a frame.
+/// First byte of a frame with an uncompressed message.
 const PLAIN: u8 = 0;
+/// First byte of a frame with a compressed message.
 const COMPRESSED: u8 = 1;
 
-/// A frame that is not a message.
+/// Error of encoding a message or decoding a frame.
 #[derive(Debug, Display, Error, From)]
 pub enum CodecError {
-    /// Not a message of the kind expected.
+    /// The bytes of the frame are not a message of the expected type.
     #[display("a frame is not a message: {_0}")]
     Message(postcard::Error),
-    /// What was compressed cannot be restored.
+    /// The frame cannot be decompressed.
     #[display("a frame cannot be decompressed: {_0}")]
     Compression(std::io::Error),
-    /// The message would be too long.
+    /// The decompressed message exceeds the maximum size.
     #[display("a frame holds a message of more than {MESSAGE_BYTES_MAX} bytes")]
     #[from(ignore)]
     TooLong,
-    /// The first byte says neither plain nor compressed.
+    /// The first byte marks the frame neither as plain nor as compressed.
     #[display("a frame is of an unknown form")]
     #[from(ignore)]
     UnknownForm,
@@ -52,12 +53,12 @@
     }
 }
 
-/// Encodes and decodes messages.
+/// Codec that encodes messages as frames and decodes frames.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Postcard;
 
 impl Postcard {
-    /// The frame of a message.
+    /// Encodes a message as a frame, compressed if it is long.
     pub fn encode<T: Serialize>(item: &T) -> Result<Bytes, CodecError> {
         let plain = postcard::to_extend(item, vec![PLAIN])?;
         if plain.len() <= COMPRESSED_FROM_BYTES {
@@ -68,7 +69,7 @@
         Ok(encoder.finish()?.into())
     }
 
-    /// The message in a frame.
+    /// Decodes the message in a frame.
     pub fn decode<T: for<'de> Deserialize<'de>>(frame: &[u8]) -> Result<T, CodecError> {
         match frame.split_first() {
             Some((&PLAIN, message)) => Ok(postcard::from_bytes(message)?),
@@ -78,7 +79,7 @@
     }
 }
 
-/// Restores at most the longest message: a short frame may unfold to any length.
+/// Decompresses a message up to the maximum size, because a short frame may expand to any length.
 fn decompressed(packed: &[u8]) -> Result<Vec<u8>, CodecError> {
     let mut message = Vec::new();
     let limit = MESSAGE_BYTES_MAX as u64 + 1;
