--- a/crates/thymeshift_wire/src/control.rs
+++ b/crates/thymeshift_wire/src/control.rs
@@ -1,4 +1,4 @@
-//! What the operators' program says to an entry process.
+//! Remote calls from the operators' program to an entry process.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,80 +12,80 @@
 
 use crate::StateDump;
 
-/// A request to be explained.
+/// Properties of a request whose routing is to be explained.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainRequest {
-    /// Method.
+    /// HTTP method of the request.
     pub method: String,
-    /// Host, if any.
+    /// Host of the request; `None` if the request has none.
     pub host: Option<String>,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// One header, as name and value.
+    /// One header of the request that a rule may match.
     pub header: Option<ExplainHeader>,
 }
 
-/// A header of a request to be explained.
+/// Name and value of a header of the request to explain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainHeader {
-    /// Name.
+    /// Header name.
     pub name: String,
-    /// Value.
+    /// Header value.
     pub value: String,
 }
 
-/// Why a request like this one would go where it goes now.
+/// Routing decision that a request would get now, with its reasons.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Its kind; none if no rules match.
+    /// Kind of the request; `None` if no rules match.
     pub kind: Option<KindName>,
-    /// The kinds before it whose rules do not match.
+    /// Kinds that come earlier in the configuration and whose rules do not match.
     pub passed_over: Vec<KindName>,
-    /// The service that serves it.
+    /// Service that would serve the request.
     pub service: Option<ServiceName>,
-    /// The targets, the most likely first.
+    /// Targets of the service, the most likely first.
     pub targets: Vec<TargetDump>,
-    /// What would happen, in words.
+    /// Result in words, for the operator.
     pub verdict: String,
 }
 
-/// An operator's order.
+/// Order that an operator gives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// What it is about.
+    /// Subject of the order, such as a data hall or a target.
     pub subject: OrderSubject,
-    /// What it says.
+    /// Change that the order makes.
     pub change: OrderChange,
-    /// Who gives it.
+    /// Name of the operator who gives the order.
     pub operator: String,
-    /// How long it shall hold, in milliseconds.
+    /// Time until the order expires, in milliseconds.
     pub expires_in_ms: u64,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It was taken.
+    /// The order was accepted.
     Taken {
-        /// The order with its stamp.
+        /// Accepted order with its stamp.
         order: Order,
-        /// VMs that hold it now.
+        /// VMs that confirmed that they hold the order.
         confirmed: Vec<VmName>,
-        /// VMs believed to be there that did not confirm. They learn of it when they can
-        /// be reached.
+        /// VMs believed to be alive that did not confirm the order. They receive it once they are
+        /// reachable.
         unconfirmed: Vec<VmName>,
     },
-    /// Its subject does not exist in the configuration in force.
+    /// The subject of the order does not exist in the configuration in force.
     UnknownSubject(String),
 }
 
-/// Calls of the operators' program.
+/// Remote calls of the operators' program.
 #[tarpc::service]
 pub trait Control {
-    /// The whole state.
+    /// Returns a snapshot of the state of the process.
     async fn dump() -> StateDump;
-    /// Why a request would go where it goes.
+    /// Explains how a request would be routed now.
     async fn explain(request: ExplainRequest) -> Explanation;
-    /// Gives an order.
+    /// Carries out an operator's order.
     async fn order(request: OrderRequest) -> OrderAnswer;
 }
