--- a/crates/thymeshift_wire/src/counted.rs
+++ b/crates/thymeshift_wire/src/counted.rs
@@ -1,4 +1,5 @@
-//! Counting the bytes of links between processes: their bound is part of the product.
+//! Byte counters for the connections between entry processes, whose bandwidth has a documented
+//! limit.
 
 use std::io;
 use std::pin::Pin;
@@ -13,7 +14,7 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Bytes over all links of a process, without the headers of TCP and IP.
+/// Byte counters over all peer connections of a process, without TCP and IP headers.
 #[derive(Debug, Default)]
 pub struct LinkBytes {
     received: AtomicU64,
@@ -21,18 +22,18 @@
 }
 
 impl LinkBytes {
-    /// Bytes received.
+    /// Returns the number of bytes received since the process started.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent.
+    /// Returns the number of bytes sent since the process started.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 }
 
-/// A stream that counts.
+/// TCP stream that adds the transferred bytes to shared counters.
 #[derive(Debug)]
 pub struct ByteCountingStream {
     stream: TcpStream,
