--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -1,7 +1,8 @@
-//! Datagrams between entry processes: heartbeats of readers, and the lease of targets.
+//! Datagrams between entry processes: heartbeats of source readers, target leases and quota
+//! requests.
 //!
-//! A datagram may be lost, late or doubled. Each message stands for itself, and nothing that
-//! must hold depends on its arrival.
+//! A datagram may be lost, delayed or duplicated. Each message is self-contained, and no invariant
+//! depends on the delivery of a datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,70 +26,76 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::VmName;
 
-/// Largest datagram, in bytes: it fits one packet of the usual links.
+/// Maximum size of a datagram, in bytes. It fits into one Ethernet frame (MTU 1500) without IP
+/// fragmentation.
 pub const DATAGRAM_BYTES_MAX: usize = 1_400;
 
-/// A datagram that is no message.
+/// Error of encoding a message or decoding a received datagram.
 #[derive(Debug, Display, Error, From)]
 #[display("datagram: {_0}")]
 pub struct DatagramError(postcard::Error);
 
-/// Number of a lease, counted by the acquisition process from its start.
+/// Identifier of a lease. The process that requests leases numbers them consecutively from its
+/// start.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 pub struct LeaseNumber(pub u64);
 
-/// A message with its sender.
+/// A message and the process that sent it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sending process.
+    /// VM of the sending process.
     pub sender: VmName,
-    /// Its start.
+    /// Start of the sending process, which distinguishes it from earlier processes on the same VM.
     pub boot: Boot,
-    /// What it says.
+    /// Payload of the datagram.
     pub message: Message,
 }
 
-/// What one process says to another.
+/// Messages that entry processes send to each other as datagrams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A call to the source ended.
+    /// Reports that a call to the configuration source has ended.
     SourceHeartbeat(SourceHeartbeat),
-    /// Asks for a target.
+    /// Requests a lease of a target.
     Acquire(Acquire),
-    /// The request waits; another answer follows.
+    /// Reports that the request for a lease is queued; another reply follows.
     Waiting(LeaseNumber),
-    /// A target to send to.
+    /// Grants the lease of a target.
     Granted(LeaseNumber, LeaseGrant),
-    /// No target.
+    /// Refuses a lease, with the reason and the time after which to retry.
     Refused(LeaseNumber, Reason, Duration),
-    /// The receiver does not allocate: it is stopping, or does not know the service.
+    /// Reports that the sender does not allocate the group because it is stopping or does not know
+    /// the service.
     Declined(LeaseNumber),
-    /// The group has no room; another one has, which is allocated there.
+    /// Redirects the request to the allocator of another group with spare capacity, because the
+    /// requested group has none.
     Redirected(LeaseNumber, Group, AllocatorAddress),
-    /// This member ranks before the receiver as the group's allocator.
+    /// Names a member that ranks before the sender as the allocator of the group.
     AskInstead(LeaseNumber, Member),
-    /// A target is given back.
+    /// Returns a lease.
     Release(Release),
-    /// How many more requests a group would take.
+    /// Reports the spare capacity of a group.
     Room(GroupHeadroomReport),
-    /// The sender has taken in documents.
+    /// Announces the revisions of documents that the sender has adopted.
     News(Heads),
-    /// The sender has started, begins to serve, or stops.
+    /// Announces that the sender has started, begins to serve or is stopping.
     Phase(Member),
-    /// A target ended while it ran a request, or one answered a request that was suspected.
+    /// Reports a request under which a target crashed, or that a target answered a suspected
+    /// request.
     Suspect(SuspectReport),
-    /// Asks for tokens of an organisation.
+    /// Requests tokens of an organisation from the organisation's counter.
     QuotaAsk(QuotaAsk),
-    /// What the counter of an organisation answers.
+    /// Returns the tokens that the counter of an organisation grants.
     QuotaCounted(QuotaRequestNumber, QuotaGrant),
-    /// The receiver does not count the organisation's requests: another process ranks before it,
-    /// or it is stopping.
+    /// Reports that the sender is not the organisation's counter, because another process ranks
+    /// before it or because it is stopping.
     QuotaElsewhere(QuotaRequestNumber),
 }
 
-/// Number of a question, counted by the asking process from its start.
+/// Identifier of a quota request. The requesting process numbers its quota requests consecutively
+/// from its start.
 #[derive(
     Debug,
     Clone,
@@ -105,135 +112,142 @@
 )]
 pub struct QuotaRequestNumber(pub u64);
 
-/// A process that wants tokens of an organisation.
+/// Request for tokens of an organisation's quota.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaAsk {
-    /// The question.
+    /// Identifier of this quota request.
     pub number: QuotaRequestNumber,
-    /// The organisation.
+    /// Organisation whose tokens are requested.
     pub organisation: OrganisationName,
-    /// Tokens wanted.
+    /// Number of tokens requested.
     pub wanted: u32,
-    /// Requests that arrived since the sender asked last.
+    /// Number of requests of the organisation that arrived at the sender since its last quota
+    /// request.
     pub arrived: u32,
 }
 
-/// What a counter hands out.
+/// Tokens that the counter of an organisation grants to one process.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// Tokens.
+    /// Number of tokens granted.
     pub tokens: u32,
-    /// When there are tokens again, if there was none, in milliseconds.
+    /// Time until tokens are available again if none was granted, in milliseconds.
     pub retry_after_ms: u32,
-    /// The part of the limit that the asking process may admit by itself, in requests a second.
+    /// Share of the organisation's rate limit that the requesting process may admit without asking
+    /// the counter, in requests per second.
     pub own_rate_per_s: Option<f64>,
 }
 
-/// News of a reader. It is told to its own data hall and to some processes of every other,
-/// which pass it on in theirs.
+/// Result of a reader's last call to the configuration source. The reader sends it to the processes
+/// of its own data hall and to some processes of every other data hall, which relay it within their
+/// data hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceHeartbeat {
-    /// The process that called the source.
+    /// VM of the process that called the source.
     pub reader: VmName,
-    /// Whether the source answered.
+    /// Whether the source answered the call.
     pub is_answered: bool,
-    /// What is in force at the reader.
+    /// Revisions in force at the reader.
     pub heads: Heads,
-    /// The data hall of the sender of this message.
+    /// Data hall of the process that sent or relayed this message.
     pub data_hall: DataHallName,
-    /// Where the sender of this message answers peers.
+    /// Address at which the process that sent or relayed this message accepts peer connections.
     pub peer_address: SocketAddr,
 }
 
-/// Who allocates a group, and where it is reached.
+/// Allocator of a group and its datagram address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocatorAddress {
-    /// Its VM.
+    /// VM that the allocator runs on.
     pub vm: VmName,
-    /// Where its datagrams arrive.
+    /// Address at which the allocator receives datagrams.
     pub address: SocketAddr,
 }
 
-/// What a process has in force.
+/// Revisions and digests of the documents that are in force at a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heads {
-    /// The configuration.
+    /// Revision and digest of the configuration; `None` before the first one is adopted.
     pub configuration: Option<Head>,
-    /// The discovered targets.
+    /// Revision and digest of the list of discovered targets; `None` before the first one is
+    /// adopted.
     pub targets: Option<Head>,
 }
 
-/// The room of a group of targets.
+/// Spare capacity of a group of targets, as its allocator reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupHeadroomReport {
-    /// The service.
+    /// Service that the group belongs to.
     pub service: ServiceName,
-    /// The group.
+    /// Group whose spare capacity is reported.
     pub group: Group,
-    /// Who allocates it.
+    /// Allocator that sends the report.
     pub allocator: AllocatorAddress,
-    /// Further requests that its targets would serve at nearly their usual pace.
+    /// Number of further requests that the targets of the group would serve at nearly their usual
+    /// speed.
     pub room: u32,
 }
 
-/// A request that wants a target.
+/// Request for a lease of one target of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acquire {
-    /// The lease asked for.
+    /// Identifier of the requested lease.
     pub number: LeaseNumber,
-    /// The service.
+    /// Service of the request.
     pub service: ServiceName,
-    /// The group of its targets.
+    /// Group of targets to choose from.
     pub group: Group,
-    /// Whether the request may be sent to another group.
+    /// Whether the allocator may redirect the request to another group.
     pub may_redirect: bool,
-    /// Whether nobody who ranks before the receiver was passed over: then the receiver may name
-    /// one that it knows.
+    /// Whether the sender ranks the receiver first and skipped no other allocator. Only then may
+    /// the receiver name an allocator that ranks before itself.
     pub is_first_choice: bool,
-    /// The data hall of the sender.
+    /// Data hall of the process that requests the lease.
     pub data_hall: DataHallName,
-    /// Rank of the request by organisation and kind; the smallest goes first.
+    /// Priority of the request, derived from its organisation and kind; lower values are served
+    /// first.
     pub priority: u8,
-    /// Time left until the answer must have begun.
+    /// Time left until the answer of the target must have begun.
     pub deadline: Duration,
-    /// Longest time to wait for a target.
+    /// Maximum time to wait for a target.
     pub wait: Duration,
-    /// Time left in which its answer is worth most; zero if it is over.
+    /// Time left until the latency objective of the request is missed; zero if it is missed
+    /// already.
     pub objective: Duration,
-    /// Most requests of its rank waiting at one time.
+    /// Maximum number of queued requests of the same priority.
     pub queue_max: u32,
-    /// Length of the answers to its kind in the mean, in KiB; 0 if that is not known.
+    /// Mean length of the answers to requests of the same kind, in KiB; 0 if unknown.
     pub answer_kib: u32,
-    /// Targets that the request was already sent to.
+    /// Targets that the request was sent to in earlier attempts.
     pub tried: Vec<TargetName>,
-    /// Targets that the sender may not use now.
+    /// Targets that the sender must not use at present.
     pub excluded: Vec<TargetName>,
-    /// All leases of this group that the sender holds or asks for.
+    /// All leases of this group that the sender of the request holds or waits for.
     pub held: Vec<LeaseNumber>,
 }
 
-/// The end of a lease, or of the request for one.
+/// Return of a lease, or cancellation of a request for one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// The lease.
+    /// Identifier of the returned lease.
     pub number: LeaseNumber,
-    /// The service.
+    /// Service that the lease belongs to.
     pub service: ServiceName,
-    /// The group of its targets.
+    /// Group that the lease belongs to.
     pub group: Group,
-    /// What the sender knows of the target.
+    /// Observations of the lease holder about the target.
     pub report: LeaseReport,
-    /// All leases of this group that the sender holds or asks for.
+    /// All leases of this group that the sender of the release still holds or waits for.
     pub held: Vec<LeaseNumber>,
 }
 
 impl Datagram {
-    /// The bytes to send.
+    /// Encodes the datagram with `postcard`.
     pub fn encode(&self) -> Result<Vec<u8>, DatagramError> {
         Ok(postcard::to_stdvec(self)?)
     }
 
-    /// Reads what arrived.
+    /// Decodes a received datagram; fails if the bytes are not a valid message.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         Ok(postcard::from_bytes(bytes)?)
     }
