--- a/crates/thymeshift_wire/src/dead_peer.rs
+++ b/crates/thymeshift_wire/src/dead_peer.rs
@@ -1,9 +1,10 @@
-//! Connections whose other side has fallen silent.
+//! TCP options that detect an unreachable peer.
 //!
-//! A VM without power, or behind a cut, resets nothing: what is sent to it is neither confirmed nor
-//! refused, and an open connection looks well for minutes. Nothing in HTTP tells that from a target
-//! that works on a request for long. The kernel does: it asks an idle connection whether it is
-//! still there, and ends one on which bytes stay unconfirmed.
+//! A VM that has lost power or network connectivity does not reset its connections: data sent to it
+//! is neither acknowledged nor refused, and an open connection looks healthy for minutes. HTTP
+//! cannot distinguish this from a target that works on a request for a long time. The kernel can:
+//! it sends keepalive probes on idle connections and closes connections whose data stays
+//! unacknowledged.
 
 use std::io;
 use std::time::Duration;
@@ -15,16 +16,17 @@
 use rustix::net::sockopt::set_tcp_user_timeout;
 use tokio::net::TcpStream;
 
-/// Time without a byte after which the other side is asked; the kernel takes whole seconds.
+/// Idle time before the first keepalive probe, and interval between two probes. The kernel accepts
+/// whole seconds only.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Questions without an answer after which the connection ends, one each [`KEEPALIVE_INTERVAL`].
+/// Number of unanswered keepalive probes after which the kernel closes the connection.
 pub const KEEPALIVE_PROBES_MAX: u32 = 2;
-/// Time after which bytes that were not confirmed end the connection: three repeats of a lost
-/// packet fit in, which the kernel sends 0.2, 0.6 and 1.4 s after the first.
+/// Time after which unacknowledged data closes the connection. It allows for three retransmissions
+/// of a lost packet, which the kernel sends 0.2, 0.6 and 1.4 s after the original.
 pub const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Has the kernel end the connection when the other side falls silent: it then fails like one that
-/// was reset.
+/// Makes the kernel close the connection when the peer becomes unreachable. Reads and writes then
+/// fail as they do after a connection reset.
 pub fn set_dead_peer_timeouts(stream: &TcpStream) -> io::Result<()> {
     set_socket_keepalive(stream, true)?;
     set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
