--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -1,8 +1,8 @@
-//! How calls, attempts, answers and failures look on the wire.
+//! Wire format of calls, attempts, answers and failures.
 //!
-//! The product speaks its own headers ([`Native`]). Where clients and targets speak others,
-//! another implementation of [`Dialect`] translates. An implementation holds names and
-//! formats only: what is done about a call is decided elsewhere.
+//! [`Native`] uses the headers that Thymeshift defines. For clients and targets with other headers,
+//! another implementation of [`Dialect`] translates. An implementation only maps names and formats;
+//! the proxy decides how a call is handled.
 
 use std::time::Duration;
 
@@ -24,87 +24,89 @@
 use crate::RateLimitError;
 use crate::RetryAfterError;
 
-/// One attempt as the target hears of it.
+/// Data of one attempt that is written into the request to the target.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptHead<'a> {
-    /// Identity of the client's request.
+    /// Identifier of the client's request.
     pub request_id: &'a HeaderValue,
-    /// Identity of this attempt.
+    /// Identifier of this attempt.
     pub attempt_id: &'a HeaderValue,
-    /// The target that is meant.
+    /// Target that the attempt is sent to.
     pub target: &'a TargetName,
-    /// Deadline, attempts and depth.
+    /// Deadline, remaining attempts and depth.
     pub context: CallContext,
-    /// The organisation whose key the caller sent.
+    /// Organisation that the caller's key belongs to; `None` if the caller sent no known key.
     pub organisation: Option<&'a OrganisationName>,
 }
 
-/// What an answer's head says about the attempt.
+/// Classification of an answer by its status and headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerClass {
-    /// The target's answer, to be passed on.
+    /// Answer of the target, to be forwarded to the client.
     Answered,
-    /// The target ran the request and says that it failed; may be passed on.
+    /// The target ran the request and reports that it failed; the answer may be forwarded.
     Failed,
-    /// The target had no room. Whether that proves that the request did not run is a
-    /// matter of the service's contract.
+    /// The target rejected the request for lack of capacity. Whether this proves that the request
+    /// did not run depends on the service's configuration.
     Shed,
-    /// A deeper layer refused and used attempts of its own; to be passed on.
+    /// A deeper layer rejected the request and already used attempts of its own; the answer is
+    /// forwarded.
     ShedByDeeperLayer,
     /// The target states that it did not run the request.
     NotRun,
-    /// Another target has the address; the one that was meant did not run the request.
+    /// Another target now listens at the address, so the intended target did not run the request.
     WrongTarget,
-    /// It belongs to another request or attempt.
+    /// The answer belongs to another request or attempt.
     WrongAttempt,
-    /// It cannot be passed on as it is: a part that makes it valid is missing, or its status
-    /// promises what the target did not state.
+    /// The answer must not be forwarded: a part that makes it valid is missing, or its status
+    /// claims something that the target did not state.
     Invalid,
 }
 
-/// The headers and statuses of one environment.
+/// Headers and statuses of one environment.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads what a client says of its call.
+    /// Reads deadline, attempts and depth from a client's request.
     fn read_call(map: &HeaderMap) -> Result<CallContext, HeaderError>;
 
-    /// Takes the key out of a call, with what the caller says of its organisation: targets are
-    /// shown neither. None if there is no key that could be known.
+    /// Removes the key from a client's request, together with any organisation that the caller
+    /// claims; targets must receive neither from the caller. Returns the digest of the key, or
+    /// `None` if there is no key that could be known.
     fn take_key(map: &mut HeaderMap) -> Option<KeyDigest>;
 
-    /// Writes what a target is told, replacing what the client said.
+    /// Writes the headers of an attempt and replaces those that the client sent.
     fn write_attempt(map: &mut HeaderMap, attempt: &AttemptHead<'_>);
 
-    /// Reads what an answer's head means.
+    /// Classifies an answer by its status and headers.
     fn classify_answer(
         status: StatusCode,
         map: &HeaderMap,
         attempt: &AttemptHead<'_>,
     ) -> AnswerClass;
 
-    /// Reads the load report of an answer, if it carries a readable one.
+    /// Reads the load report of an answer; `None` if it is missing or malformed.
     fn report(map: &HeaderMap) -> Option<LoadReport>;
 
-    /// Reads the requests a second that a target says it takes from all processes together; none if
-    /// it says nothing of that.
+    /// Reads the rate limit that a target states for all entry processes together; `None` if the
+    /// answer states no limit.
     fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitError>;
 
-    /// Reads the load report of a probe's answer: unlike that of a request, it does not count
-    /// what it answers.
+    /// Reads the load report of a probe's answer, which does not count the probe itself. The report
+    /// in the answer to a request counts that request.
     fn probe_report(status: StatusCode, map: &HeaderMap) -> Option<LoadReport>;
 
-    /// Whether a target says, apart from its load report, that it leaves.
+    /// Returns whether a target announces that it is leaving by other means than its load report.
     fn is_leaving(map: &HeaderMap) -> bool;
 
-    /// Reads for how long a target asks to get no requests from the process that it answers; none
-    /// if it does not ask for that.
+    /// Reads for how long a target asks this process to send it no requests; `None` if the answer
+    /// asks for no backoff.
     fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError>;
 
-    /// Whom an answer's header addresses.
+    /// Returns the intended recipient of a header of an answer.
     fn header_audience(name: &HeaderName) -> HeaderAudience;
 
-    /// Removes from an answer what is not meant for clients.
+    /// Removes the headers that clients must not receive from an answer.
     fn strip_internal_headers(map: &mut HeaderMap);
 
-    /// The answer that tells a client of a failure.
+    /// Builds the response that reports a failure to the client.
     fn failure(failure: &Failure, request_id: &HeaderValue) -> Response<Vec<u8>>;
 }
