--- a/crates/thymeshift_wire/src/dump.rs
+++ b/crates/thymeshift_wire/src/dump.rs
@@ -1,5 +1,7 @@
-//! What a process says of its whole state. Its size is bounded by the configuration and
-//! by the bounds of what it lists; making it costs one pass and no I/O.
+//! Snapshot of the state of an entry process, for operators.
+//!
+//! The size of a dump is bounded by the configuration and by the limits of the lists in it.
+//! Building a dump takes one pass over the state and performs no I/O.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -21,156 +23,157 @@
 use thymeshift_types::ServiceName;
 use thymeshift_types::VmName;
 
-/// The configuration in force and what was refused.
+/// Configuration in force and configurations that were refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationDump {
-    /// Revision and digest in force.
+    /// Revision and digest of the configuration in force.
     pub in_force: Option<Head>,
-    /// For how long, in milliseconds.
+    /// Time since the configuration in force was adopted, in milliseconds.
     pub in_force_for_ms: u64,
-    /// Two contents under one revision, if seen.
+    /// Two different configurations that were published under the same revision, if seen.
     pub conflict: Option<Conflict>,
-    /// The last rejected revision.
+    /// Last revision that failed validation.
     pub rejection: Option<Rejection>,
 }
 
-/// The link to the platform.
+/// State of the connection to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformDump {
-    /// Whether this process watches it.
+    /// Whether this process watches the platform.
     pub is_watching: bool,
-    /// Calls made since start.
+    /// Number of calls to the platform since the process started.
     pub calls: u64,
-    /// Time since its last answer, in milliseconds.
+    /// Time since the last answer of the platform, in milliseconds.
     pub last_answer_ms: Option<u64>,
-    /// Who watches, as far as known.
+    /// Processes known to watch the platform.
     pub watchers: Vec<Watcher>,
 }
 
-/// Requests of one kind since start.
+/// Request counters of one kind since the process started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindDump {
-    /// The kind.
+    /// Name of the request kind.
     pub name: KindName,
-    /// Its service.
+    /// Service that serves requests of this kind.
     pub service: ServiceName,
-    /// Its rank.
+    /// Priority of the kind; lower values are served first.
     pub priority: u64,
-    /// Requests accepted.
+    /// Number of accepted requests.
     pub accepted: u64,
-    /// Requests that got a target's answer.
+    /// Number of requests that a target answered.
     pub answered: u64,
-    /// Requests refused or failed, provably not run.
+    /// Number of requests that were refused or failed and provably did not run.
     pub not_run: u64,
-    /// Requests that may have run.
+    /// Number of failed requests that may have run.
     pub unknown: u64,
-    /// Requests that a target ran and failed.
+    /// Number of requests that a target ran and reported as failed.
     pub failed: u64,
-    /// Attempts after the first.
+    /// Number of attempts after the first attempt of each request.
     pub retries: u64,
-    /// Requests that waited for a target.
+    /// Number of requests that waited for a target.
     pub waited: u64,
 }
 
-/// One organisation.
+/// Quota state of one organisation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationDump {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationName,
-    /// Its rank.
+    /// Rank among organisations; lower ranks are served first.
     pub rank: u64,
-    /// Its limit in requests a second; none if it has none.
+    /// Rate limit of the organisation in requests per second; `None` if unlimited.
     pub rate_per_s: Option<f64>,
-    /// Requests beyond the rate after a rest.
+    /// Number of requests that may exceed the rate limit after an idle period.
     pub burst: u64,
-    /// Digests of its keys.
+    /// Digests of the organisation's keys.
     pub key_digests: Vec<KeyDigest>,
-    /// Requests that this process may admit without asking.
+    /// Number of requests that this process may admit without asking the organisation's counter.
     pub tokens: u32,
-    /// Requests a second that arrive here.
+    /// Requests of the organisation per second that arrive at this process.
     pub demand_per_s: f64,
-    /// Requests a second of all processes, if this one counts them.
+    /// Requests of the organisation per second at all processes; `None` unless this process is the
+    /// organisation's counter.
     pub counted_per_s: Option<f64>,
 }
 
-/// An entry of the list of targets that cannot be used.
+/// Invalid entry in the list of discovered targets, which is skipped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeftOutDump {
-    /// What it calls itself.
+    /// Name that the skipped entry gives for itself.
     pub name: String,
-    /// Its first mistake.
+    /// First mistake found in the skipped entry.
     pub mistake: String,
 }
 
-/// One data hall.
+/// State of one data hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallDump {
-    /// Its name.
+    /// Name of the data hall.
     pub name: DataHallName,
-    /// Whether its targets get no new work.
+    /// Whether the data hall is drained, so that its targets receive no new requests.
     pub is_drained: bool,
-    /// Targets listed there, of all services.
+    /// Number of targets of all services that are listed in the data hall.
     pub targets: u64,
-    /// Entry processes known there.
+    /// Number of known entry processes in the data hall.
     pub members: u64,
 }
 
-/// One task of the supervisor tree.
+/// State of one task of the supervisor tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskDump {
-    /// Its name.
+    /// Name of the task.
     pub name: String,
-    /// How often it was restarted.
+    /// Number of times the supervisor restarted the task.
     pub restarts: u64,
-    /// Whether it runs.
+    /// Whether the task is running.
     pub is_running: bool,
 }
 
-/// The whole state of an entry process.
+/// State of an entry process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StateDump {
-    /// Its VM.
+    /// VM that the process runs on.
     pub vm: VmName,
-    /// Its start.
+    /// Start of the process, which distinguishes it from earlier processes on the same VM.
     pub boot: Boot,
-    /// Its data hall.
+    /// Data hall that the VM is located in.
     pub data_hall: DataHallName,
-    /// Its program version.
+    /// Version of the program.
     pub version: String,
-    /// What it says of itself.
+    /// Phase that the process announces to its peers.
     pub phase: Phase,
-    /// Time since start, in milliseconds.
+    /// Time since the process started, in milliseconds.
     pub uptime_ms: u64,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests_in_flight: u64,
-    /// Connections from callers.
+    /// Number of open connections from callers.
     pub caller_connections: u64,
-    /// Bytes received from peers since start.
+    /// Number of bytes received from peers since the process started.
     pub peer_bytes_received: u64,
-    /// Bytes sent to peers since start.
+    /// Number of bytes sent to peers since the process started.
     pub peer_bytes_sent: u64,
-    /// The configuration.
+    /// Configuration in force and refused configurations.
     pub configuration: ConfigurationDump,
-    /// The platform.
+    /// State of the connection to the platform.
     pub platform: PlatformDump,
-    /// The data halls.
+    /// Data halls, with their drain state.
     pub halls: Vec<HallDump>,
-    /// The services.
+    /// Services, with the state of their targets.
     pub services: Vec<ServiceDump>,
-    /// The kinds.
+    /// Request counters of each kind.
     pub kinds: Vec<KindDump>,
-    /// The organisations.
+    /// Quota state of each organisation.
     pub organisations: Vec<OrganisationDump>,
-    /// Other processes.
+    /// Other entry processes known to this process.
     pub members: Vec<MemberDump>,
-    /// Entries of the list of targets that cannot be used.
+    /// Invalid entries in the list of discovered targets, which are skipped.
     pub left_out: Vec<LeftOutDump>,
-    /// Targets that are leaving.
+    /// Target incarnations that are leaving.
     pub leaving: Vec<LeavingMark>,
-    /// Orders that hold.
+    /// Orders of operators in force.
     pub orders: Vec<Order>,
-    /// Requests that targets crashed under.
+    /// Requests under which targets crashed.
     pub suspects: Vec<SuspectDump>,
-    /// Tasks of this process.
+    /// Tasks of the supervisor tree.
     pub tasks: Vec<TaskDump>,
 }
