--- a/crates/thymeshift_wire/src/headers.rs
+++ b/crates/thymeshift_wire/src/headers.rs
@@ -1,35 +1,37 @@
-//! Names of the product's own HTTP headers, in lower case.
+//! Names of the HTTP headers that Thymeshift reads or writes, in lower case.
 
 use http::HeaderName;
 
-/// How the names of all others begin.
+/// Prefix of every header name that Thymeshift defines itself.
 pub const OWN_PREFIX: &str = "thymeshift-";
-/// Time left to the deadline, in milliseconds. From callers, and to targets.
+/// Time left until the deadline, in milliseconds. Read from callers and sent to targets.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("thymeshift-timeout-ms");
-/// Attempts that this call may still cost, the next one included.
+/// Number of attempts that the call may still use, including the next one.
 pub const ATTEMPTS_LEFT: HeaderName = HeaderName::from_static("thymeshift-attempts-left");
-/// How often the call was passed on before.
+/// Number of proxies that have already forwarded the call.
 pub const DEPTH: HeaderName = HeaderName::from_static("thymeshift-depth");
-/// Identity of one attempt. A target may send it back; another value on its answer is
-/// proof that the answer belongs to another attempt.
+/// Identifier of one attempt. A target may echo it; an answer with another value belongs to another
+/// attempt.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("thymeshift-attempt");
-/// Identity of the request in logs; taken from the caller or made here.
+/// Identifier of the request in logs; copied from the caller or generated if the caller sent none.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// The organisation of the caller, told to targets.
+/// Organisation of the caller, sent to targets.
 pub const ORGANISATION: HeaderName = HeaderName::from_static("thymeshift-organisation");
-/// On a failure: `not_run`, `unknown` or `failed`.
+/// Outcome of a failed request: `not_run`, `unknown` or `failed`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("thymeshift-outcome");
-/// On a failure: why.
+/// Reason of a failed request.
 pub const REASON: HeaderName = HeaderName::from_static("thymeshift-reason");
-/// On a failure: the step at which it arose.
+/// Processing step at which a request failed.
 pub const STEP: HeaderName = HeaderName::from_static("thymeshift-step");
-/// On a failure: the other side at that step.
+/// Peer of the processing step at which a request failed.
 pub const PEER: HeaderName = HeaderName::from_static("thymeshift-peer");
-/// On a refusal: when to come back, in milliseconds (finer than `Retry-After`).
+/// Time after which a refused request may be retried, in milliseconds. More precise than
+/// `Retry-After`, which counts whole seconds.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("thymeshift-retry-after-ms");
-/// Load report on an answer, in the text form of the ORCA specification.
+/// Load report of a target in the text format of the ORCA specification.
 pub const LOAD: HeaderName = HeaderName::from_static("endpoint-load-metrics");
-/// On an answer: requests a second that the target takes from all processes together.
+/// Rate limit that a target states in an answer: requests per second from all entry processes
+/// together.
 pub const RATE_LIMIT: HeaderName = HeaderName::from_static("thymeshift-rate-limit");
-/// On answers of the platform: the revision of the document.
+/// Revision of the document in an answer of the platform.
 pub const REVISION: HeaderName = HeaderName::from_static("thymeshift-revision");
