--- a/crates/thymeshift_wire/src/key_header.rs
+++ b/crates/thymeshift_wire/src/key_header.rs
@@ -1,15 +1,16 @@
-//! Keys in the standard header of credentials (RFC 6750).
+//! Extraction of API keys from the `Authorization` header with the Bearer scheme (RFC 6750).
 
 use http::HeaderMap;
 use http::HeaderName;
 use http::header::AUTHORIZATION;
 use thymeshift_types::KeyDigest;
 
-/// Scheme of a header that holds a key.
+/// Authentication scheme of an `Authorization` header that carries a key, in lower case.
 const SCHEME: &str = "bearer";
 
-/// Takes the caller's key out of a call, and each header that could be read as the one in which
-/// targets are told the organisation. None if there is no key, or more than one.
+/// Removes the caller's key from a request and returns its digest. Also removes every header that a
+/// target could read as the organisation header, so that a caller cannot claim an organisation.
+/// Returns `None` if the request carries no key or more than one `Authorization` header.
 pub fn take_bearer_key(map: &mut HeaderMap, organisation: &HeaderName) -> Option<KeyDigest> {
     remove_spellings(map, organisation);
     let mut values = map.get_all(AUTHORIZATION).iter();
@@ -30,7 +31,8 @@
     KeyDigest::of(key.trim().as_bytes())
 }
 
-/// Programs that turn header names into variables read `a_b` as `a-b`.
+/// Removes a header and its spellings with underscores. CGI-style programs map header names to
+/// variables and do not distinguish `a_b` from `a-b`.
 fn remove_spellings(map: &mut HeaderMap, name: &HeaderName) {
     map.remove(name);
     let is_spelling = |found: &&HeaderName| found.as_str().replace('_', "-") == name.as_str();
