--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -1,14 +1,14 @@
-//! Headers and remote calls between callers, targets, entry processes and operators.
+//! HTTP headers and remote calls between callers, targets, entry processes and operators.
 //!
-//! * [`headers`]: the names of the product's own HTTP headers.
-//! * [`CallContext`]: deadline, attempts and depth that travel with a call.
-//! * [`load_header`]: load reports on answers.
-//! * [`Dialect`]: how calls, attempts and answers look on the wire; [`Native`] is the
-//!   product's own.
-//! * [`PeerLink`] and [`Control`]: `tarpc` services; [`connect_peer`],
-//!   [`connect_control`], [`peer_channel`] and [`control_channel`] carry them over TCP with
-//!   the `postcard` codec and a bound on every frame.
-//! * [`StateDump`]: what a process says of its whole state.
+//! * [`headers`]: names of the HTTP headers that Thymeshift defines.
+//! * [`CallContext`]: deadline, remaining attempts and depth that are propagated with a call.
+//! * [`load_header`]: load reports in response headers.
+//! * [`Dialect`]: wire format of calls, attempts and answers; [`Native`] is the implementation for
+//!   Thymeshift's own headers.
+//! * [`PeerLink`] and [`Control`]: `tarpc` services; [`connect_peer`], [`connect_control`],
+//!   [`peer_channel`] and [`control_channel`] carry them over TCP with the `postcard` codec and a
+//!   size limit for every frame.
+//! * [`StateDump`]: snapshot of the state of an entry process.
 
 mod answer_headers;
 mod call_context;
