--- a/crates/thymeshift_wire/src/load_header.rs
+++ b/crates/thymeshift_wire/src/load_header.rs
@@ -1,10 +1,10 @@
-//! Load reports as targets put them on answers, in the text form of the ORCA
-//! specification: `TEXT named_metrics.running=2, named_metrics.queued=0`.
+//! Load reports that targets attach to answers, in the text format of the ORCA specification: `TEXT
+//! named_metrics.running=2, named_metrics.queued=0`.
 //!
-//! Fields: `running`, `queued`, `incarnation`, `draining` (0 or 1), `pace_percent` (how
-//! long work takes now, in percent of the usual) and `cold_for_ms` (for how much longer the target
-//! is cold, in milliseconds). A report with
-//! neither `running` nor `queued` is not a report. Unknown fields are passed over.
+//! Fields: `running`, `queued`, `incarnation`, `draining` (0 or 1), `pace_percent` (current
+//! duration of work, in percent of the usual duration) and `cold_for_ms` (remaining time for which
+//! the target is cold, in milliseconds). A report without both `running` and `queued` is ignored,
+//! and so are unknown fields.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -18,8 +18,8 @@
 const FORMAT: &str = "TEXT ";
 const NAMED: &str = "named_metrics.";
 
-/// Reads the report of an answer. A malformed one counts as none: a target that lies or
-/// errs about its load must not cost a caller its answer.
+/// Reads the load report of an answer. A malformed report counts as missing, because a target with
+/// a faulty report must not cost the caller its answer.
 pub fn read(map: &HeaderMap) -> Option<LoadReport> {
     let text = map.get(&headers::LOAD)?.to_str().ok()?;
     let fields = text.strip_prefix(FORMAT)?;
@@ -54,7 +54,7 @@
     Some(LoadReport { running, queued, incarnation, state, pace_percent, cold_for_ms })
 }
 
-/// The report as a header's value.
+/// Encodes a load report as a header value.
 pub fn write(report: &LoadReport) -> HeaderValue {
     let LoadReport { running, queued, incarnation, state, pace_percent, cold_for_ms } = report;
     let draining = u8::from(*state == ReportedState::Draining);
@@ -65,6 +65,6 @@
         "{FORMAT}{NAMED}running={running}, {NAMED}queued={queued}, \
          {NAMED}draining={draining}, {NAMED}pace_percent={pace_percent}{incarnation}{cold}"
     );
-    // Digits and fixed ASCII text always make a valid value.
+    // Digits and fixed ASCII text always form a valid header value.
     HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
