--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -1,4 +1,4 @@
-//! The product's own dialect.
+//! Implementation of [`Dialect`] for the headers that Thymeshift defines.
 
 use std::time::Duration;
 
@@ -33,13 +33,13 @@
 use crate::rate_header::read_rate_limit;
 use crate::retry_after::read_retry_after;
 
-/// The product's own dialect.
+/// Dialect of callers and targets that use the `thymeshift-*` headers.
 #[derive(Debug, Clone, Copy)]
 pub struct Native;
 
-/// The failure as the caller reads it in the body.
+/// JSON body of a failure response.
 #[derive(Serialize)]
-struct FailureText<'a> {
+struct FailureBody<'a> {
     request_id: &'a str,
     outcome: Outcome,
     reason: Reason,
@@ -70,14 +70,15 @@
         map: &HeaderMap,
         attempt: &AttemptHead<'_>,
     ) -> AnswerClass {
-        let is_foreign = map.get(&headers::ATTEMPT).is_some_and(|echo| echo != attempt.attempt_id);
-        if is_foreign {
+        let is_other_attempt =
+            map.get(&headers::ATTEMPT).is_some_and(|echo| echo != attempt.attempt_id);
+        if is_other_attempt {
             return AnswerClass::WrongAttempt;
         }
         match status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                let is_deeper_layers = map.contains_key(&headers::OUTCOME);
-                if is_deeper_layers { AnswerClass::ShedByDeeperLayer } else { AnswerClass::Shed }
+                let is_deeper = map.contains_key(&headers::OUTCOME);
+                if is_deeper { AnswerClass::ShedByDeeperLayer } else { AnswerClass::Shed }
             }
             status if status.is_server_error() => AnswerClass::Failed,
             _ => AnswerClass::Answered,
@@ -97,12 +98,12 @@
     }
 
     fn is_leaving(_map: &HeaderMap) -> bool {
-        // Its load report tells.
+        // Native targets announce this in the load report.
         false
     }
 
     fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
-        // A deeper layer speaks of its own targets, not of itself.
+        // A `Retry-After` of a deeper layer concerns the targets of that layer, not this target.
         if status != StatusCode::SERVICE_UNAVAILABLE || map.contains_key(&headers::OUTCOME) {
             return Ok(None);
         }
@@ -113,7 +114,8 @@
         let is_own = name.as_str().starts_with(headers::OWN_PREFIX)
             || *name == headers::LOAD
             || *name == headers::REQUEST_ID;
-        // On other answers than those read here it addresses the caller.
+        // `Retry-After` is read from 503 answers. In other answers it is meant for the caller, but
+        // it is not an unknown header.
         if is_own || *name == RETRY_AFTER { HeaderAudience::Proxy } else { standard_audience(name) }
     }
 
@@ -124,7 +126,7 @@
 
     fn failure(failure: &Failure, request_id: &HeaderValue) -> Response<Vec<u8>> {
         let retry_after_ms = failure.retry_after.map(|after| after.as_millis() as u64);
-        let text = FailureText {
+        let text = FailureBody {
             request_id: request_id.to_str().unwrap_or_default(),
             outcome: failure.outcome,
             reason: failure.reason,
@@ -151,23 +153,23 @@
     }
 }
 
-/// Names and addresses are plain text; anything else would be a mistake of ours and is
-/// left out rather than sent.
+/// Converts a name or address to a header value. Both are plain text; any other text is a bug in
+/// this process and becomes an empty value.
 fn text_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
-/// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
+/// Rounds up to whole seconds for `Retry-After`, so that no caller retries too early.
 fn whole_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
 
-/// How a client is asked for a key, if that is what its request lacks.
+/// Returns the `WWW-Authenticate` value if the request failed because it carries no known key.
 pub fn challenge(failure: &Failure) -> Option<HeaderValue> {
     (failure.reason == Reason::UnknownKey).then(|| HeaderValue::from_static("Bearer"))
 }
 
-/// The status that tells a client of a failure. 503 only where the request did not run.
+/// Returns the HTTP status for a failure. 503 is used only if the request did not run.
 pub fn failure_status(failure: &Failure) -> StatusCode {
     match failure.reason {
         Reason::UnknownKind => StatusCode::NOT_FOUND,
