--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entry processes say to each other.
+//! Remote calls between entry processes: state exchange and document transfer.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,65 +15,65 @@
 use thymeshift_types::ServiceName;
 use thymeshift_types::TargetName;
 
-/// A document that the platform publishes.
+/// Document that the platform publishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Document {
-    /// The configuration.
+    /// Configuration of the whole fleet.
     Configuration,
-    /// The list of live and leaving VMs.
+    /// List of live and leaving VMs.
     VmList,
-    /// The targets that are discovered apart from the configuration.
+    /// List of discovered targets, which is published separately from the configuration.
     Targets,
 }
 
-/// One side of an exchange: a bounded summary of what a process knows. Both sides send
-/// one, and each takes in the other's.
+/// Bounded summary of the state that a process knows. In an exchange, both processes send a summary
+/// and merge the one they receive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Whether the sender has hardly heard of others since its start, and wants to be told of
-    /// many.
+    /// Whether the sender has received little state since its start and asks for information about
+    /// many members.
     pub is_new: bool,
-    /// Members, the sender first.
+    /// Known members; the first one is the sender.
     pub members: Vec<GossipMember>,
-    /// The fleet as the sender knows it.
+    /// Digest of the fleet as the sender knows it.
     pub digest: FleetDigest,
-    /// The configuration in force.
+    /// Revision and digest of the configuration in force at the sender.
     pub configuration: Option<Head>,
-    /// The VM list known.
+    /// Revision and digest of the VM list known to the sender.
     pub vm_list: Option<Head>,
-    /// The discovered targets known.
+    /// Revision and digest of the list of discovered targets known to the sender.
     pub targets: Option<Head>,
-    /// Who watches the platform.
+    /// Processes that watch the platform, as far as the sender knows.
     pub watchers: Vec<Watcher>,
-    /// A page of the targets that are leaving.
+    /// Page of the target incarnations that are leaving.
     pub leaving: Vec<LeavingMark>,
-    /// Operators' orders.
+    /// Orders of operators.
     pub orders: Vec<Order>,
-    /// A page of the requests that targets crashed under.
+    /// Page of the requests under which targets crashed.
     pub suspects: Vec<SuspectReport>,
-    /// A page of the limits that targets in need have named.
+    /// Page of the limits that rate-limited targets have stated.
     pub rate_limits: Vec<TargetRateLimit>,
 }
 
-/// What a process knows of the limit of one target.
+/// Stated rate limit of one target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRateLimit {
-    /// The service.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// The target.
+    /// Target that stated the limit.
     pub target: TargetName,
-    /// Its start.
+    /// Incarnation of the target that stated the limit.
     pub incarnation: Incarnation,
-    /// The limit, and how old this is.
+    /// Rate limit that the target stated, with its age.
     pub told: RateLimitUpdate,
 }
 
-/// Calls between entry processes.
+/// Remote calls between entry processes.
 #[tarpc::service]
 pub trait PeerLink {
-    /// Swaps summaries.
+    /// Exchanges state summaries; returns the summary of the called process.
     async fn exchange(summary: Exchange) -> Exchange;
-    /// Asks for a document that the other side has newer.
+    /// Fetches a document of which the called process has a newer revision than `have`.
     async fn fetch(document: Document, have: Option<Head>) -> Transfer;
 }
