--- a/crates/thymeshift_wire/src/retry_after.rs
+++ b/crates/thymeshift_wire/src/retry_after.rs
@@ -1,4 +1,5 @@
-//! `Retry-After` of a target (RFC 9110, section 10.2.3): a number of seconds, or a date.
+//! Parser for the `Retry-After` header of a target (RFC 9110, section 10.2.3), which holds a number
+//! of seconds or a date.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -11,40 +12,44 @@
 use http::header::RETRY_AFTER;
 use httpdate::parse_http_date;
 
-/// Longest value read, in bytes.
+/// Maximum length of a header value that is parsed, in bytes.
 const VALUE_BYTES_MAX: usize = 32;
 
-/// A value that cannot be read. It asks for nothing.
+/// Error of a `Retry-After` header that cannot be parsed. Such a header causes no backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("header retry-after: expected seconds from 0 on, or a date beside the answer's Date")]
 pub struct RetryAfterError;
 
-/// Reads the time to wait; the longest, if there are several.
+/// Returns the time to wait; if the header occurs several times, the longest one.
 pub fn read_retry_after(map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
-    // A date is compared with the sender's own clock: clocks may differ by seconds.
-    let sent_at = map.get(DATE).and_then(date);
+    // A date is relative to the `Date` header of the same answer, because the clocks of target and
+    // entry process may differ by seconds.
+    let sent_at = map.get(DATE).and_then(parse_date);
     let mut longest = None;
     for value in map.get_all(RETRY_AFTER) {
-        let wait = seconds(value).or_else(|| until(value, sent_at?)).ok_or(RetryAfterError)?;
+        let wait = parse_seconds(value)
+            .or_else(|| parse_wait_until(value, sent_at?))
+            .ok_or(RetryAfterError)?;
         longest = longest.max(Some(wait));
     }
     Ok(longest)
 }
 
-fn text(value: &HeaderValue) -> Option<&str> {
+fn short_text(value: &HeaderValue) -> Option<&str> {
     value.to_str().ok().filter(|text| text.len() <= VALUE_BYTES_MAX).map(str::trim)
 }
 
-fn seconds(value: &HeaderValue) -> Option<Duration> {
-    let text = text(value).filter(|text| text.starts_with(|first: char| first.is_ascii_digit()))?;
+fn parse_seconds(value: &HeaderValue) -> Option<Duration> {
+    let text =
+        short_text(value).filter(|text| text.starts_with(|first: char| first.is_ascii_digit()))?;
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
-fn date(value: &HeaderValue) -> Option<SystemTime> {
-    parse_http_date(text(value)?).ok()
+fn parse_date(value: &HeaderValue) -> Option<SystemTime> {
+    parse_http_date(short_text(value)?).ok()
 }
 
-/// Time from `sent_at` to the date in `value`; zero if it has passed.
-fn until(value: &HeaderValue, sent_at: SystemTime) -> Option<Duration> {
-    Some(date(value)?.duration_since(sent_at).unwrap_or(Duration::ZERO))
+/// Returns the time from `sent_at` to the date in `value`; zero if the date has passed.
+fn parse_wait_until(value: &HeaderValue, sent_at: SystemTime) -> Option<Duration> {
+    Some(parse_date(value)?.duration_since(sent_at).unwrap_or(Duration::ZERO))
 }
