--- a/crates/thymeshift_wire/src/transport.rs
+++ b/crates/thymeshift_wire/src/transport.rs
@@ -1,4 +1,4 @@
-//! Remote calls over TCP.
+//! TCP transport of the remote calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,26 +34,26 @@
 use crate::peer::PeerLinkRequest;
 use crate::peer::PeerLinkResponse;
 
-/// Longest frame, in bytes. Checked before anything is allocated for it.
+/// Maximum length of a frame, in bytes. Checked before memory is allocated for the frame.
 const FRAME_BYTES_MAX: usize = MESSAGE_BYTES_MAX;
 
-/// A connection between processes that could not be opened.
+/// Error of opening a connection to another process.
 #[derive(Debug, Display, Error)]
 pub enum LinkError {
-    /// Nobody answered in time.
+    /// The connection was not established within the time limit.
     #[display("{address} did not accept a connection within {limit:?}")]
     TimedOut {
-        /// Where.
+        /// Address of the other process.
         address: SocketAddr,
-        /// How long it was tried.
+        /// Time limit for the connection attempt.
         limit: Duration,
     },
-    /// It was refused.
+    /// The connection was refused or could not be configured.
     #[display("{address}: {source}")]
     Refused {
-        /// Where.
+        /// Address of the other process.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
@@ -82,7 +82,7 @@
     Ok(stream)
 }
 
-/// Connects to another entry process; the bytes of the link are added to `bytes`.
+/// Connects to another entry process. The bytes transferred are added to `bytes`.
 pub async fn connect_peer(
     address: SocketAddr,
     limit: Duration,
@@ -92,7 +92,7 @@
     Ok(PeerLinkClient::new(client::Config::default(), transport(stream)).spawn())
 }
 
-/// Connects to an entry process as an operator.
+/// Connects the operators' program to an entry process.
 pub async fn connect_control(
     address: SocketAddr,
     limit: Duration,
@@ -101,28 +101,28 @@
     Ok(ControlClient::new(client::Config::default(), transport(stream)).spawn())
 }
 
-/// Calls that one connection may have open at a time.
+/// Maximum number of concurrent calls on one connection.
 pub const CALLS_PER_CONNECTION_MAX: usize = 32;
 
 fn server_config() -> Config {
     Config { pending_response_buffer: CALLS_PER_CONNECTION_MAX }
 }
 
-/// The server's side of a peer's connection: execute it with a [`crate::PeerLink`].
-/// The bytes of the link are added to `bytes`.
+/// Server side of a peer connection; serve it with an implementation of [`crate::PeerLink`]. The
+/// bytes transferred are added to `bytes`.
 pub fn peer_channel(stream: TcpStream, bytes: &Arc<LinkBytes>) -> PeerChannel {
     let stream = ByteCountingStream::new(stream, bytes.clone());
     BaseChannel::new(server_config(), transport(stream))
 }
 
-/// The server's side of an operator's connection: execute it with a [`crate::Control`].
+/// Server side of an operator's connection; serve it with an implementation of [`crate::Control`].
 pub fn control_channel(stream: TcpStream) -> ControlChannel {
     BaseChannel::new(server_config(), transport(stream))
 }
 
-/// See [`peer_channel`].
+/// Type of the server side of a peer connection, see [`peer_channel`].
 pub type PeerChannel = ServerChannel<PeerLinkRequest, PeerLinkResponse, ByteCountingStream>;
-/// See [`control_channel`].
+/// Type of the server side of an operator's connection, see [`control_channel`].
 pub type ControlChannel = ServerChannel<ControlRequest, ControlResponse, TcpStream>;
 
 type ServerChannel<Req, Resp, S> =
