--- a/crates/thymeshift_wire/tests/rate_limits.rs
+++ b/crates/thymeshift_wire/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of requests a second as targets write them on answers, readable or not.
+//! Tests of rate limits in answers of targets, with valid and invalid header values.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -7,10 +7,10 @@
 use thymeshift_wire::headers;
 
 #[test]
-fn what_is_read_from_an_answer() {
+fn rate_limits_in_answers_are_parsed() {
     struct Case {
         values: &'static [&'static str],
-        /// In requests in 1,000 seconds; `Err` if it says nothing.
+        /// Requests per 1,000 seconds; `Err` if the header cannot be parsed.
         read: Result<Option<u64>, ()>,
     }
     const LONG: &str = "0000000000000000000000000000000000000003.4";
