--- a/crates/thymeshift_telemetry/src/format.rs
+++ b/crates/thymeshift_telemetry/src/format.rs
@@ -1,4 +1,4 @@
-//! One line of key=value pairs for each event.
+//! Log line format: one line of key=value pairs per event.
 
 use std::fmt::Write;
 
@@ -9,10 +9,11 @@
 use spdlog::formatter::Formatter;
 use spdlog::formatter::FormatterContext;
 
-/// Formats `time=… level=… event=… key=value …`.
+/// Formats a log record as `time=… level=… event=… key=value …`.
 ///
-/// A value with anything but plain characters is quoted and escaped, so that a value that
-/// came from a caller can neither end the line nor add a pair.
+/// A value with spaces, control characters, quotes, `=`, backslashes or non-ASCII characters is
+/// quoted and escaped, so that a value from a caller can neither end the line nor add a key=value
+/// pair.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KeyValueFormatter;
 
