--- a/crates/thymeshift_telemetry/src/lib.rs
+++ b/crates/thymeshift_telemetry/src/lib.rs
@@ -1,8 +1,9 @@
-//! Key=value logging and the list of metrics.
+//! Structured logging in key=value format, and the metrics of the entry process.
 //!
-//! * [`start_logging`] sends one line for each event to standard output, and never waits for
-//!   its reader.
-//! * [`metric`] names every metric, and [`start_metrics`] collects them for Prometheus.
+//! * [`start_logging`] writes one line per event to standard output and never blocks on the reader
+//!   of the output.
+//! * [`metric`] defines the name of every metric, and [`start_metrics`] collects the metrics for
+//!   Prometheus.
 
 mod format;
 mod log_rate_limiter;
