--- a/crates/thymeshift_telemetry/src/log_rate_limiter.rs
+++ b/crates/thymeshift_telemetry/src/log_rate_limiter.rs
@@ -1,38 +1,39 @@
-//! A bound on log lines of one sort.
+//! Rate limit for log lines of one type.
 //!
-//! What it does: up to a number of lines a second are allowed; further ones are counted, and
-//! the count is handed out so that it can be logged itself.
+//! Up to a fixed number of lines per second is allowed. Further lines are suppressed and counted,
+//! so that the count can be logged.
 //!
-//! Why: requests fail by the thousand just when a process has no time to write about each.
+//! During an overload, thousands of requests fail while the process has no time to log each of
+//! them.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Microseconds in the time for which lines are counted together.
+/// Length of the counting window, in microseconds.
 const WINDOW_US: u64 = 1_000_000;
 
-/// Counts lines; shared by all that write them.
+/// Rate limiter for log lines, shared by all threads that write them.
 #[derive(Debug)]
 pub struct LogRateLimiter {
     lines_per_s: u64,
     window: AtomicU64,
     written: AtomicU64,
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
 impl LogRateLimiter {
-    /// A budget of so many lines a second.
+    /// Creates a limiter that allows `lines_per_s` lines per second.
     pub const fn new(lines_per_s: u64) -> Self {
         Self {
             lines_per_s,
             window: AtomicU64::new(0),
             written: AtomicU64::new(0),
-            left_out: AtomicU64::new(0),
+            suppressed: AtomicU64::new(0),
         }
     }
 
-    /// Whether a line may be written at `now_us`, a moment of any steady clock in
-    /// microseconds. At the turn of a second a few more may pass than allowed.
+    /// Returns whether a line may be written at `now_us`, the reading of a monotonic clock in
+    /// microseconds. A few lines above the limit may pass when a new window begins.
     pub fn allows(&self, now_us: u64) -> bool {
         let window = now_us / WINDOW_US;
         if self.window.swap(window, Ordering::Relaxed) != window {
@@ -40,13 +41,13 @@
         }
         let is_allowed = self.written.fetch_add(1, Ordering::Relaxed) < self.lines_per_s;
         if !is_allowed {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.suppressed.fetch_add(1, Ordering::Relaxed);
         }
         is_allowed
     }
 
-    /// Lines left out since this was last asked.
+    /// Returns the number of lines suppressed since the last call and resets it.
     pub fn take_suppressed(&self) -> u64 {
-        self.left_out.swap(0, Ordering::Relaxed)
+        self.suppressed.swap(0, Ordering::Relaxed)
     }
 }
