--- a/crates/thymeshift_telemetry/src/logging.rs
+++ b/crates/thymeshift_telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Starting the log.
+//! Setup of the process-wide logger.
 
 use std::sync::Arc;
 
@@ -14,13 +14,13 @@
 use crate::KeyValueFormatter;
 use crate::non_blocking_sink::NonBlockingSink;
 
-/// The log could not be started.
+/// Error of setting up the logger.
 #[derive(Debug, Display, Error, From)]
 #[display("starting the log: {_0}")]
 pub struct StartError(spdlog::Error);
 
-/// Sends events of `level` and above to standard output from now on. Nobody waits for whoever
-/// reads it.
+/// Installs a logger that writes events of `level` and above to standard output. Writing never
+/// blocks on the reader of the output.
 pub fn start_logging(level: LogLevel) -> Result<(), StartError> {
     let sink = StdStreamSink::builder().stdout().formatter(KeyValueFormatter).build()?;
     let filter = LevelFilter::MoreSevereEqual(match level {
