--- a/crates/thymeshift_telemetry/src/non_blocking_sink.rs
+++ b/crates/thymeshift_telemetry/src/non_blocking_sink.rs
@@ -1,10 +1,10 @@
-//! Writing to standard output without ever waiting for its reader.
+//! Log sink for standard output that never blocks on the reader of the output.
 //!
-//! What it does: before a line is written, it asks whether standard output takes more. If not,
-//! the line is left out and counted.
+//! Before a line is written, the sink polls whether standard output is writable. If it is not, the
+//! line is dropped and counted.
 //!
-//! Why: whoever reads the log through a pipe may stop reading. A line is shorter than what a
-//! pipe that takes more takes at once, so that writing it does not wait.
+//! A program that reads the log through a pipe may stop reading. A line is shorter than the free
+//! space of a pipe that polls as writable, so that writing the line does not block.
 
 use std::io::stdout;
 use std::sync::atomic::AtomicU64;
@@ -23,15 +23,17 @@
 use spdlog::sink::SinkPropAccess;
 use spdlog::sink::StdStreamSink;
 
-/// Lines left out since they were last asked for. One for the process, as standard output is.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// Number of lines dropped since the last call of [`take_dropped_lines`]. One counter per process,
+/// because a process has one standard output.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were left out, since the last call, because standard output took no more.
+/// Returns the number of lines dropped since the last call because standard output was not
+/// writable, and resets it.
 pub fn take_dropped_lines() -> u64 {
-    LEFT_OUT.swap(0, Ordering::Relaxed)
+    DROPPED_LINES.swap(0, Ordering::Relaxed)
 }
 
-/// A sink to standard output that drops what would have to wait.
+/// Sink for standard output that drops a line if writing it would block.
 pub(crate) struct NonBlockingSink {
     stream: StdStreamSink,
 }
@@ -44,15 +46,15 @@
 
 impl Sink for NonBlockingSink {
     fn log(&self, record: &Record) -> Result<(), Error> {
-        if takes_more() {
+        if is_writable() {
             return self.stream.log(record);
         }
-        LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         Ok(())
     }
 
     fn flush(&self) -> Result<(), Error> {
-        if takes_more() { self.stream.flush() } else { Ok(()) }
+        if is_writable() { self.stream.flush() } else { Ok(()) }
     }
 }
 
@@ -74,10 +76,11 @@
     }
 }
 
-/// Whether standard output takes a line now. An error is left to the write to report.
-fn takes_more() -> bool {
+/// Returns whether standard output is writable now. If polling fails, the sink writes the line and
+/// reports any error from the write.
+fn is_writable() -> bool {
     let stream = stdout();
-    let mut asked = [PollFd::new(&stream, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    !matches!(poll(&mut asked, Some(&at_once)), Ok(0))
+    let mut poll_fds = [PollFd::new(&stream, PollFlags::OUT)];
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    !matches!(poll(&mut poll_fds, Some(&no_wait)), Ok(0))
 }
