--- a/crates/thymeshift_telemetry/tests/format.rs
+++ b/crates/thymeshift_telemetry/tests/format.rs
@@ -1,4 +1,4 @@
-//! One line for each event, whatever the values hold.
+//! Tests that each event is formatted as exactly one log line, whatever its values contain.
 
 use std::sync::Arc;
 
