--- a/crates/thymeshift_wire/tests/codec.rs
+++ b/crates/thymeshift_wire/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Frames between processes: long messages are compressed, and what strangers send is refused.
+//! Tests of the frame codec: long messages are compressed, and invalid frames from untrusted peers
+//! are refused.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use quickcheck::quickcheck;
@@ -13,7 +14,7 @@
     }
 
     fn any_bytes_are_refused_or_decoded(frame: Vec<u8>) -> bool {
-        // Nothing panics, whatever the first byte says.
+        // Decoding must not panic, whatever the first byte is.
         let _ = Postcard::decode::<Vec<String>>(&frame);
         let compressed = [vec![1], frame].concat();
         let _ = Postcard::decode::<Vec<String>>(&compressed);
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn a_document_that_repeats_itself_becomes_short() {
+fn a_repetitive_document_is_compressed() {
     let line =
         "- {\"service\":\"s\",\"slots\":3,\"address\":\"10.0.0.1:80\",\"data_hall\":\"a\"}\n";
     let document = line.repeat(400);
@@ -30,7 +31,7 @@
     assert!(frame.len() * 10 < document.len(), "{} of {}", frame.len(), document.len());
     assert_eq!(Postcard::decode::<String>(&frame).expect("a document"), document);
     let short = Postcard::encode(&"short").expect("a frame");
-    assert_eq!(short[0], 0, "short ones stay as they are");
+    assert_eq!(short[0], 0, "short messages are not compressed");
 }
 
 #[test]
@@ -41,13 +42,17 @@
         expected: &'static str,
     }
     let too_long = Postcard::encode(&vec![0_u8; 3 * 1_024 * 1_024]).expect("a frame");
-    assert!(too_long.len() < 100_000, "it is short while compressed: {}", too_long.len());
+    assert!(too_long.len() < 100_000, "the compressed frame is short: {}", too_long.len());
     let cases = [
         Case { note: "empty", frame: Vec::new(), expected: "unknown form" },
         Case { note: "unknown form", frame: vec![7, 1, 2], expected: "unknown form" },
-        Case { note: "cut", frame: vec![0, 9, 65], expected: "not a message" },
+        Case { note: "truncated", frame: vec![0, 9, 65], expected: "not a message" },
         Case { note: "not compressed", frame: vec![1, 255, 255, 255], expected: "decompressed" },
-        Case { note: "unfolds too far", frame: too_long.to_vec(), expected: "more than" },
+        Case {
+            note: "decompressed message too long",
+            frame: too_long.to_vec(),
+            expected: "more than",
+        },
     ];
     for Case { note, frame, expected } in cases {
         let error: CodecError = Postcard::decode::<Vec<u8>>(&frame).expect_err(note);
