--- a/crates/thymeshift_wire/tests/dead_peer.rs
+++ b/crates/thymeshift_wire/tests/dead_peer.rs
@@ -1,5 +1,5 @@
-//! What the kernel is told about connections whose other side falls silent. Loopback cannot fall
-//! silent, so that the effect itself is not shown here.
+//! Tests of the TCP options that detect an unreachable peer. Loopback connections cannot lose their
+//! peer silently, so the tests check the options and not their effect.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,18 +20,18 @@
     let listener = Arc::new(TcpListener::bind("127.0.0.1:0").await.expect("a listener"));
     let address = listener.local_addr().expect("an address");
     let stream = TcpStream::connect(address).await.expect("a connection");
-    assert!(!socket_keepalive(&stream).expect("an option"), "as the kernel makes it");
+    assert!(!socket_keepalive(&stream).expect("an option"), "default of the kernel");
     set_dead_peer_timeouts(&stream).expect("options");
     assert!(socket_keepalive(&stream).expect("an option"));
     let idle = tcp_keepidle(&stream).expect("an option");
     let between = tcp_keepintvl(&stream).expect("an option");
     let count = tcp_keepcnt(&stream).expect("an option");
     assert_eq!(count, KEEPALIVE_PROBES_MAX);
-    assert!(idle + between * count <= Duration::from_secs(3), "while it is idle");
-    let unconfirmed_ms = tcp_user_timeout(&stream).expect("an option");
+    assert!(idle + between * count <= Duration::from_secs(3), "an idle connection");
+    let unacknowledged_ms = tcp_user_timeout(&stream).expect("an option");
     assert_eq!(
-        u128::from(unconfirmed_ms),
+        u128::from(unacknowledged_ms),
         UNACKNOWLEDGED_DATA_TIMEOUT.as_millis(),
-        "while it is in use"
+        "a connection with unacknowledged data"
     );
 }
