--- a/crates/thymeshift_wire/tests/headers.rs
+++ b/crates/thymeshift_wire/tests/headers.rs
@@ -1,4 +1,5 @@
-//! Headers of the product: what is read back, what is refused, what is ignored.
+//! Tests of context and load headers: values are read back as written, and malformed values are
+//! refused or ignored.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::time::Duration;
@@ -24,7 +25,7 @@
         let mut map = HeaderMap::new();
         map.insert(headers::TIMEOUT_MS, HeaderValue::from_static("9"));
         context.write(&mut map);
-        assert_eq!(CallContext::read(&map), Ok(context), "what the caller sent is replaced");
+        assert_eq!(CallContext::read(&map), Ok(context), "the caller's headers are replaced");
     }
 }
 
@@ -34,8 +35,8 @@
         for name in [headers::TIMEOUT_MS, headers::ATTEMPTS_LEFT, headers::DEPTH] {
             let mut map = HeaderMap::new();
             map.insert(name.clone(), HeaderValue::from_static(text));
-            let mistake = CallContext::read(&map).expect_err(text);
-            assert_eq!(mistake.name, name, "{text}");
+            let error = CallContext::read(&map).expect_err(text);
+            assert_eq!(error.name, name, "{text}");
         }
     }
 }
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn what_is_no_load_report_is_none() {
+fn malformed_load_reports_are_ignored() {
     let cases = [
         "",
         "JSON {}",
@@ -88,8 +89,8 @@
 }
 
 #[test]
-fn any_value_is_answered() {
-    fn answers(bytes: Vec<u8>) -> bool {
+fn any_header_value_is_handled_without_panic() {
+    fn is_handled(bytes: Vec<u8>) -> bool {
         let text: Vec<u8> = b"TEXT ".iter().copied().chain(bytes).collect();
         if let Ok(value) = HeaderValue::from_bytes(&text) {
             let mut map = HeaderMap::new();
@@ -103,5 +104,5 @@
     QuickCheck::new()
         .tests(5_000)
         .rng(Gen::from_size_and_seed(40, 8))
-        .quickcheck(answers as fn(Vec<u8>) -> bool);
+        .quickcheck(is_handled as fn(Vec<u8>) -> bool);
 }
