--- a/crates/thymeshift_wire/tests/retry_after.rs
+++ b/crates/thymeshift_wire/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! `Retry-After` of targets, readable or not, and whom headers of answers address.
+//! Tests of `Retry-After` parsing and of the intended recipients of answer headers.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use thymeshift_wire::headers;
 
 #[test]
-fn what_is_read_from_retry_after() {
+fn retry_after_values_are_parsed() {
     struct Case {
         values: &'static [&'static str],
         date: Option<&'static str>,
-        /// In milliseconds; `Err` if it cannot be read.
+        /// Time in milliseconds; `Err` if the header cannot be parsed.
         read: Result<Option<u64>, ()>,
     }
     const SENT: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
@@ -64,24 +64,24 @@
 fn only_a_targets_own_refusal_asks_for_a_backoff() {
     struct Case {
         status: u16,
-        is_deeper_layers: bool,
+        is_from_deeper_layer: bool,
         read: Option<Duration>,
     }
     let cases = [
-        Case { status: 503, is_deeper_layers: false, read: Some(Duration::from_secs(3)) },
-        Case { status: 503, is_deeper_layers: true, read: None },
-        Case { status: 429, is_deeper_layers: false, read: None },
-        Case { status: 200, is_deeper_layers: false, read: None },
-        Case { status: 500, is_deeper_layers: false, read: None },
+        Case { status: 503, is_from_deeper_layer: false, read: Some(Duration::from_secs(3)) },
+        Case { status: 503, is_from_deeper_layer: true, read: None },
+        Case { status: 429, is_from_deeper_layer: false, read: None },
+        Case { status: 200, is_from_deeper_layer: false, read: None },
+        Case { status: 500, is_from_deeper_layer: false, read: None },
     ];
-    for Case { status, is_deeper_layers, read } in cases {
+    for Case { status, is_from_deeper_layer, read } in cases {
         let mut map = HeaderMap::new();
         map.insert(header::RETRY_AFTER, HeaderValue::from_static("3"));
-        if is_deeper_layers {
+        if is_from_deeper_layer {
             map.insert(headers::OUTCOME, HeaderValue::from_static("not_run"));
         }
         let status = StatusCode::from_u16(status).expect("a status");
-        assert_eq!(Native::backoff(status, &map), Ok(read), "{status}, {is_deeper_layers}");
+        assert_eq!(Native::backoff(status, &map), Ok(read), "{status}, {is_from_deeper_layer}");
     }
 }
 
