--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -1,5 +1,4 @@
-//! Checks that need more than one field: names that must be unique or must exist, and
-//! figures that must fit each other.
+//! Checks across several fields: unique names, references to existing names, and consistent values.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -133,30 +132,31 @@
     }
 }
 
-/// A kind behind another with the same rules would never be found.
+/// Checks that no kind has the earliest rules as an earlier one, because no request would ever match
+/// the later kind.
 fn check_reachable(configuration: &Configuration, checker: &mut Checker<'_>) {
     let mut earlier: HashMap<&KindMatch, &Kind> = HashMap::new();
     for (index, kind) in configuration.kinds.iter().enumerate() {
-        let same = *earlier.entry(&kind.rules).or_insert(kind);
-        if same.name != kind.name {
-            let found = format!("the rules of '{}' again", same.name);
+        let earliest = *earlier.entry(&kind.rules).or_insert(kind);
+        if earliest.name != kind.name {
+            let found = format!("the rules of '{}' again", earliest.name);
             checker.report(&format!("kinds[{index}].match"), found, "rules of its own");
         }
     }
 }
 
-/// A key belongs to one organisation.
+/// Checks that organisation names are unique and that each key belongs to only one organisation.
 fn check_organisations(configuration: &Configuration, checker: &mut Checker<'_>) {
     let organisations = &configuration.organisations;
     let names = organisations.iter().map(|organisation| organisation.name.as_str());
     checker.check_unique("organisations", ".name", names);
-    let mut holders = HashMap::new();
+    let mut owners = HashMap::new();
     for (index, organisation) in organisations.iter().enumerate() {
         for (place, digest) in organisation.key_digests.iter().enumerate() {
-            let holder = *holders.entry(digest).or_insert(&organisation.name);
-            if *holder != organisation.name {
+            let owner = *owners.entry(digest).or_insert(&organisation.name);
+            if *owner != organisation.name {
                 let path = format!("organisations[{index}].key_digests[{place}]");
-                let found = format!("a key of '{holder}' again");
+                let found = format!("a key of '{owner}' again");
                 checker.report(&path, found, "a key of its own");
             }
         }
