--- a/crates/thymeshift_config/src/configuration.rs
+++ b/crates/thymeshift_config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What the platform publishes for the whole fleet.
+//! Configuration that the platform publishes for the whole fleet.
 
 use std::sync::Arc;
 
@@ -25,54 +25,57 @@
 use crate::tree::Node;
 use crate::tree::json_lines;
 
-/// Part of the retries that the platform bears, in tenths, which processes use together: each
-/// counts its own requests, and their windows differ.
-const RETRY_CAP_TENTHS: u64 = 9;
+/// Share of the platform's retry limit that the processes use together, in tenths. The margin is
+/// needed because each process counts only its own requests and the counting windows of processes
+/// differ.
+const RETRY_LIMIT_USED_TENTHS: u64 = 9;
 
-/// Largest published text, in bytes: the platform holds values up to a megabyte.
+/// Maximum size of a published text, in bytes; the platform stores values of up to 1 MiB.
 pub(crate) const TEXT_BYTES_MAX: usize = 1_024 * 1_024;
 
-/// A whole configuration that passed every check.
+/// Complete configuration that passed all checks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Configuration {
-    /// Most entry VMs that may run at one time, those being replaced included. Shares
-    /// of budgets and connections are divided by it and not by a count of live VMs,
-    /// because VMs may disagree about who is alive.
+    /// Maximum number of entry VMs that run at one time, including VMs that are being replaced.
+    /// Budgets and connections are divided by this number and not by the number of live VMs,
+    /// because VMs may disagree about which VMs are alive.
     pub entry_vms_max: u64,
-    /// All data halls.
+    /// Names of all data halls.
     pub data_halls: Vec<DataHallName>,
-    /// Data halls whose targets get no new work until they are taken off this list.
+    /// Drained data halls, whose targets receive no new requests until the data hall is removed
+    /// from this list.
     pub drained_halls: Vec<DataHallName>,
-    /// Time of one way between two data halls, in microseconds.
+    /// One-way network latency between two data halls, in microseconds.
     pub data_hall_one_way_us: u64,
-    /// How much longer an answer may take, in microseconds, to spare the way between two data
-    /// halls: bytes on that way may have a price.
+    /// Additional response time that is accepted to avoid traffic between data halls, in
+    /// microseconds. Such traffic may be charged by volume.
     pub data_hall_detour_us: u64,
-    /// Limits on callers.
+    /// Limits for callers.
     pub limits: Limits,
-    /// Services, each with its targets.
+    /// Services with their targets.
     pub services: Vec<Service>,
-    /// Request kinds; the first whose rules match is a request's kind.
+    /// Request kinds in order of precedence: the first kind whose rules match applies.
     pub kinds: Vec<Kind>,
-    /// Organisations. If there are any, each request needs a key, unless its kind is public.
+    /// Organisations. If there are any, each request needs an API key, unless its kind is public.
     pub organisations: Arc<[Organisation]>,
 }
 
 impl Configuration {
-    /// Reads and checks a configuration from YAML.
+    /// Parses and checks a configuration from YAML; returns all mistakes if the text is invalid.
     pub fn parse(text: &str) -> Result<Self, Mistakes> {
         let mut mistakes = Mistakes::default();
         if text.len() > TEXT_BYTES_MAX {
             mistakes.add(check::text_too_long(text.len()));
             return Err(mistakes);
         }
-        // With a mistake in it the text is read again: the general reader tells the place.
-        let quick = json_lines::parse(text).map(|node| Self::checked(&node));
-        if let Some(Ok(configuration)) = quick {
+        // A text with a mistake is parsed again by the general reader, which knows the exact
+        // locations.
+        let fast_result = json_lines::parse(text).map(|node| Self::decode_and_check(&node));
+        if let Some(Ok(configuration)) = fast_result {
             return Ok(configuration);
         }
         match Node::parse(text) {
-            Ok(node) => Self::checked(&node),
+            Ok(node) => Self::decode_and_check(&node),
             Err(mistake) => {
                 mistakes.add(mistake);
                 Err(mistakes)
@@ -80,7 +83,7 @@
         }
     }
 
-    fn checked(node: &Node) -> Result<Self, Mistakes> {
+    fn decode_and_check(node: &Node) -> Result<Self, Mistakes> {
         let mut mistakes = Mistakes::default();
         let decoded = Self::decode(node, "", &mut mistakes);
         if let Some(configuration) = &decoded {
@@ -92,8 +95,8 @@
         }
     }
 
-    /// The configuration with what was discovered apart from it. Discovered targets of services
-    /// that it does not name are left out.
+    /// Returns the configuration with the discovered targets and drained data halls added. Targets
+    /// of services that the configuration does not contain are ignored.
     #[must_use]
     pub fn with_discovered(&self, discovery: &Discovery) -> Self {
         let mut joined = self.clone();
@@ -108,7 +111,7 @@
         joined.with_drained(&discovery.drained_halls)
     }
 
-    /// The configuration with further data halls drained.
+    /// Returns the configuration with further data halls drained.
     #[must_use]
     pub fn with_drained(mut self, halls: &[DataHallName]) -> Self {
         for hall in halls {
@@ -119,7 +122,8 @@
         self
     }
 
-    /// Sets the state of targets that leave whatever the documents say.
+    /// Sets the state of all targets for which `is_leaving` returns true to leaving, whatever state
+    /// the documents give.
     pub fn mark_leaving(
         &mut self,
         is_leaving: impl Fn(&ServiceName, &TargetName, Incarnation) -> bool,
@@ -133,42 +137,45 @@
         }
     }
 
-    /// Whether the targets of a data hall get no new work.
+    /// Returns whether a data hall is drained, so that its targets receive no new requests.
     pub fn is_drained(&self, hall: &DataHallName) -> bool {
         self.drained_halls.contains(hall)
     }
 
-    /// The configuration within the limits that a process's settings state.
+    /// Returns the configuration with retry and probe budgets capped at the limits in the settings,
+    /// and with the rate bounds of cold targets derived from the settings.
     #[must_use]
     pub fn capped(mut self, settings: &Settings) -> Self {
-        let retry_percent_max = settings.retry_percent_max * RETRY_CAP_TENTHS / 10;
+        let retry_percent_max = settings.retry_percent_max * RETRY_LIMIT_USED_TENTHS / 10;
         for service in &mut self.services {
             service.cold_bound_per_s = cold_bound(service, settings);
             service.retry_budget_percent = service.retry_budget_percent.min(retry_percent_max);
             if let Some(probe) = &service.probe {
-                let most = settings.probes_per_target_s_max.saturating_mul(probe.cost_us);
-                service.measuring_budget_us_per_s = service.measuring_budget_us_per_s.min(most);
+                let budget_us_max = settings.probes_per_target_s_max.saturating_mul(probe.cost_us);
+                service.measuring_budget_us_per_s =
+                    service.measuring_budget_us_per_s.min(budget_us_max);
             }
         }
         self
     }
 
-    /// Index in `kinds` of the kind of a request.
+    /// Returns the index in `kinds` of the first kind that matches a request.
     pub fn kind_of(&self, head: &impl RequestHead) -> Option<usize> {
         self.kinds.iter().position(|kind| kind.rules.is_match(head))
     }
 
-    /// Index in `services` of the service called `name`.
+    /// Returns the index in `services` of the service with the given name.
     pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name.as_str() == name)
     }
 }
 
-/// Requests a second that the platform bears at a cold target.
+/// Returns the maximum rate of requests to a cold target that the platform tolerates.
 fn cold_bound(service: &Service, settings: &Settings) -> RequestRate {
     let rate = service.cold_requests_per_s.unwrap_or_default().in_1000_s();
-    let most = rate * settings.cold_overshoot_percent / 100 + settings.cold_slack_requests * 1_000;
-    RequestRate::per_1000_s(most)
+    let bound_per_1000_s =
+        rate * settings.cold_overshoot_percent / 100 + settings.cold_slack_requests * 1_000;
+    RequestRate::per_1000_s(bound_per_1000_s)
 }
 
 impl Decode for Configuration {
