--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -1,7 +1,7 @@
-//! Turning a YAML tree into typed values while collecting every mistake.
+//! Conversion of a YAML tree to typed values that collects all mistakes.
 //!
-//! A decoder returns `None` after it has recorded a mistake; its caller goes on with the
-//! next field, so that one pass finds them all.
+//! A decoder records a mistake and returns `None`. Its caller continues with the next field, so
+//! that one pass finds all mistakes.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -23,16 +23,16 @@
 use crate::tree::Location;
 use crate::tree::Node;
 
-/// Smallest likeness at which a known field is suggested for an unknown one.
-const SUGGESTION_LIKENESS_MIN: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity at which a known field name is suggested for an unknown one.
+const SUGGESTION_SIMILARITY_MIN: f64 = 0.7;
 
-/// A value that can be read from a node of the tree.
+/// Value that can be decoded from a node of the tree.
 pub(crate) trait Decode: Sized {
-    /// Reads the value, or records why it cannot be read.
+    /// Decodes the value, or records a mistake and returns `None`.
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self>;
 }
 
-/// Reads a value from YAML; `path` names it in mistakes.
+/// Parses a value from YAML; `path` is the prefix of field names in mistakes.
 pub(crate) fn parse<T: Decode>(text: &str, path: &str) -> Result<T, Mistakes> {
     let mut mistakes = Mistakes::default();
     let node = match Node::parse(text) {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Records that `node` is not what was expected.
+/// Records that `node` is not the expected value.
 pub(crate) fn report_unexpected<T>(
     node: &Node,
     path: &str,
@@ -70,7 +70,7 @@
     mistakes.add(Mistake { line, column, field: path.to_owned(), found, expected });
 }
 
-/// A number that may have a fraction.
+/// Finite decimal number.
 struct Decimal(f64);
 
 impl Decode for Decimal {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads the fields of one map and at the end reports those nobody asked for.
+/// Reads the fields of a map and reports fields that were not read as unknown.
 pub(crate) struct MapReader<'n, 'm> {
     entries: &'n [Entry],
     location: Location,
@@ -96,7 +96,7 @@
 }
 
 impl<'n, 'm> MapReader<'n, 'm> {
-    /// A reader of `node`, or a recorded mistake if it is not a map.
+    /// Creates a reader of `node`; records a mistake if the node is not a map.
     pub(crate) fn new(node: &'n Node, path: &str, mistakes: &'m mut Mistakes) -> Option<Self> {
         let Content::Map(entries) = &node.content else {
             return report_unexpected(node, path, "a map", mistakes);
@@ -105,9 +105,9 @@
         Some(Self { entries, location: node.location, path: path.to_owned(), known, mistakes })
     }
 
-    /// A field that must be there.
+    /// Reads a mandatory field.
     pub(crate) fn required<T: Decode>(&mut self, name: &'static str) -> Option<T> {
-        let Some(node) = self.find(name) else {
+        let Some(node) = self.find_field(name) else {
             let path = self.path_of(name);
             let expected = format!("the field '{name}'");
             add_mistake(self.location, &path, "nothing".to_owned(), expected, self.mistakes);
@@ -116,19 +116,19 @@
         T::decode(node, &self.path_of(name), self.mistakes)
     }
 
-    /// A field that has a default, taken too if nothing stands there.
+    /// Reads a field with a default, which also applies if the field is empty.
     pub(crate) fn value_or<T: Decode>(&mut self, name: &'static str, default: T) -> Option<T> {
-        match self.find(name) {
+        match self.find_field(name) {
             Some(node) if !node.is_null() => T::decode(node, &self.path_of(name), self.mistakes),
             _ => Some(default),
         }
     }
 
-    /// A field that may be missing: the outer option says whether it was read without
-    /// mistake, the inner one whether it is there.
+    /// Reads an optional field. The outer option is `None` if a mistake was recorded; the inner one
+    /// is `None` if the field is missing or empty.
     #[expect(clippy::option_option, reason = "the two options answer different questions")]
     pub(crate) fn optional<T: Decode>(&mut self, name: &'static str) -> Option<Option<T>> {
-        match self.find(name) {
+        match self.find_field(name) {
             Some(node) if !node.is_null() => {
                 T::decode(node, &self.path_of(name), self.mistakes).map(Some)
             }
@@ -136,13 +136,13 @@
         }
     }
 
-    /// A whole number within `range` that must be there.
+    /// Reads a mandatory whole number within `range`.
     pub(crate) fn number(&mut self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let value = self.required(name)?;
-        self.within(name, value, range)
+        self.check_range(name, value, range)
     }
 
-    /// A whole number within `range` that has a default.
+    /// Reads a whole number within `range` that has a default.
     pub(crate) fn number_or(
         &mut self,
         name: &'static str,
@@ -150,10 +150,10 @@
         default: u64,
     ) -> Option<u64> {
         let value = self.value_or(name, default)?;
-        self.within(name, value, range)
+        self.check_range(name, value, range)
     }
 
-    /// A whole number within `range` that may be missing; as [`Self::optional`].
+    /// Reads an optional whole number within `range`; see [`Self::optional`] for the options.
     #[expect(clippy::option_option, reason = "the two options answer different questions")]
     pub(crate) fn optional_number(
         &mut self,
@@ -161,13 +161,13 @@
         range: RangeInclusive<u64>,
     ) -> Option<Option<u64>> {
         match self.optional(name)? {
-            Some(value) => self.within(name, value, range).map(Some),
+            Some(value) => self.check_range(name, value, range).map(Some),
             None => Some(None),
         }
     }
 
-    /// A number within `range` that may be missing, as whole parts of which `parts` make one; as
-    /// [`Self::optional`].
+    /// Reads an optional decimal number within `range`, multiplies it by `parts` and rounds it to a
+    /// whole number; see [`Self::optional`] for the options.
     #[expect(clippy::option_option, reason = "the two options answer different questions")]
     pub(crate) fn optional_decimal(
         &mut self,
@@ -182,25 +182,25 @@
             return Some(Some((value * parts).round() as u64));
         }
         let expected = format!("a number from {} to {}", range.start(), range.end());
-        let location = self.find(name).map_or(self.location, |node| node.location);
+        let location = self.find_field(name).map_or(self.location, |node| node.location);
         add_mistake(location, &self.path_of(name), format!("'{value}'"), expected, self.mistakes);
         None
     }
 
-    /// Reports unknown fields.
+    /// Records a mistake for each unknown field.
     pub(crate) fn finish(self) {
         for entry in self.entries {
             if self.known.contains(&entry.key.as_str()) {
                 continue;
             }
-            let path = join(&self.path, &entry.key);
+            let path = join_path(&self.path, &entry.key);
             let found = format!("the unknown field '{}'", entry.key.escape_debug());
-            let expected = suggestion(&entry.key, &self.known);
+            let expected = describe_expected_field(&entry.key, &self.known);
             add_mistake(entry.key_location, &path, found, expected, self.mistakes);
         }
     }
 
-    fn within(
+    fn check_range(
         &mut self,
         name: &'static str,
         value: u64,
@@ -209,14 +209,14 @@
         if range.contains(&value) {
             return Some(value);
         }
-        let location = self.find(name).map_or(self.location, |node| node.location);
+        let location = self.find_field(name).map_or(self.location, |node| node.location);
         let path = self.path_of(name);
         let expected = format!("a number from {} to {}", range.start(), range.end());
         add_mistake(location, &path, format!("'{value}'"), expected, self.mistakes);
         None
     }
 
-    fn find(&mut self, name: &'static str) -> Option<&'n Node> {
+    fn find_field(&mut self, name: &'static str) -> Option<&'n Node> {
         if !self.known.contains(&name) {
             self.known.push(name);
         }
@@ -224,21 +224,21 @@
     }
 
     fn path_of(&self, name: &str) -> String {
-        join(&self.path, name)
+        join_path(&self.path, name)
     }
 }
 
-fn join(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-fn suggestion(key: &str, known: &[&'static str]) -> String {
-    let like = known
+fn describe_expected_field(key: &str, known: &[&'static str]) -> String {
+    let closest = known
         .iter()
         .map(|name| (strsim::jaro_winkler(key, name), name))
-        .filter(|(likeness, _)| *likeness >= SUGGESTION_LIKENESS_MIN)
+        .filter(|(similarity, _)| *similarity >= SUGGESTION_SIMILARITY_MIN)
         .max_by(|a, b| a.0.total_cmp(&b.0));
-    match like {
+    match closest {
         Some((_, name)) => format!("a known field (did you mean '{name}'?)"),
         None => format!("one of: {}", known.join(", ")),
     }
@@ -322,7 +322,7 @@
         let (text, _) = scalar(node, path, expected, mistakes)?;
         let digest = text.parse().ok();
         if digest.is_none() {
-            // What stands there may be the key itself, which is to be shown nowhere.
+            // The text found is not shown, because it may be the key itself, which is a secret.
             add_mistake(
                 node.location,
                 path,
@@ -365,9 +365,9 @@
 
 decode_name!(DataHallName, KindName, OrganisationName, ServiceName, TargetName, VmName);
 
-/// Reads one of a few words as an enum's variant.
+/// Implements [`Decode`] for an enum whose variants are written as keywords.
 macro_rules! decode_keyword {
-    ($name:ident { $($word:literal => $variant:ident),+ $(,)? }) => {
+    ($name:ident { $($keyword:literal => $variant:ident),+ $(,)? }) => {
         impl $crate::decode::Decode for $name {
             fn decode(
                 node: &$crate::tree::Node,
@@ -379,10 +379,10 @@
                     _ => "",
                 };
                 match text {
-                    $($word => Some(Self::$variant),)+
+                    $($keyword => Some(Self::$variant),)+
                     _ => {
-                        let words = [$($word),+].join(", ");
-                        $crate::decode::report_unexpected(node, path, format!("one of: {words}"), mistakes)
+                        let keywords = [$($keyword),+].join(", ");
+                        $crate::decode::report_unexpected(node, path, format!("one of: {keywords}"), mistakes)
                     }
                 }
             }
