--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -1,12 +1,12 @@
-//! What is discovered apart from the configuration: targets, and data halls that an operator has
-//! drained.
+//! Discovered state that is published separately from the configuration: targets, and data halls
+//! that an operator has drained.
 //!
-//! Both stand in one list, so that processes learn of them in one order and by one way: a target
-//! that appears in a drained hall is never known without the drain.
+//! Both are entries of one list, so that every process receives their changes in the same order: a
+//! process never sees a target in a drained data hall without the drain.
 //!
-//! The list is put together from what each target writes of itself, and others may write there,
-//! too. So each item is taken or left out by itself: one that cannot be read must not keep all
-//! later changes of the others from taking force.
+//! The list is composed of entries that the targets write themselves, and other writers may add
+//! entries too. Each entry is therefore accepted or skipped on its own: an invalid entry must not
+//! block later changes of the other entries.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -27,41 +27,41 @@
 use crate::tree::Content;
 use crate::tree::Node;
 
-/// Longest name or mistake kept of an item that is left out, in characters.
+/// Maximum length of the name and of the mistake that are kept of a skipped entry, in characters.
 const LEFT_OUT_CHARS_MAX: usize = 200;
 
-/// One discovered target.
+/// Target from the list of discovered targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DiscoveredTarget {
-    /// The service whose work it does.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Requests that it runs at a time.
+    /// Number of requests that the target runs concurrently.
     pub slots: u64,
-    /// The target itself.
+    /// Name, address and state of the target.
     pub target: Target,
 }
 
-/// An item that cannot be used, and why.
+/// Invalid entry of the list, which is skipped, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct LeftOut {
-    /// What it calls itself, as far as it says.
+    /// Name that the entry gives for itself; empty if it gives none.
     pub name: String,
-    /// The first mistake in it, with the field where it stands.
+    /// First mistake in the entry, with the name of the field.
     pub mistake: String,
 }
 
-/// All that is discovered at one revision.
+/// All entries of the list at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Discovery {
-    /// The targets, of all services.
+    /// Discovered targets of all services.
     pub targets: Vec<DiscoveredTarget>,
-    /// Data halls whose targets get no new work.
+    /// Drained data halls, whose targets receive no new requests.
     pub drained_halls: Vec<DataHallName>,
-    /// Items that cannot be used.
+    /// Invalid entries, which are skipped.
     pub left_out: Vec<LeftOut>,
 }
 
-/// One item of the list.
+/// Entry of the list.
 #[derive(Debug, Clone)]
 enum Item {
     Target(DiscoveredTarget),
@@ -69,19 +69,20 @@
     LeftOut(LeftOut),
 }
 
-/// The items of a list, each read by itself.
+/// Entries of the list, each decoded on its own.
 struct Items(Vec<Item>);
 
 impl Discovery {
-    /// Reads and checks a list of discovered targets from YAML.
+    /// Parses and checks a list of discovered targets from YAML.
     pub fn parse(text: &str) -> Result<Self, Mistakes> {
         let Items(items) = parse(text, "targets")?;
         Ok(items.into_iter().collect())
     }
 
-    /// These targets, and those that served `before` and are missing here, unless their
-    /// address is in use again or their own item was left out. Returns how many were kept, too.
-    pub fn retaining_missing(&self, before: &Self) -> (Self, usize) {
+    /// Returns this list with the targets added that were serving in `previous` and are missing
+    /// here, and the number of targets added. A missing target is not added if its address is in
+    /// use again or if an entry with its name was skipped.
+    pub fn retaining_missing(&self, previous: &Self) -> (Self, usize) {
         let listed = self.targets.iter().map(|listed| listed.target.name.as_str());
         let left_out = self.left_out.iter().map(|left| left.name.as_str());
         let names: HashSet<&str> = listed.chain(left_out).collect();
@@ -91,7 +92,7 @@
             names.contains(kept.target.name.as_str()) || addresses.contains(&kept.target.address)
         };
         let served =
-            before.targets.iter().filter(|known| known.target.state == TargetState::Serving);
+            previous.targets.iter().filter(|known| known.target.state == TargetState::Serving);
         let kept: Vec<DiscoveredTarget> =
             served.filter(|known| !is_listed(known)).cloned().collect();
         let count = kept.len();
@@ -114,22 +115,23 @@
     }
 }
 
-/// The beginning of a text that a stranger wrote.
-fn shortened(text: &str) -> String {
+/// Truncates a text from an untrusted source.
+fn truncated(text: &str) -> String {
     text.chars().take(LEFT_OUT_CHARS_MAX).collect()
 }
 
-/// Reads one revision of the list after the other. From one to the next few targets change, and
-/// a large fleet reads a long list in many processes: lines that were there before are not read
-/// again.
+/// Parses successive revisions of the list. Few targets change between two revisions, and many
+/// processes of a large fleet parse a long list, so that lines which the previous revision already
+/// contained are not parsed again.
 #[derive(Debug, Default)]
 pub struct DiscoveryReader {
-    /// The item of each line of the last list; none if items did not stand in a line each.
+    /// Entries of the previous revision by their line; empty if the entries were not on one line
+    /// each.
     lines: HashMap<String, Item>,
 }
 
 impl DiscoveryReader {
-    /// The same as [`Discovery::parse`].
+    /// Parses a list with the same result as [`Discovery::parse`].
     pub fn parse(&mut self, text: &str) -> Result<Discovery, Mistakes> {
         if let Some(items) = self.parse_lines(text) {
             return Ok(items.into_iter().collect());
@@ -138,7 +140,7 @@
         Discovery::parse(text)
     }
 
-    /// The items, if each stands in a line of its own.
+    /// Parses a list with one entry per line; returns `None` for any other form.
     fn parse_lines(&mut self, text: &str) -> Option<Vec<Item>> {
         let mut lines = HashMap::with_capacity(self.lines.len());
         let mut items = Vec::new();
@@ -160,7 +162,7 @@
     }
 }
 
-/// The item of a line that reads `- {…}` and means the same in any list.
+/// Parses a line of the form `- {…}`, which has the same meaning in any list.
 fn parse_line(line: &str) -> Option<Item> {
     if !(line.starts_with("- {") && line.ends_with('}')) {
         return None;
@@ -180,7 +182,7 @@
 }
 
 impl Item {
-    /// The item of a node, or why it is left out.
+    /// Decodes the entry in a node; an invalid entry becomes a skipped one with its first mistake.
     fn read(node: &Node) -> Self {
         let mut mistakes = Mistakes::default();
         match Self::decode(node, "", &mut mistakes) {
@@ -189,8 +191,8 @@
                 let name = node.text_of("name").unwrap_or_default();
                 let mistake = mistakes.listed().first().map(Mistake::without_location);
                 Self::LeftOut(LeftOut {
-                    name: shortened(name),
-                    mistake: shortened(&mistake.unwrap_or_default()),
+                    name: truncated(name),
+                    mistake: truncated(&mistake.unwrap_or_default()),
                 })
             }
         }
