--- a/crates/thymeshift_config/src/kind.rs
+++ b/crates/thymeshift_config/src/kind.rs
@@ -1,4 +1,4 @@
-//! Request kinds and the rules that find a request's kind.
+//! Request kinds and the rules that classify requests.
 
 use derive_more::Display;
 use serde::Serialize;
@@ -11,67 +11,67 @@
 use crate::decode::decode_keyword;
 use crate::tree::Node;
 
-/// Largest weight of one part of a split.
+/// Upper bound of the weight of one part of a traffic split.
 const WEIGHT_MAX: u64 = 1_000_000;
-/// A request that waited longer than this part of its objective is refused: the caller's
-/// next try then still has a chance to meet it.
-const WAIT_SHARE_OF_OBJECTIVE: u64 = 4;
+/// Divisor of the latency objective that gives the default maximum queue time. A request that is
+/// refused after this time leaves the caller's retry a chance to meet the objective.
+const OBJECTIVE_TO_WAIT_DIVISOR: u64 = 4;
 
-/// A safe request without an answer after this part of its objective is sent a second time:
-/// the second attempt then still has a chance to meet it.
-const HEDGE_SHARE_OF_OBJECTIVE: u64 = 2;
+/// Divisor of the latency objective that gives the default hedging delay of safe requests. A hedge
+/// that starts after this time can still meet the objective.
+const OBJECTIVE_TO_HEDGE_DIVISOR: u64 = 2;
 
 /// Whether a request may be sent to a target more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// It may: running it twice does no harm.
+    /// Running the request more than once has no side effects.
     #[display("safe")]
     Safe,
-    /// It may not, unless the first attempt provably did not run.
+    /// The request must not be repeated unless the first attempt provably did not run.
     #[display("unsafe")]
     Unsafe,
 }
 
 decode_keyword!(Repeat { "safe" => Safe, "unsafe" => Unsafe });
 
-/// The parts of a request that rules look at. The method is the one on the wire, the
-/// host is in lower case without port.
+/// Properties of a request that rules match against. The method is compared as received; the host
+/// is in lower case and without port.
 pub trait RequestHead {
-    /// The method.
+    /// Returns the HTTP method.
     fn method(&self) -> &str;
-    /// The host that the caller asked for, if any.
+    /// Returns the requested host; `None` if the request has none.
     fn host(&self) -> Option<&str>;
-    /// The path without query.
+    /// Returns the path without the query.
     fn path(&self) -> &str;
-    /// Whether the header `name` (lower case) has the value `value`.
+    /// Returns whether the header `name` (in lower case) has the value `value`.
     fn has_header(&self, name: &str, value: &str) -> bool;
 }
 
-/// A header that a request must carry with this value.
+/// Rule that requires a header with an exact value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Hash)]
 pub struct HeaderRule {
     /// Header name in lower case.
     pub name: String,
-    /// Its exact value.
+    /// Exact header value.
     pub value: String,
 }
 
-/// All rules of one kind; a request must satisfy each that is given.
+/// Rules of one kind. A request must satisfy all rules that are given.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Hash)]
 pub struct KindMatch {
-    /// Methods allowed; empty allows all.
+    /// Allowed HTTP methods; an empty list allows all.
     pub methods: Vec<String>,
     /// Exact host.
     pub host: Option<String>,
-    /// Start of the path. It ends at a path segment: `/a` matches `/a/b`, not `/ab`.
+    /// Prefix of the path that ends at a segment boundary: `/a` matches `/a/b`, but not `/ab`.
     pub path_prefix: Option<String>,
-    /// A header.
+    /// Header that the request must carry.
     pub header: Option<HeaderRule>,
 }
 
 impl KindMatch {
-    /// Whether the rules hold for `head`.
+    /// Returns whether `head` satisfies all rules.
     pub fn is_match(&self, head: &impl RequestHead) -> bool {
         let is_method =
             self.methods.is_empty() || self.methods.iter().any(|method| method == head.method());
@@ -91,54 +91,57 @@
     rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
 }
 
-/// One part of a kind's requests, by weight.
+/// Part of a traffic split.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SplitPart {
-    /// Service that does the work of this part.
+    /// Service that serves the requests of this part.
     pub service: ServiceName,
-    /// Share of the requests, relative to the sum of all parts' weights.
+    /// Weight of this part, relative to the sum of the weights of all parts.
     pub weight: u64,
 }
 
-/// A kind of request: how it is found, where it goes, and how it may wait and be retried.
+/// Kind of request: the rules that match it, the services that serve it, and its queueing and retry
+/// policy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Kind {
-    /// Name, unique in the configuration.
+    /// Name of the kind, unique in the configuration.
     pub name: KindName,
-    /// Rules that find it.
+    /// Rules that a request of this kind must satisfy.
     #[serde(rename = "match")]
     pub rules: KindMatch,
-    /// Service that does its work; with a split, that of the first part.
+    /// Service that serves the requests of this kind; with a traffic split, the service of the
+    /// first part.
     pub service: ServiceName,
-    /// Services that share its work by weight; empty if `service` does all of it.
+    /// Traffic split over several services by weight; empty if `service` serves all requests.
     pub split: Vec<SplitPart>,
-    /// Rank among the kinds of a service; 1 goes first.
+    /// Priority among the kinds of a service; 1 is served first.
     pub priority: u64,
-    /// Longest time from accepting the request to the head of its answer, in
-    /// milliseconds. A caller may ask for less.
+    /// Maximum time from accepting a request to the head of its answer, in milliseconds. A caller
+    /// may request a shorter deadline.
     pub deadline_ms: u64,
-    /// Time within which an answer is worth most to the caller, in milliseconds; 0 if none
-    /// is given.
+    /// Latency objective, in milliseconds: an answer within this time has the full value for the
+    /// caller. 0 if the kind has no objective.
     pub objective_ms: u64,
-    /// Longest time in the queue, in milliseconds. Without it, a quarter of the objective if
-    /// there is one, else the deadline.
+    /// Maximum time in the queue, in milliseconds. Defaults to a quarter of the objective, or to
+    /// the deadline if the kind has no objective.
     pub wait_max_ms: u64,
-    /// Most requests of this kind waiting at one VM.
+    /// Maximum number of queued requests of this kind at one VM.
     pub queue_max: u64,
-    /// Most attempts, the first included.
+    /// Maximum number of attempts, including the first.
     pub attempts_max: u64,
-    /// Time after which a second attempt is started beside the first, in milliseconds;
-    /// 0 never does. Without it, half of the objective for a safe kind that has one.
+    /// Delay after which a second attempt is started in parallel to the first, in milliseconds; 0
+    /// disables hedging. Defaults to half of the objective for a safe kind with an objective.
     pub hedge_after_ms: u64,
-    /// Whether it may run twice.
+    /// Whether a request of this kind may be run more than once.
     pub repeat: Repeat,
-    /// Whether it is served without a key where there are organisations.
+    /// Whether requests of this kind need no API key even if organisations are configured.
     #[serde(rename = "public")]
     pub is_public: bool,
 }
 
 impl Kind {
-    /// The service for a request that drew `draw`, a number spread evenly over all `u64`.
+    /// Selects a service by weight. `draw` is a uniformly distributed random number over all of
+    /// `u64`.
     pub fn service_for(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.split.iter().map(|part| part.weight).sum();
         if total == 0 {
@@ -199,7 +202,7 @@
         let rules = map.value_or("match", KindMatch::default());
         let split: Option<Vec<SplitPart>> = map.value_or("split", Vec::new());
         let service = match split.as_ref().and_then(|parts| parts.first()) {
-            // The first part stands for the whole where one service is wanted.
+            // The service of the first part represents the kind where a single service is needed.
             Some(first) => map.value_or("service", first.service.clone()),
             None => map.required("service"),
         };
@@ -208,7 +211,7 @@
         let objective_ms = map.number_or("objective_ms", 0..=600_000, 0);
         let wait_max_ms = match (objective_ms, deadline_ms) {
             (Some(objective), Some(deadline)) if objective > 0 => {
-                (objective / WAIT_SHARE_OF_OBJECTIVE).min(deadline)
+                (objective / OBJECTIVE_TO_WAIT_DIVISOR).min(deadline)
             }
             (_, deadline) => deadline.unwrap_or(0),
         };
@@ -217,7 +220,7 @@
         let attempts_max = map.number_or("attempts_max", 1..=10, 2);
         let repeat = map.required("repeat");
         let hedge_after_ms = match (repeat, objective_ms) {
-            (Some(Repeat::Safe), Some(objective)) => objective / HEDGE_SHARE_OF_OBJECTIVE,
+            (Some(Repeat::Safe), Some(objective)) => objective / OBJECTIVE_TO_HEDGE_DIVISOR,
             _ => 0,
         };
         let hedge_after_ms = map.number_or("hedge_after_ms", 0..=600_000, hedge_after_ms);
