--- a/crates/thymeshift_config/src/lib.rs
+++ b/crates/thymeshift_config/src/lib.rs
@@ -1,12 +1,12 @@
-//! Typed settings and configuration with every mistake reported at its place.
+//! Typed settings and configuration. Every mistake in a text is reported with its location.
 //!
 //! * [`Settings`] belong to one VM and are read from a local YAML file.
-//! * [`Configuration`] belongs to the whole fleet and is published by the platform as
-//!   YAML (JSON, being YAML, is accepted too).
+//! * [`Configuration`] belongs to the whole fleet and is published by the platform as YAML. JSON is
+//!   accepted too, because it is a subset of YAML.
 //!
-//! Both refuse unknown fields and report all mistakes of a text at once, each with its
-//! line, field, what was found and what was expected. The verdict depends on the bytes
-//! alone, so that every VM accepts or refuses the same revision.
+//! Both parsers reject unknown fields and report all mistakes of a text at once, each with its
+//! line, column, field, the value found and the value expected. The result depends only on the
+//! bytes of the text, so that every VM accepts or rejects the same revision.
 
 mod check;
 mod configuration;
