--- a/crates/thymeshift_config/src/limits.rs
+++ b/crates/thymeshift_config/src/limits.rs
@@ -10,27 +10,26 @@
 const KIB: u64 = 1_024;
 const MIB: u64 = 1_024 * KIB;
 
-/// Limits on what callers may send and hold open.
+/// Limits for the requests and connections of callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes_max: u64,
-    /// Longest time a caller may take to send a request head, in milliseconds.
+    /// Maximum time for a caller to send a request head, in milliseconds.
     pub header_read_timeout_ms: u64,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes_max: u64,
-    /// Longest time a caller may go without sending or taking body bytes, in milliseconds.
+    /// Maximum time without progress while a caller sends or receives a body, in milliseconds.
     pub body_stall_timeout_ms: u64,
-    /// Answers up to this length are held until they are complete before any of it goes to
-    /// the caller, in bytes; then a broken one can be tried again. 0 passes all answers on
-    /// as they arrive.
+    /// Maximum length of an answer that is buffered completely before any of it is sent to the
+    /// caller, in bytes. A buffered answer that breaks off can be retried. 0 streams all answers.
     pub answer_buffer_bytes: u64,
-    /// Most connections from callers at one time, each VM.
+    /// Maximum number of concurrent connections from callers to one VM.
     pub caller_connections_max: u64,
-    /// Requests of one connection that are begun while an earlier one is under way; 0 begins one
-    /// after the other.
+    /// Maximum number of pipelined requests of one connection that are started while an earlier one
+    /// is in flight; 0 processes the requests of a connection one after the other.
     pub requests_ahead_max: u64,
-    /// How often one call may be passed on before it is refused.
+    /// Maximum number of proxies that may forward a call before it is refused.
     pub depth_max: u64,
 }
 
@@ -51,22 +50,23 @@
 
 impl Decode for Limits {
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
-        let base = Self::default();
+        let defaults = Self::default();
         let mut map = MapReader::new(node, path, mistakes)?;
         let header_bytes_max =
-            map.number_or("header_bytes_max", 8 * KIB..=256 * KIB, base.header_bytes_max);
+            map.number_or("header_bytes_max", 8 * KIB..=256 * KIB, defaults.header_bytes_max);
         let header_read_timeout_ms =
-            map.number_or("header_read_timeout_ms", 1..=60_000, base.header_read_timeout_ms);
-        let body_bytes_max = map.number_or("body_bytes_max", 0..=1_024 * MIB, base.body_bytes_max);
+            map.number_or("header_read_timeout_ms", 1..=60_000, defaults.header_read_timeout_ms);
+        let body_bytes_max =
+            map.number_or("body_bytes_max", 0..=1_024 * MIB, defaults.body_bytes_max);
         let body_stall_timeout_ms =
-            map.number_or("body_stall_timeout_ms", 1..=600_000, base.body_stall_timeout_ms);
+            map.number_or("body_stall_timeout_ms", 1..=600_000, defaults.body_stall_timeout_ms);
         let answer_buffer_bytes =
-            map.number_or("answer_buffer_bytes", 0..=MIB, base.answer_buffer_bytes);
+            map.number_or("answer_buffer_bytes", 0..=MIB, defaults.answer_buffer_bytes);
         let caller_connections_max =
-            map.number_or("caller_connections_max", 1..=1_000_000, base.caller_connections_max);
+            map.number_or("caller_connections_max", 1..=1_000_000, defaults.caller_connections_max);
         let requests_ahead_max =
-            map.number_or("requests_ahead_max", 0..=64, base.requests_ahead_max);
-        let depth_max = map.number_or("depth_max", 1..=64, base.depth_max);
+            map.number_or("requests_ahead_max", 0..=64, defaults.requests_ahead_max);
+        let depth_max = map.number_or("depth_max", 1..=64, defaults.depth_max);
         map.finish();
         Some(Self {
             header_bytes_max: header_bytes_max?,
