--- a/crates/thymeshift_config/src/mistake.rs
+++ b/crates/thymeshift_config/src/mistake.rs
@@ -1,30 +1,30 @@
-//! Mistakes found in a settings or configuration text.
+//! Mistakes found in the text of settings or a configuration.
 
 use std::fmt;
 
 use derive_more::Error;
 use serde::Serialize;
 
-/// Most mistakes kept of one text; the rest are only counted.
+/// Maximum number of mistakes listed per text; further mistakes are only counted.
 const MISTAKES_MAX: usize = 50;
 
-/// One mistake and its place.
+/// A mistake in a text and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Mistake {
-    /// Line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Column, counted from 1.
+    /// Column number, starting at 1.
     pub column: usize,
-    /// The field, as a path such as `services[0].targets[2].address`.
+    /// Path of the field, such as `services[0].targets[2].address`; empty for the top level.
     pub field: String,
-    /// What stands there.
+    /// Description of the text found.
     pub found: String,
-    /// What should stand there.
+    /// Description of the text expected.
     pub expected: String,
 }
 
 impl Mistake {
-    /// The mistake as it is told where its line is not known.
+    /// Formats the mistake without line and column, for texts whose location is not known.
     pub(crate) fn without_location(&self) -> String {
         let Self { field, found, expected, .. } = self;
         format!("{field}: found {found}, expected {expected}")
@@ -47,12 +47,12 @@
 }
 
 impl Mistakes {
-    /// The mistakes that are listed (at most 50).
+    /// Returns the listed mistakes, at most 50.
     pub fn listed(&self) -> &[Mistake] {
         &self.listed
     }
 
-    /// Whether there are none.
+    /// Returns whether no mistakes were found.
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty()
     }
