--- a/crates/thymeshift_config/src/organisation.rs
+++ b/crates/thymeshift_config/src/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: whose requests are served, how they rank, and how many there may be.
+//! Organisations (customers): their API keys, rank and rate limit.
 
 use serde::Serialize;
 use thymeshift_types::KeyDigest;
@@ -10,23 +10,24 @@
 use crate::decode::MapReader;
 use crate::tree::Node;
 
-/// Largest limit of requests a second.
+/// Upper bound of a configured rate limit, in requests per second.
 const RATE_PER_S_MAX: f64 = 10_000_000.0;
-/// Largest number of requests beyond the rate.
+/// Upper bound of a configured burst, in requests.
 const BURST_MAX: u64 = 10_000_000;
 
-/// A customer with keys and a limit of its own.
+/// Customer with its own API keys and rate limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Organisation {
-    /// Name, unique in the configuration; targets are told it.
+    /// Name, unique in the configuration; sent to targets.
     pub name: OrganisationName,
-    /// Digests of its keys.
+    /// Digests of the organisation's API keys.
     pub key_digests: Vec<KeyDigest>,
-    /// Rank among organisations; 1 goes first. It goes before the rank of a request's kind.
+    /// Rank among organisations; 1 is served first. It takes precedence over the priority of a
+    /// request's kind.
     pub rank: u64,
-    /// Requests a second that all VMs together admit; none if that is not limited.
+    /// Rate limit over all VMs together, in requests per second; `None` if unlimited.
     pub rate_per_s: Option<RequestRate>,
-    /// Requests admitted beyond the rate after a rest.
+    /// Number of requests that may exceed the rate limit after an idle period.
     pub burst: u64,
 }
 
