--- a/crates/thymeshift_config/src/service.rs
+++ b/crates/thymeshift_config/src/service.rs
@@ -17,35 +17,37 @@
 use crate::decode::decode_keyword;
 use crate::tree::Node;
 
-/// One second in microseconds: a budget above this would be more than a target's slot.
+/// One second in microseconds. Upper bound of measuring budgets and probe costs, because a target
+/// slot provides no more time per second.
 const SECOND_US: u64 = 1_000_000;
 
-/// Longest time for which a target may be cold, in milliseconds.
+/// Upper bound of the time for which a target may be listed as cold, in milliseconds.
 const COLD_FOR_MS_MAX: u64 = 600_000;
-/// Largest rate of requests that a cold target may be said to bear, a second.
-const COLD_PER_S_MAX: f64 = 1_000_000.0;
+/// Upper bound of the configured rate of requests to a cold target, in requests per second.
+const COLD_REQUESTS_PER_S_MAX: f64 = 1_000_000.0;
 
-/// How a target is chosen.
+/// Load balancing strategy of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StrategyName {
-    /// Any target, evenly.
+    /// Chooses a target uniformly at random.
     #[display("random")]
     Random,
-    /// One after the other.
+    /// Chooses the targets in turn.
     #[display("round_robin")]
     RoundRobin,
-    /// The target with the fewest requests in flight from this VM.
+    /// Chooses the target with the fewest requests in flight from this VM.
     #[display("least_in_flight")]
     LeastInFlight,
-    /// The better of two random targets by own requests in flight.
+    /// Chooses the better of two random targets by the requests in flight from this VM.
     #[display("two_choices")]
     TwoChoices,
-    /// The better of two random targets by latency seen and own requests in flight.
+    /// Chooses the better of two random targets by observed latency and the requests in flight from
+    /// this VM.
     #[display("latency_two_choices")]
     LatencyTwoChoices,
-    /// The target with the smallest expected time, from reports, age, own requests in
-    /// flight, latency seen and distance.
+    /// Chooses the target with the lowest expected response time, estimated from load reports and
+    /// their age, requests in flight from this VM, observed latency and network distance.
     #[display("expected_time")]
     ExpectedTime,
 }
@@ -59,57 +61,57 @@
     "expected_time" => ExpectedTime,
 });
 
-/// Whether a target may receive new work.
+/// Whether a target may receive new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// It may.
+    /// The target may receive new requests.
     #[display("serving")]
     Serving,
-    /// It may not, and this incarnation never will again.
+    /// This incarnation of the target receives no new requests and never returns to serving.
     #[display("leaving")]
     Leaving,
 }
 
 decode_keyword!(TargetState { "serving" => Serving, "leaving" => Leaving });
 
-/// One target of a service.
+/// Target (back end) of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Target {
-    /// Name, unique in its service.
+    /// Name of the target, unique in its service.
     pub name: TargetName,
-    /// Where it listens.
+    /// Listen address of the target.
     pub address: SocketAddr,
-    /// The data hall it stands in.
+    /// Data hall that the target is located in.
     pub data_hall: DataHallName,
-    /// Raised each time it starts anew.
+    /// Incarnation number, which increases with every restart of the target.
     pub incarnation: Incarnation,
-    /// Whether it may receive new work.
+    /// Whether the target may receive new requests.
     pub state: TargetState,
-    /// How long it works slower than usual after it was listed, in milliseconds; none if that is
-    /// not told.
+    /// Time after being listed during which the target works more slowly than usual, in
+    /// milliseconds; `None` if the list does not state it.
     pub cold_for_ms: Option<u64>,
 }
 
-/// How a service's targets may be probed.
+/// Probe configuration of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Probe {
     /// Path of the probe request.
     pub path: String,
-    /// Target time that one probe costs, in microseconds.
+    /// Time that one probe costs the target, in microseconds.
     pub cost_us: u64,
-    /// Longest wait for the answer, in milliseconds.
+    /// Maximum time to wait for the answer to a probe, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// When a failing target is set aside for a while.
+/// Ejection policy for failing targets (outlier detection).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Ejection {
-    /// Failures in a row that eject.
+    /// Number of consecutive failures after which a target is ejected.
     pub failures: u64,
-    /// First time aside, in milliseconds; it doubles with each ejection in a row.
+    /// Duration of the first ejection, in milliseconds; doubled with each consecutive ejection.
     pub base_ms: u64,
-    /// Largest share of targets set aside at one time, in percent (panic bound).
+    /// Maximum share of targets that are ejected at one time, in percent (panic threshold).
     pub share_max_percent: u64,
 }
 
@@ -119,19 +121,19 @@
     }
 }
 
-/// A rate of requests, exact to a thousandth of one a second. Written as requests a second.
+/// Request rate with a resolution of 0.001 requests per second. Serialized as requests per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct RequestRate {
     per_1000_s: u64,
 }
 
 impl RequestRate {
-    /// A rate of so many requests in 1,000 seconds.
+    /// Creates a rate from a number of requests per 1,000 seconds.
     pub fn per_1000_s(requests: u64) -> Self {
         Self { per_1000_s: requests }
     }
 
-    /// Requests in 1,000 seconds.
+    /// Returns the rate in requests per 1,000 seconds.
     pub fn in_1000_s(self) -> u64 {
         self.per_1000_s
     }
@@ -143,52 +145,53 @@
     }
 }
 
-/// A group of targets that do the same work.
+/// Group of targets that serve the same requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Service {
-    /// Name, unique in the configuration.
+    /// Name of the service, unique in the configuration.
     pub name: ServiceName,
-    /// How a target is chosen.
+    /// Load balancing strategy.
     pub strategy: StrategyName,
-    /// Requests that one target runs at a time.
+    /// Number of requests that one target runs concurrently.
     pub slots_per_target: u64,
-    /// Connections that one target accepts from all VMs together.
+    /// Maximum number of connections to one target from all VMs together.
     pub connections_per_target: u64,
-    /// Longest time to open a connection, in milliseconds.
+    /// Maximum time to open a connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long an unused connection is kept, in milliseconds.
+    /// Time for which an idle connection is kept open, in milliseconds.
     pub idle_connection_ms: u64,
-    /// Whether a target's answer "shed" proves that the request did not run.
+    /// Whether an answer by which a target sheds a request proves that the request did not run.
     pub shed_means_not_run: bool,
-    /// Longest backoff that a target can ask for, in milliseconds: one that asks for ever must not
-    /// be lost for ever.
+    /// Maximum backoff that a target can request, in milliseconds. It keeps a target that requests
+    /// an unlimited backoff from being lost forever.
     pub backoff_max_ms: u64,
-    /// Target time that all VMs together may spend measuring one target, in
-    /// microseconds each second. 0 forbids probes.
+    /// Target time that all VMs together may spend on measuring one target, in microseconds per
+    /// second. 0 disables probes.
     pub measuring_budget_us_per_s: u64,
-    /// How to probe; without it nothing is probed.
+    /// Probe configuration; without it, no probes are sent.
     pub probe: Option<Probe>,
-    /// When a failing target is set aside.
+    /// Ejection policy for failing targets.
     pub ejection: Ejection,
-    /// Time over which a new target is brought to its full share, in milliseconds.
+    /// Time over which the traffic to a new target is increased to its full share (slow start), in
+    /// milliseconds.
     pub cold_start_ramp_ms: u64,
-    /// Requests a second that a cold target bears, from all VMs together; none if that is not
-    /// limited.
+    /// Maximum rate of requests to a cold target from all VMs together, in requests per second;
+    /// `None` if unlimited.
     pub cold_requests_per_s: Option<RequestRate>,
-    /// The rate that must not be exceeded in any second, from all VMs together; worked out from
-    /// the rate above and the settings, see [`crate::Configuration::capped`].
+    /// Maximum rate of requests to a cold target in any second, from all VMs together. Derived from
+    /// `cold_requests_per_s` and the settings by [`crate::Configuration::capped`].
     #[serde(skip)]
     pub cold_bound_per_s: RequestRate,
-    /// Retries and hedges allowed, in percent of requests.
+    /// Budget for retries and hedges, in percent of requests.
     pub retry_budget_percent: u64,
-    /// Most retries that one VM may save up.
+    /// Maximum number of unused retries that one VM accumulates.
     pub retry_reserve: u64,
-    /// The targets.
+    /// Targets of the service.
     pub targets: Vec<Target>,
 }
 
 impl Target {
-    /// Reads a target's fields, which may stand beside others.
+    /// Reads the fields of a target from a map that may contain further fields.
     pub(crate) fn read(map: &mut MapReader<'_, '_>) -> Option<Self> {
         let name = map.required("name");
         let address = map.required("address");
@@ -229,18 +232,19 @@
 
 impl Decode for Ejection {
     fn decode(node: &Node, path: &str, mistakes: &mut Mistakes) -> Option<Self> {
-        let base = Self::default();
+        let defaults = Self::default();
         let mut map = MapReader::new(node, path, mistakes)?;
-        let failures = map.number_or("failures", 1..=1_000, base.failures);
-        let base_ms = map.number_or("base_ms", 1..=600_000, base.base_ms);
-        let share_max_percent = map.number_or("share_max_percent", 0..=100, base.share_max_percent);
+        let failures = map.number_or("failures", 1..=1_000, defaults.failures);
+        let base_ms = map.number_or("base_ms", 1..=600_000, defaults.base_ms);
+        let share_max_percent =
+            map.number_or("share_max_percent", 0..=100, defaults.share_max_percent);
         map.finish();
         Some(Self { failures: failures?, base_ms: base_ms?, share_max_percent: share_max_percent? })
     }
 }
 
 impl Service {
-    /// Longest backoff that a target can ask for.
+    /// Returns the maximum backoff that a target can request.
     pub fn backoff_max(&self) -> Duration {
         Duration::from_millis(self.backoff_max_ms)
     }
@@ -263,7 +267,7 @@
         let ejection = map.value_or("ejection", Ejection::default());
         let cold_start_ramp_ms = map.number_or("cold_start_ramp_ms", 0..=600_000, 2_000);
         let cold_requests_per_s =
-            map.optional_decimal("cold_requests_per_s", 0.0..=COLD_PER_S_MAX, 1_000.0);
+            map.optional_decimal("cold_requests_per_s", 0.0..=COLD_REQUESTS_PER_S_MAX, 1_000.0);
         let retry_budget_percent = map.number_or("retry_budget_percent", 0..=100, 10);
         let retry_reserve = map.number_or("retry_reserve", 1..=1_000, 10);
         let targets = map.value_or("targets", Vec::new());
