--- a/crates/thymeshift_config/src/settings.rs
+++ b/crates/thymeshift_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! What one VM knows about itself, from a local YAML file.
+//! Settings of one VM, read from a local YAML file.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,30 +15,31 @@
 use crate::decode::parse;
 use crate::tree::Node;
 
-/// Longest time a planned stop may be given, in milliseconds.
+/// Upper bound of the configured durations of a planned stop, in milliseconds.
 const STOP_MS_MAX: u64 = 3_600_000;
-/// The same for the time until the platform kills a process, in seconds.
-const STOP_S_MAX: f64 = 3_600.0;
-/// Time between the end of the wait for work in flight and the moment at which the platform kills
-/// the process, in milliseconds: for telling peers, and for a VM that is slow.
+/// Upper bound of the grace period before the platform kills a stopping process, in seconds.
+const STOP_GRACE_S_MAX: f64 = 3_600.0;
+/// Time between the end of the wait for requests in flight and the time at which the platform kills
+/// the process, in milliseconds. The process uses it to notify its peers; the margin also allows
+/// for a slow VM.
 const STOP_MARGIN_MS: u64 = 700;
-/// Probes of one target a second that may be allowed at most.
+/// Upper bound of the configured probe rate, in probes per second and target.
 const PROBES_PER_S_MAX: u64 = 10_000;
 
-/// Largest overshoot of a cold target's rate that may be allowed.
+/// Upper bound of the configured overshoot ratio for cold targets.
 const COLD_OVERSHOOT_MAX: f64 = 100.0;
-/// Most requests beyond it that may be allowed.
+/// Upper bound of the configured request slack for cold targets.
 const COLD_SLACK_REQUESTS_MAX: u64 = 1_000_000;
 
-/// How much is logged.
+/// Minimum severity of logged events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Only what an operator must act on.
+    /// Only events that require action by an operator.
     Error,
-    /// Also what may become a failure.
+    /// Also events that may lead to a failure.
     Warn,
-    /// Also one line for each change of state and each failed request.
+    /// Also one line for each state change and each failed request.
     Info,
     /// Also one line for each request.
     Debug,
@@ -54,68 +55,72 @@
 /// Settings of one entry process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Settings {
-    /// This VM's name, unique in the fleet.
+    /// Name of this VM, unique in the fleet.
     pub vm: VmName,
-    /// The data hall it stands in.
+    /// Data hall that this VM is located in.
     pub data_hall: DataHallName,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub caller_address: SocketAddr,
-    /// Where other entry processes connect.
+    /// Listen address for other entry processes.
     pub peer_address: SocketAddr,
-    /// Where the operators' program connects. Keep it apart from callers.
+    /// Listen address for the operators' program. Callers must not be able to reach it.
     pub control_address: SocketAddr,
-    /// Where `/live`, `/ready` and `/metrics` are served.
+    /// Listen address that serves `/live`, `/ready` and `/metrics`.
     pub observe_address: SocketAddr,
-    /// The platform's configuration service.
+    /// Address of the platform's configuration service.
     pub platform_address: SocketAddr,
-    /// Peer addresses of other entry processes; the platform's list adds to them.
+    /// Peer addresses of other entry processes, in addition to those in the platform's VM list.
     pub peers: Vec<SocketAddr>,
-    /// Where datagrams of other entry processes arrive; without it none are sent, and every
-    /// process decides alone.
+    /// Listen address for datagrams of other entry processes. Without it, the process sends no
+    /// datagrams and makes all decisions on its own.
     pub datagram_address: Option<SocketAddr>,
-    /// Whether the whole fleet starts for the first time: then nobody is served yet, and most
-    /// processes can wait for those that read the platform.
+    /// Whether the whole fleet starts for the first time. In that case no callers are served yet,
+    /// and most processes can wait for the processes that read the platform.
     pub is_first_start: bool,
-    /// The part of a processor that this VM may use. Work for the whole fleet goes to VMs
-    /// with more of it.
+    /// Number of CPUs that this VM may use. Work for the whole fleet is assigned to VMs with a
+    /// higher value.
     pub processor_share: Capacity,
-    /// Worker threads; 0 takes one for each processor.
+    /// Number of worker threads; 0 uses one per CPU.
     pub worker_threads: u64,
-    /// How long a stopping process goes on accepting after `/ready` has begun to fail,
-    /// in milliseconds, so that the platform's balancer can notice.
+    /// Time for which a stopping process keeps accepting requests after `/ready` has begun to fail,
+    /// in milliseconds. It lets the platform's load balancer detect the change.
     pub stop_readiness_lag_ms: u64,
-    /// How long a stopping process waits for work in flight, in milliseconds.
+    /// Maximum time for which a stopping process waits for requests in flight, in milliseconds.
     pub stop_bound_ms: u64,
-    /// How long the platform waits between asking a process to stop and killing it, in
-    /// milliseconds: the wait for work in flight ends before. None if it waits for ever.
+    /// Time between the platform's stop signal and its kill, in milliseconds. The wait for requests
+    /// in flight ends before the kill. `None` if the platform never kills a stopping process.
     pub stop_grace_ms: Option<u64>,
-    /// Most retries in 100 requests that the platform bears, whatever the configuration says.
+    /// Upper limit of the platform for retries, in percent of requests. It overrides the
+    /// configuration.
     pub retry_percent_max: u64,
-    /// Most probes of one target a second that the platform bears, whatever the configuration
-    /// says.
+    /// Upper limit of the platform for probes, per second and target. It overrides the
+    /// configuration.
     pub probes_per_target_s_max: u64,
-    /// By how much requests to a cold target may exceed the rate that it bears: in any second the
-    /// platform bears that rate times this many percent, and
-    /// [`Settings::cold_slack_requests`] more.
+    /// Factor by which the requests to a cold target may exceed the target's cold rate, in percent.
+    /// In any second, the platform tolerates the cold rate times this factor, plus
+    /// [`Settings::cold_slack_requests`].
     pub cold_overshoot_percent: u64,
-    /// As [`Settings::cold_overshoot_percent`], in requests.
+    /// Number of requests per second that the platform tolerates above the limit from
+    /// [`Settings::cold_overshoot_percent`].
     pub cold_slack_requests: u64,
-    /// How much is logged.
+    /// Minimum severity of logged events.
     pub log_level: LogLevel,
 }
 
 impl Settings {
-    /// Reads settings from YAML.
+    /// Parses settings from YAML; returns all mistakes if the text is invalid.
     pub fn parse(text: &str) -> Result<Self, Mistakes> {
         parse(text, "")
     }
 
-    /// How long a stopping process waits for work in flight once it no longer accepts callers.
+    /// Returns how long a stopping process waits for requests in flight after it has stopped
+    /// accepting callers.
     pub fn stop_wait(&self) -> Duration {
-        let before_kill = self.stop_grace_ms.map(|grace_ms| {
+        let wait_before_kill_ms = self.stop_grace_ms.map(|grace_ms| {
             grace_ms.saturating_sub(self.stop_readiness_lag_ms).saturating_sub(STOP_MARGIN_MS)
         });
-        let wait_ms = before_kill.map_or(self.stop_bound_ms, |ms| ms.min(self.stop_bound_ms));
+        let wait_ms =
+            wait_before_kill_ms.map_or(self.stop_bound_ms, |ms| ms.min(self.stop_bound_ms));
         Duration::from_millis(wait_ms)
     }
 }
@@ -137,7 +142,7 @@
         let worker_threads = map.number_or("worker_threads", 0..=1_024, 0);
         let stop_readiness_lag_ms = map.number_or("stop_readiness_lag_ms", 0..=STOP_MS_MAX, 3_000);
         let stop_bound_ms = map.number_or("stop_bound_ms", 0..=STOP_MS_MAX, 60_000);
-        let stop_grace_ms = map.optional_decimal("stop_grace_s", 0.0..=STOP_S_MAX, 1_000.0);
+        let stop_grace_ms = map.optional_decimal("stop_grace_s", 0.0..=STOP_GRACE_S_MAX, 1_000.0);
         let retry_percent_max = map.optional_decimal("retry_ratio_max", 0.0..=1.0, 100.0);
         let probes_per_target_s_max =
             map.number_or("probes_per_target_s_max", 0..=PROBES_PER_S_MAX, PROBES_PER_S_MAX);
