--- a/crates/thymeshift_config/src/tree.rs
+++ b/crates/thymeshift_config/src/tree.rs
@@ -1,7 +1,8 @@
-//! A YAML text as a tree whose nodes know their place.
+//! YAML text parsed into a tree whose nodes know their location.
 //!
-//! Aliases and tags are refused: a published text has a bounded size and means the same
-//! to every reader. A repeated key is a mistake and not silently the last one.
+//! Aliases and tags are rejected, so that the size of the tree is bounded by the size of the text
+//! and every reader interprets the text in the same way. A repeated key is a mistake; the last
+//! value does not silently take precedence.
 
 pub(crate) mod json_lines;
 
@@ -18,10 +19,10 @@
 
 use crate::Mistake;
 
-/// Deepest nesting allowed.
+/// Maximum nesting depth.
 const DEPTH_MAX: usize = 24;
 
-/// Where a node starts.
+/// Line and column at which a node starts, both counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Location {
     pub(crate) line: usize,
@@ -34,7 +35,7 @@
     }
 }
 
-/// One key of a map with its value.
+/// Key and value of a map.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) key: String,
@@ -42,10 +43,10 @@
     pub(crate) value: Node,
 }
 
-/// What a node is.
+/// Content of a node.
 #[derive(Debug)]
 pub(crate) enum Content {
-    /// A scalar; a quoted one is always text.
+    /// Scalar value; a quoted scalar is always a string.
     Scalar {
         text: String,
         is_quoted: bool,
@@ -54,7 +55,7 @@
     Map(Vec<Entry>),
 }
 
-/// A node and its place.
+/// Node of the tree and its location.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) location: Location,
@@ -73,13 +74,13 @@
 }
 
 impl Node {
-    /// Parses `text`, which must hold one YAML document.
+    /// Parses `text`, which must contain exactly one YAML document.
     pub(crate) fn parse(text: &str) -> Result<Self, Mistake> {
         let mut builder = Builder { parser: Parser::new_from_str(text) };
-        builder.document()
+        builder.parse_document()
     }
 
-    /// The text of a field, if this is a map that has it.
+    /// Returns the text of the scalar field `name` if the node is a map with that field.
     pub(crate) fn text_of(&self, name: &str) -> Option<&str> {
         let Content::Map(entries) = &self.content else {
             return None;
@@ -91,12 +92,12 @@
         }
     }
 
-    /// Whether nothing stands there.
+    /// Returns whether the node is an empty value or `null`.
     pub(crate) fn is_null(&self) -> bool {
         matches!(&self.content, Content::Scalar { text, is_quoted: false } if text.is_empty())
     }
 
-    /// The place of the node at `path`, or of the deepest one on the way that exists.
+    /// Returns the location of the node at `path`, or of its deepest existing ancestor.
     pub(crate) fn location_of(&self, path: &str) -> Location {
         let mut node = self;
         for step in path.split(['.', '[']).filter(|step| !step.is_empty()) {
@@ -121,22 +122,22 @@
 }
 
 impl<'input> Builder<'input> {
-    fn document(&mut self) -> Result<Node, Mistake> {
+    fn parse_document(&mut self) -> Result<Node, Mistake> {
         loop {
             let (event, span) = self.next()?;
             match event {
                 Event::StreamStart | Event::DocumentStart(_) | Event::Nothing => {}
                 Event::StreamEnd => return Err(mistake(span, "an empty text", "a map")),
                 event => {
-                    let node = self.node(event, span, 0)?;
-                    self.end()?;
+                    let node = self.parse_node(event, span, 0)?;
+                    self.expect_end()?;
                     return Ok(node);
                 }
             }
         }
     }
 
-    fn end(&mut self) -> Result<(), Mistake> {
+    fn expect_end(&mut self) -> Result<(), Mistake> {
         loop {
             let (event, span) = self.next()?;
             match event {
@@ -155,33 +156,38 @@
         }
     }
 
-    fn node(&mut self, event: Event<'input>, span: Span, depth: usize) -> Result<Node, Mistake> {
+    fn parse_node(
+        &mut self,
+        event: Event<'input>,
+        span: Span,
+        depth: usize,
+    ) -> Result<Node, Mistake> {
         if depth > DEPTH_MAX {
             return Err(mistake(span, "nesting too deep", "at most 24 levels"));
         }
         let location = Location::of(&span.start);
         let content = match event {
             Event::Scalar(text, style, _, None) => scalar(text, style),
-            Event::SequenceStart(_, None) => Content::List(self.list(depth)?),
-            Event::MappingStart(_, None) => Content::Map(self.map(depth)?),
+            Event::SequenceStart(_, None) => Content::List(self.parse_list(depth)?),
+            Event::MappingStart(_, None) => Content::Map(self.parse_map(depth)?),
             Event::Alias(_) => return Err(mistake(span, "an alias", "the value itself")),
             _ => return Err(mistake(span, "a tag", "a value without tag")),
         };
         Ok(Node { location, content })
     }
 
-    fn list(&mut self, depth: usize) -> Result<Vec<Node>, Mistake> {
+    fn parse_list(&mut self, depth: usize) -> Result<Vec<Node>, Mistake> {
         let mut items = Vec::new();
         loop {
             let (event, span) = self.next()?;
             if event == Event::SequenceEnd {
                 return Ok(items);
             }
-            items.push(self.node(event, span, depth + 1)?);
+            items.push(self.parse_node(event, span, depth + 1)?);
         }
     }
 
-    fn map(&mut self, depth: usize) -> Result<Vec<Entry>, Mistake> {
+    fn parse_map(&mut self, depth: usize) -> Result<Vec<Entry>, Mistake> {
         let mut entries: Vec<Entry> = Vec::new();
         loop {
             let (event, span) = self.next()?;
@@ -196,7 +202,7 @@
             }
             let key_location = Location::of(&span.start);
             let (event, span) = self.next()?;
-            let value = self.node(event, span, depth + 1)?;
+            let value = self.parse_node(event, span, depth + 1)?;
             entries.push(Entry { key: key.into_owned(), key_location, value });
         }
     }
