--- a/crates/thymeshift_config/tests/limits_of_surroundings.rs
+++ b/crates/thymeshift_config/tests/platform_limits.rs
@@ -1,4 +1,4 @@
-//! What the platform bears is stated in the settings, and holds whatever else says more.
+//! Tests that the limits of the platform, which the settings state, override the configuration.
 
 use std::time::Duration;
 
@@ -22,10 +22,14 @@
     }
     let cases = [
         Case { note: "no limit stated", added: "", wait_ms: 60_000 },
-        Case { note: "nothing stands there", added: "stop_grace_s:", wait_ms: 60_000 },
+        Case { note: "empty field", added: "stop_grace_s:", wait_ms: 60_000 },
         Case { note: "ten seconds", added: "stop_grace_s: 10", wait_ms: 4_300 },
         Case { note: "a fraction", added: "stop_grace_s: 6.5", wait_ms: 800 },
-        Case { note: "longer than the own bound", added: "stop_grace_s: 900", wait_ms: 60_000 },
+        Case {
+            note: "longer than the configured bound",
+            added: "stop_grace_s: 900",
+            wait_ms: 60_000,
+        },
         Case { note: "shorter than the lag", added: "stop_grace_s: 2", wait_ms: 0 },
     ];
     for Case { note, added, wait_ms } in cases {
@@ -36,7 +40,7 @@
 }
 
 #[test]
-fn retries_and_probes_stay_within_what_the_platform_bears() {
+fn retries_and_probes_stay_within_the_limits_of_the_platform() {
     struct Case {
         note: &'static str,
         added: &'static str,
@@ -70,9 +74,14 @@
             let percent = before.retry_budget_percent.min(retry_percent_max);
             assert_eq!(service.retry_budget_percent, percent, "{note}: {}", service.name);
             let Some(probe) = &service.probe else { continue };
-            let most_us = before.measuring_budget_us_per_s.min(probes_per_s_max * probe.cost_us);
-            assert_eq!(service.measuring_budget_us_per_s, most_us, "{note}: {}", service.name);
+            let budget_us_max =
+                before.measuring_budget_us_per_s.min(probes_per_s_max * probe.cost_us);
+            assert_eq!(
+                service.measuring_budget_us_per_s, budget_us_max,
+                "{note}: {}",
+                service.name
+            );
         }
-        assert_ne!(capped, configured, "{note}: the example states more");
+        assert_ne!(capped, configured, "{note}: the example exceeds the limit");
     }
 }
