--- a/crates/thymeshift_config/tests/quick_reader.rs
+++ b/crates/thymeshift_config/tests/json_lines_reader.rs
@@ -1,4 +1,5 @@
-//! Texts that programs write are read by a quick reader; it must mean the same as the general one.
+//! Tests that the fast reader for the restricted YAML form gives the same results as the general
+//! YAML reader.
 
 use std::fmt::Write;
 
@@ -7,7 +8,7 @@
 use quickcheck::QuickCheck;
 use thymeshift_config::Configuration;
 
-/// A text as adapters write it.
+/// Configuration in the restricted form that platform adapters write.
 const TEXT: &str = r#"entry_vms_max: 136
 data_hall_detour_us: 100000
 data_halls: ["a","b"]
@@ -21,34 +22,35 @@
 - {"name":"r-2","match":{"host":"b.example","path_prefix":"/w/"},"split":[{"service":"one","weight":90},{"service":"two","weight":10}],"priority":1,"deadline_ms":2000,"objective_ms":400,"repeat":"unsafe"}
 "#;
 
-/// What the general reader makes of a text: a comment leaves it to that one.
-fn generally(text: &str) -> Result<Configuration, String> {
+/// Parses a text with the general reader: the fast reader does not support the comment that is
+/// appended.
+fn parse_with_general_reader(text: &str) -> Result<Configuration, String> {
     Configuration::parse(&format!("{text}\n# general\n")).map_err(|mistakes| mistakes.to_string())
 }
 
-fn quickly(text: &str) -> Result<Configuration, String> {
+fn parse(text: &str) -> Result<Configuration, String> {
     Configuration::parse(text).map_err(|mistakes| mistakes.to_string())
 }
 
 #[test]
-fn both_readers_mean_the_same_and_name_the_same_mistakes() {
+fn both_readers_give_the_same_result_and_the_same_mistakes() {
     struct Case {
         note: &'static str,
         replace: &'static str,
         with: &'static str,
-        is_good: bool,
+        is_valid: bool,
     }
-    let case = Case { note: "", replace: "", with: "", is_good: false };
+    let case = Case { note: "", replace: "", with: "", is_valid: false };
     let cases = [
-        Case { note: "as it is", is_good: true, ..case },
+        Case { note: "unchanged", is_valid: true, ..case },
         Case { note: "a fraction", replace: "820,\"cold", with: "820.0,\"cold", ..case },
-        Case { note: "an exponent", replace: ":2.5", with: ":25e-1", is_good: true },
-        Case { note: "minus nothing", replace: "136", with: "-0", ..case },
-        Case { note: "a leading zero", replace: "136", with: "0136", is_good: true },
+        Case { note: "an exponent", replace: ":2.5", with: ":25e-1", is_valid: true },
+        Case { note: "negative zero", replace: "136", with: "-0", ..case },
+        Case { note: "a leading zero", replace: "136", with: "0136", is_valid: true },
         Case { note: "a quoted number", replace: "136", with: "\"136\"", ..case },
         Case { note: "too large", replace: "136", with: "99999999999999999999", ..case },
-        Case { note: "a word", replace: "true", with: "true", is_good: true },
-        Case { note: "an unquoted word", replace: "\"safe\"", with: "safe", is_good: true },
+        Case { note: "a boolean", replace: "true", with: "true", is_valid: true },
+        Case { note: "an unquoted string", replace: "\"safe\"", with: "safe", is_valid: true },
         Case { note: "an unknown field", replace: "\"split\"", with: "\"splits\"", ..case },
         Case {
             note: "a repeated field",
@@ -58,18 +60,18 @@
         },
         Case { note: "a repeated list", replace: "kinds:", with: "services:", ..case },
         Case { note: "an empty list", replace: "kinds:\n", with: "kinds:\nlimits:\n", ..case },
-        Case { note: "an escape", replace: "/health", with: "/heal\\u0074h", is_good: true },
-        Case { note: "a letter beyond ASCII", replace: "/health", with: "/hälth", is_good: true },
+        Case { note: "an escape", replace: "/health", with: "/heal\\u0074h", is_valid: true },
+        Case { note: "a letter beyond ASCII", replace: "/health", with: "/hälth", is_valid: true },
         Case {
             note: "a comment",
             replace: "\"a\",\"b\"]",
             with: "\"a\",\"b\"] # two",
-            is_good: true,
+            is_valid: true,
         },
         Case { note: "an alias", replace: "\"split\":[]", with: "\"split\":*x", ..case },
         Case { note: "a tag", replace: "\"split\":[]", with: "\"split\":!x []", ..case },
         Case {
-            note: "rules twice",
+            note: "the same rules twice",
             replace: "\"b.example\",\"path_prefix\":\"/w/\"",
             with: "\"a.example\",\"path_prefix\":\"/r/\"",
             ..case
@@ -81,22 +83,22 @@
             ..case
         },
         Case {
-            note: "cut off",
+            note: "truncated",
             replace: "\"repeat\":\"unsafe\"}",
             with: "\"repeat\":\"uns",
             ..case
         },
         Case { note: "a second document", replace: "kinds:", with: "---\nkinds:", ..case },
     ];
-    for Case { note, replace, with, is_good } in cases {
+    for Case { note, replace, with, is_valid } in cases {
         let text = TEXT.replacen(replace, with, 1);
-        let read = quickly(&text);
-        assert_eq!(read, generally(&text), "{note}");
-        assert_eq!(read.is_ok(), is_good, "{note}: {read:?}");
+        let read = parse(&text);
+        assert_eq!(read, parse_with_general_reader(&text), "{note}");
+        assert_eq!(read.is_ok(), is_valid, "{note}: {read:?}");
     }
 }
 
-/// A text with some bytes changed.
+/// Configuration text with random edits.
 #[derive(Debug, Clone)]
 struct Changed(String);
 
@@ -116,28 +118,28 @@
 }
 
 #[test]
-fn any_changed_text_means_the_same_to_both() {
+fn both_readers_give_the_same_result_for_any_changed_text() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
-    fn holds(changed: Changed) -> bool {
-        quickly(&changed.0).ok() == generally(&changed.0).ok()
+    fn is_read_the_same(changed: Changed) -> bool {
+        parse(&changed.0).ok() == parse_with_general_reader(&changed.0).ok()
     }
     QuickCheck::new()
         .tests(2_000)
         .rng(Gen::from_size_and_seed(50, 21))
-        .quickcheck(holds as fn(Changed) -> bool);
+        .quickcheck(is_read_the_same as fn(Changed) -> bool);
 }
 
 #[test]
-fn a_long_text_is_read_whole() {
+fn a_long_text_is_read_completely() {
     let mut text = TEXT.to_owned();
     for number in 0..1_180 {
         writeln!(
             text,
             r#"- {{"name":"k-{number}","match":{{"host":"h{number}.example","path_prefix":"/x/"}},"service":"two","split":[],"priority":3,"deadline_ms":2000,"repeat":"safe"}}"#
         )
-        .expect("a string takes it");
+        .expect("writing to a string");
     }
-    let read = quickly(&text);
-    assert_eq!(read, generally(&text));
+    let read = parse(&text);
+    assert_eq!(read, parse_with_general_reader(&text));
     assert_eq!(read.map(|configuration| configuration.kinds.len()), Ok(1_182));
 }
