--- a/crates/thymeshift_config/tests/discovery.rs
+++ b/crates/thymeshift_config/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Lists of discovered targets: read one after the other, and what is no longer listed after an
-//! outage.
+//! Tests of the list of discovered targets: parsing of successive revisions, and retention of
+//! targets that are missing after an outage of the source.
 
 use quickcheck::QuickCheck;
 use thymeshift_config::Discovery;
@@ -18,51 +18,51 @@
 fn missing_targets_are_kept_unless_they_were_leaving_or_their_address_is_in_use() {
     struct Case {
         note: &'static str,
-        before: &'static [(&'static str, u16, &'static str)],
+        previous: &'static [(&'static str, u16, &'static str)],
         listed: &'static [(&'static str, u16, &'static str)],
         kept: &'static [&'static str],
     }
     let cases = [
         Case {
             note: "all are still listed",
-            before: &[("t1", 1, "serving"), ("t2", 2, "serving")],
+            previous: &[("t1", 1, "serving"), ("t2", 2, "serving")],
             listed: &[("t1", 1, "serving"), ("t2", 2, "serving")],
             kept: &[],
         },
         Case {
             note: "one is missing",
-            before: &[("t1", 1, "serving"), ("t2", 2, "serving")],
+            previous: &[("t1", 1, "serving"), ("t2", 2, "serving")],
             listed: &[("t2", 2, "serving")],
             kept: &["t1"],
         },
         Case {
             note: "a missing one was leaving",
-            before: &[("t1", 1, "leaving"), ("t2", 2, "serving")],
+            previous: &[("t1", 1, "leaving"), ("t2", 2, "serving")],
             listed: &[("t2", 2, "serving")],
             kept: &[],
         },
         Case {
             note: "the address of a missing one belongs to another",
-            before: &[("t1", 1, "serving")],
+            previous: &[("t1", 1, "serving")],
             listed: &[("t9", 1, "serving")],
             kept: &[],
         },
         Case {
             note: "one is listed as leaving",
-            before: &[("t1", 1, "serving")],
+            previous: &[("t1", 1, "serving")],
             listed: &[("t1", 1, "leaving")],
             kept: &[],
         },
         Case {
             note: "nothing is listed",
-            before: &[("t1", 1, "serving"), ("t2", 2, "serving")],
+            previous: &[("t1", 1, "serving"), ("t2", 2, "serving")],
             listed: &[],
             kept: &["t1", "t2"],
         },
     ];
-    for Case { note, before, listed, kept } in cases {
+    for Case { note, previous, listed, kept } in cases {
         let listed = if listed.is_empty() { Discovery::default() } else { discovery(listed) };
-        let (joined, count) = listed.retaining_missing(&discovery(before));
+        let (joined, count) = listed.retaining_missing(&discovery(previous));
         assert_eq!(count, kept.len(), "{note}");
         let names: Vec<&str> = joined.targets[listed.targets.len()..]
             .iter()
@@ -73,7 +73,7 @@
     }
 }
 
-/// A line that may stand in a list, a good one or not.
+/// Returns one of several valid and invalid lines of a list.
 fn line(seed: u8) -> &'static str {
     let lines = [
         "- {service: s, name: a, address: '10.0.0.1:1', data_hall: h, state: serving}",
@@ -94,9 +94,10 @@
     lines[seed as usize % lines.len()]
 }
 
-/// Also of lists with mistakes: they are told with the same places.
+/// Lists with mistakes are included: both parsers must report the same mistakes at the same
+/// locations.
 #[test]
-fn lists_read_one_after_the_other_mean_the_same_as_each_read_alone() {
+fn successive_lists_are_read_as_if_each_was_parsed_separately() {
     fn property(lists: Vec<Vec<u8>>) -> bool {
         let mut reader = DiscoveryReader::default();
         lists.into_iter().all(|seeds| {
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn a_list_that_was_refused_leaves_nothing_behind() {
+fn a_rejected_list_does_not_affect_later_lists() {
     let good = format!("{}\n{}\n", line(0), line(1));
     let changed = format!("{}\n{}\n{}\n", line(0), line(2), line(3));
     let bad = format!("{}\n{}\n", line(0), line(4));
@@ -119,8 +120,8 @@
     }
 }
 
-/// After an outage of the source the list is compared with the one before: of both, each item is
-/// looked at once.
+/// After an outage of the source, the new list is compared with the previous one. The comparison
+/// must look at each entry only once; a quadratic comparison exceeds the time limit for long lists.
 #[test]
 fn a_long_list_is_compared_with_the_one_before_in_time() {
     const TARGETS: usize = 20_000;
@@ -136,11 +137,11 @@
         let text: String = (from..from + TARGETS).map(line).collect();
         thymeshift_config::DiscoveryReader::default().parse(&text).expect("a list")
     };
-    let (before, after) = (list(0), list(10));
-    let begun = std::time::Instant::now();
-    let (kept, count) = after.retaining_missing(&before);
-    let taken = begun.elapsed();
-    assert!(taken < LIMIT, "{taken:?}");
+    let (previous, after) = (list(0), list(10));
+    let started_at = std::time::Instant::now();
+    let (kept, count) = after.retaining_missing(&previous);
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < LIMIT, "{elapsed:?}");
     assert_eq!(count, 10);
     assert_eq!(kept.targets.len(), TARGETS + 10);
 }
