--- a/crates/thymeshift_config/tests/examples.rs
+++ b/crates/thymeshift_config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The worked examples are good as they stand.
+//! Tests that the example settings and configurations are valid without changes.
 
 use thymeshift_config::Configuration;
 use thymeshift_config::Settings;
@@ -26,7 +26,7 @@
 ];
 
 #[test]
-fn examples_are_good_and_have_the_sizes_of_the_deployments() {
+fn examples_are_valid_and_have_the_sizes_of_the_deployments() {
     for example in EXAMPLES {
         let name = example.name;
         Settings::parse(example.settings).unwrap_or_else(|mistakes| panic!("{name}: {mistakes}"));
