--- a/crates/thymeshift_config/tests/mistakes.rs
+++ b/crates/thymeshift_config/tests/mistakes.rs
@@ -1,5 +1,5 @@
-//! Bad settings and configurations: each mistake is reported with its place, what was
-//! found and what was expected, and all of a text at once.
+//! Tests of invalid settings and configurations: each mistake is reported with its location, the
+//! value found and the value expected, and all mistakes of a text are reported at once.
 
 use thymeshift_config::Configuration;
 use thymeshift_config::Settings;
@@ -31,7 +31,7 @@
     repeat: safe
 ";
 
-/// One change of a good text and the mistake it makes.
+/// Change to a valid text and the mistake that it must cause.
 struct Case {
     name: &'static str,
     replace: &'static str,
@@ -39,12 +39,12 @@
     mistake: &'static str,
 }
 
-fn check(cases: &[Case], good: &str, parse: fn(&str) -> Result<(), String>) {
-    assert_eq!(parse(good), Ok(()), "the good text");
+fn check(cases: &[Case], valid: &str, parse: fn(&str) -> Result<(), String>) {
+    assert_eq!(parse(valid), Ok(()), "the valid text");
     for case in cases {
-        assert!(good.contains(case.replace), "{}: nothing to replace", case.name);
-        let bad = good.replacen(case.replace, case.with, 1);
-        let mistakes = parse(&bad).expect_err(case.name);
+        assert!(valid.contains(case.replace), "{}: nothing to replace", case.name);
+        let invalid = valid.replacen(case.replace, case.with, 1);
+        let mistakes = parse(&invalid).expect_err(case.name);
         assert!(mistakes.contains(case.mistake), "{}: {mistakes}", case.name);
     }
 }
@@ -77,7 +77,7 @@
         mistake: "line 4, column 15: peer_address",
     },
     Case {
-        name: "name with a blank",
+        name: "name with a space",
         replace: "entry-01",
         with: "entry 01",
         mistake: "found 'entry 01', expected a name holds only a-z",
@@ -89,7 +89,7 @@
         mistake: "a name must not be empty",
     },
     Case {
-        name: "unknown word",
+        name: "unknown keyword",
         replace: "data_hall: a",
         with: "data_hall: a\nlog_level: loud",
         mistake: "found 'loud', expected one of: error, warn, info, debug",
@@ -272,11 +272,11 @@
 
 #[test]
 fn all_mistakes_are_reported_at_once() {
-    let bad = CONFIGURATION
+    let invalid = CONFIGURATION
         .replace("entry_vms_max: 4", "entry_vms_max: x")
         .replace("priority: 1", "priority: 0")
         .replace("data_hall: b", "data_hal: b");
-    let mistakes = Configuration::parse(&bad).expect_err("three mistakes");
+    let mistakes = Configuration::parse(&invalid).expect_err("three mistakes");
     let fields: Vec<&str> =
         mistakes.listed().iter().map(|mistake| mistake.field.as_str()).collect();
     let expected = [
