--- a/crates/thymeshift_config/src/tree/json_lines.rs
+++ b/crates/thymeshift_config/src/tree/json_lines.rs
@@ -77,7 +77,7 @@
     if !json.bytes().all(is_plain) || openings > OPENINGS_MAX {
         return None;
     }
-    let JsonValue(content) = serde_json::from_str(json).ok()?;
+    let Json(content) = serde_json::from_str(json).ok()?;
     Some(to_node(content, line_start(line)))
 }
 
@@ -85,11 +85,11 @@
 fn to_node(content: JsonContent, location: Location) -> Node {
     let content = match content {
         JsonContent::Scalar { text, is_quoted } => Content::Scalar { text, is_quoted },
-        JsonContent::List(items) => Content::List(
-            items.into_iter().map(|JsonValue(item)| to_node(item, location)).collect(),
-        ),
+        JsonContent::List(items) => {
+            Content::List(items.into_iter().map(|Json(item)| to_node(item, location)).collect())
+        }
         JsonContent::Map(entries) => {
-            let entry = |(key, JsonValue(value)): (String, JsonValue)| Entry {
+            let entry = |(key, Json(value)): (String, Json)| Entry {
                 key,
                 key_location: location,
                 value: to_node(value, location),
@@ -101,15 +101,15 @@
 }
 
 /// JSON value whose scalars are kept as text.
-struct JsonValue(JsonContent);
+struct Json(JsonContent);
 
 enum JsonContent {
     Scalar { text: String, is_quoted: bool },
-    List(Vec<JsonValue>),
-    Map(Vec<(String, JsonValue)>),
+    List(Vec<Json>),
+    Map(Vec<(String, Json)>),
 }
 
-impl<'de> Deserialize<'de> for JsonValue {
+impl<'de> Deserialize<'de> for Json {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         deserializer.deserialize_any(ValueVisitor).map(Self)
     }
@@ -162,8 +162,8 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<JsonContent, A::Error> {
-        let mut entries: Vec<(String, JsonValue)> = Vec::new();
-        while let Some((key, value)) = fields.next_entry::<String, JsonValue>()? {
+        let mut entries: Vec<(String, Json)> = Vec::new();
+        while let Some((key, value)) = fields.next_entry::<String, Json>()? {
             let is_repeated = entries.iter().any(|(known, _)| *known == key);
             if is_repeated || key.len() > KEY_BYTES_MAX {
                 return Err(A::Error::custom("unsupported form"));
