--- a/crates/thymeshift_config/tests/json_lines_reader.rs
+++ b/crates/thymeshift_config/tests/json_lines_reader.rs
@@ -42,7 +42,7 @@
     }
     let case = Case { note: "", replace: "", with: "", is_valid: false };
     let cases = [
-        Case { note: "unchanged", is_valid: true, ..case },
+        Case { note: "an unchanged text", is_valid: true, ..case },
         Case { note: "a fraction", replace: "820,\"cold", with: "820.0,\"cold", ..case },
         Case { note: "an exponent", replace: ":2.5", with: ":25e-1", is_valid: true },
         Case { note: "negative zero", replace: "136", with: "-0", ..case },
@@ -83,7 +83,7 @@
             ..case
         },
         Case {
-            note: "truncated",
+            note: "a text that is cut off",
             replace: "\"repeat\":\"unsafe\"}",
             with: "\"repeat\":\"uns",
             ..case
