--- a/crates/thymeshift_wire/tests/codec.rs
+++ b/crates/thymeshift_wire/tests/codec.rs
@@ -46,7 +46,7 @@
     let cases = [
         Case { note: "empty", frame: Vec::new(), expected: "unknown form" },
         Case { note: "unknown form", frame: vec![7, 1, 2], expected: "unknown form" },
-        Case { note: "truncated", frame: vec![0, 9, 65], expected: "not a message" },
+        Case { note: "cut", frame: vec![0, 9, 65], expected: "not a message" },
         Case { note: "not compressed", frame: vec![1, 255, 255, 255], expected: "decompressed" },
         Case {
             note: "decompressed message too long",
