--- a/crates/thymeshift_wire/src/control.rs
+++ b/crates/thymeshift_wire/src/control.rs
@@ -71,8 +71,8 @@
         order: Order,
         /// VMs that confirmed that they hold the order.
         confirmed: Vec<VmName>,
-        /// VMs believed to be alive that did not confirm the order. They receive it once they are
-        /// reachable.
+        /// VMs believed to be alive that did not confirm the order.
+        /// They receive it once they are reachable.
         unconfirmed: Vec<VmName>,
     },
     /// The subject of the order does not exist in the configuration in force.
--- a/crates/thymeshift_wire/src/counted.rs
+++ b/crates/thymeshift_wire/src/counted.rs
@@ -1,5 +1,5 @@
-//! Byte counters for the connections between entry processes, whose bandwidth has a documented
-//! limit.
+//! Byte counters for the connections between entry processes,
+//! whose bandwidth has a documented limit.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -1,8 +1,8 @@
-//! Datagrams between entry processes: heartbeats of source readers, target leases and quota
-//! requests.
+//! Datagrams between entry processes: heartbeats
+//! of source readers, target leases and quota requests.
 //!
-//! A datagram may be lost, delayed or duplicated. Each message is self-contained, and no invariant
-//! depends on the delivery of a datagram.
+//! A datagram may be lost, delayed or duplicated.
+//! Each message is self-contained, and no invariant depends on the delivery of a datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::VmName;
 
-/// Maximum size of a datagram, in bytes. It fits into one Ethernet frame (MTU 1500) without IP
-/// fragmentation.
+/// Maximum size of a datagram, in bytes.
+/// It fits into one Ethernet frame (MTU 1500) without IP fragmentation.
 pub const DATAGRAM_BYTES_MAX: usize = 1_400;
 
 /// Error of encoding a message or decoding a received datagram.
@@ -35,8 +35,8 @@
 #[display("datagram: {_0}")]
 pub struct DatagramError(postcard::Error);
 
-/// Identifier of a lease. The process that requests leases numbers them consecutively from its
-/// start.
+/// Identifier of a lease.
+/// The process that requests leases numbers them consecutively from its start.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -66,11 +66,11 @@
     Granted(LeaseNumber, LeaseGrant),
     /// Refuses a lease, with the reason and the time after which to retry.
     Refused(LeaseNumber, Reason, Duration),
-    /// Reports that the sender does not allocate the group because it is stopping or does not know
-    /// the service.
+    /// Reports that the sender does not allocate the group
+    /// because it is stopping or does not know the service.
     Declined(LeaseNumber),
-    /// Redirects the request to the allocator of another group with spare capacity, because the
-    /// requested group has none.
+    /// Redirects the request to the allocator of another group
+    /// with spare capacity, because the requested group has none.
     Redirected(LeaseNumber, Group, AllocatorAddress),
     /// Names a member that ranks before the sender as the allocator of the group.
     AskInstead(LeaseNumber, Member),
@@ -82,20 +82,20 @@
     News(Heads),
     /// Announces that the sender has started, begins to serve or is stopping.
     Phase(Member),
-    /// Reports a request under which a target crashed, or that a target answered a suspected
-    /// request.
+    /// Reports a request under which a target crashed,
+    /// or that a target answered a suspected request.
     Suspect(SuspectReport),
     /// Requests tokens of an organisation from the organisation's counter.
     QuotaAsk(QuotaAsk),
     /// Returns the tokens that the counter of an organisation grants.
     QuotaCounted(QuotaRequestNumber, QuotaGrant),
-    /// Reports that the sender is not the organisation's counter, because another process ranks
-    /// before it or because it is stopping.
+    /// Reports that the sender is not the organisation's counter,
+    /// because another process ranks before it or because it is stopping.
     QuotaElsewhere(QuotaRequestNumber),
 }
 
-/// Identifier of a quota request. The requesting process numbers its quota requests consecutively
-/// from its start.
+/// Identifier of a quota request.
+/// The requesting process numbers its quota requests consecutively from its start.
 #[derive(
     Debug,
     Clone,
@@ -121,8 +121,8 @@
     pub organisation: OrganisationName,
     /// Number of tokens requested.
     pub wanted: u32,
-    /// Number of requests of the organisation that arrived at the sender since its last quota
-    /// request.
+    /// Number of requests of the organisation that arrived
+    /// at the sender since its last quota request.
     pub arrived: u32,
 }
 
@@ -133,14 +133,14 @@
     pub tokens: u32,
     /// Time until tokens are available again if none was granted, in milliseconds.
     pub retry_after_ms: u32,
-    /// Share of the organisation's rate limit that the requesting process may admit without asking
-    /// the counter, in requests per second.
+    /// Share of the organisation's rate limit that the requesting process may admit
+    /// without asking the counter, in requests per second.
     pub own_rate_per_s: Option<f64>,
 }
 
-/// Result of a reader's last call to the configuration source. The reader sends it to the processes
-/// of its own data hall and to some processes of every other data hall, which relay it within their
-/// data hall.
+/// Result of a reader's last call to the configuration source.
+/// The reader sends it to the processes of its own data hall
+/// and to some processes of every other data hall, which relay it within their data hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceHeartbeat {
     /// VM of the process that called the source.
@@ -169,8 +169,8 @@
 pub struct Heads {
     /// Revision and digest of the configuration; `None` before the first one is adopted.
     pub configuration: Option<Head>,
-    /// Revision and digest of the list of discovered targets; `None` before the first one is
-    /// adopted.
+    /// Revision and digest of the list of discovered targets;
+    /// `None` before the first one is adopted.
     pub targets: Option<Head>,
 }
 
@@ -183,8 +183,8 @@
     pub group: Group,
     /// Allocator that sends the report.
     pub allocator: AllocatorAddress,
-    /// Number of further requests that the targets of the group would serve at nearly their usual
-    /// speed.
+    /// Number of further requests that the targets
+    /// of the group would serve at nearly their usual speed.
     pub room: u32,
 }
 
@@ -199,20 +199,20 @@
     pub group: Group,
     /// Whether the allocator may redirect the request to another group.
     pub may_redirect: bool,
-    /// Whether the sender ranks the receiver first and skipped no other allocator. Only then may
-    /// the receiver name an allocator that ranks before itself.
+    /// Whether the sender ranks the receiver first and skipped no other allocator.
+    /// Only then may the receiver name an allocator that ranks before itself.
     pub is_first_choice: bool,
     /// Data hall of the process that requests the lease.
     pub data_hall: DataHallName,
-    /// Priority of the request, derived from its organisation and kind; lower values are served
-    /// first.
+    /// Priority of the request, derived from its organisation
+    /// and kind; lower values are served first.
     pub priority: u8,
     /// Time left until the answer of the target must have begun.
     pub deadline: Duration,
     /// Maximum time to wait for a target.
     pub wait: Duration,
-    /// Time left until the latency objective of the request is missed; zero if it is missed
-    /// already.
+    /// Time left until the latency objective
+    /// of the request is missed; zero if it is missed already.
     pub objective: Duration,
     /// Maximum number of queued requests of the same priority.
     pub queue_max: u32,
--- a/crates/thymeshift_wire/src/dead_peer.rs
+++ b/crates/thymeshift_wire/src/dead_peer.rs
@@ -1,10 +1,10 @@
 //! TCP options that detect an unreachable peer.
 //!
-//! A VM that has lost power or network connectivity does not reset its connections: data sent to it
-//! is neither acknowledged nor refused, and an open connection looks healthy for minutes. HTTP
-//! cannot distinguish this from a target that works on a request for a long time. The kernel can:
-//! it sends keepalive probes on idle connections and closes connections whose data stays
-//! unacknowledged.
+//! A VM that has lost power or network connectivity does not reset its connections: data sent
+//! to it is neither acknowledged nor refused, and an open connection looks healthy for minutes.
+//! HTTP cannot distinguish this from a target that works on a request for a long time.
+//! The kernel can: it sends keepalive probes on idle connections
+//! and closes connections whose data stays unacknowledged.
 
 use std::io;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use rustix::net::sockopt::set_tcp_user_timeout;
 use tokio::net::TcpStream;
 
-/// Idle time before the first keepalive probe, and interval between two probes. The kernel accepts
-/// whole seconds only.
+/// Idle time before the first keepalive probe, and interval between two probes.
+/// The kernel accepts whole seconds only.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered keepalive probes after which the kernel closes the connection.
 pub const KEEPALIVE_PROBES_MAX: u32 = 2;
@@ -25,8 +25,8 @@
 /// of a lost packet, which the kernel sends 0.2, 0.6 and 1.4 s after the original.
 pub const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Makes the kernel close the connection when the peer becomes unreachable. Reads and writes then
-/// fail as they do after a connection reset.
+/// Makes the kernel close the connection when the peer becomes unreachable.
+/// Reads and writes then fail as they do after a connection reset.
 pub fn set_dead_peer_timeouts(stream: &TcpStream) -> io::Result<()> {
     set_socket_keepalive(stream, true)?;
     set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
--- a/crates/thymeshift_wire/src/dump.rs
+++ b/crates/thymeshift_wire/src/dump.rs
@@ -91,8 +91,8 @@
     pub tokens: u32,
     /// Requests of the organisation per second that arrive at this process.
     pub demand_per_s: f64,
-    /// Requests of the organisation per second at all processes; `None` unless this process is the
-    /// organisation's counter.
+    /// Requests of the organisation per second at all processes;
+    /// `None` unless this process is the organisation's counter.
     pub counted_per_s: Option<f64>,
 }
 
--- a/crates/thymeshift_wire/src/headers.rs
+++ b/crates/thymeshift_wire/src/headers.rs
@@ -10,8 +10,8 @@
 pub const ATTEMPTS_LEFT: HeaderName = HeaderName::from_static("thymeshift-attempts-left");
 /// Number of proxies that have already forwarded the call.
 pub const DEPTH: HeaderName = HeaderName::from_static("thymeshift-depth");
-/// Identifier of one attempt. A target may echo it; an answer with another value belongs to another
-/// attempt.
+/// Identifier of one attempt.
+/// A target may echo it; an answer with another value belongs to another attempt.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("thymeshift-attempt");
 /// Identifier of the request in logs; copied from the caller or generated if the caller sent none.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -25,13 +25,13 @@
 pub const STEP: HeaderName = HeaderName::from_static("thymeshift-step");
 /// Peer of the processing step at which a request failed.
 pub const PEER: HeaderName = HeaderName::from_static("thymeshift-peer");
-/// Time after which a refused request may be retried, in milliseconds. More precise than
-/// `Retry-After`, which counts whole seconds.
+/// Time after which a refused request may be retried, in milliseconds.
+/// More precise than `Retry-After`, which counts whole seconds.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("thymeshift-retry-after-ms");
 /// Load report of a target in the text format of the ORCA specification.
 pub const LOAD: HeaderName = HeaderName::from_static("endpoint-load-metrics");
-/// Rate limit that a target states in an answer: requests per second from all entry processes
-/// together.
+/// Rate limit that a target states in an answer:
+/// requests per second from all entry processes together.
 pub const RATE_LIMIT: HeaderName = HeaderName::from_static("thymeshift-rate-limit");
 /// Revision of the document in an answer of the platform.
 pub const REVISION: HeaderName = HeaderName::from_static("thymeshift-revision");
--- a/crates/thymeshift_wire/src/key_header.rs
+++ b/crates/thymeshift_wire/src/key_header.rs
@@ -8,8 +8,9 @@
 /// Authentication scheme of an `Authorization` header that carries a key, in lower case.
 const SCHEME: &str = "bearer";
 
-/// Removes the caller's key from a request and returns its digest. Also removes every header that a
-/// target could read as the organisation header, so that a caller cannot claim an organisation.
+/// Removes the caller's key from a request and returns its digest.
+/// Also removes every header that a target could read
+/// as the organisation header, so that a caller cannot claim an organisation.
 /// Returns `None` if the request carries no key or more than one `Authorization` header.
 pub fn take_bearer_key(map: &mut HeaderMap, organisation: &HeaderName) -> Option<KeyDigest> {
     remove_spellings(map, organisation);
@@ -31,8 +32,8 @@
     KeyDigest::of(key.trim().as_bytes())
 }
 
-/// Removes a header and its spellings with underscores. CGI-style programs map header names to
-/// variables and do not distinguish `a_b` from `a-b`.
+/// Removes a header and its spellings with underscores.
+/// CGI-style programs map header names to variables and do not distinguish `a_b` from `a-b`.
 fn remove_spellings(map: &mut HeaderMap, name: &HeaderName) {
     map.remove(name);
     let is_spelling = |found: &&HeaderName| found.as_str().replace('_', "-") == name.as_str();
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -3,11 +3,11 @@
 //! * [`headers`]: names of the HTTP headers that Thymeshift defines.
 //! * [`CallContext`]: deadline, remaining attempts and depth that are propagated with a call.
 //! * [`load_header`]: load reports in response headers.
-//! * [`Dialect`]: wire format of calls, attempts and answers; [`Native`] is the implementation for
-//!   Thymeshift's own headers.
-//! * [`PeerLink`] and [`Control`]: `tarpc` services; [`connect_peer`], [`connect_control`],
-//!   [`peer_channel`] and [`control_channel`] carry them over TCP with the `postcard` codec and a
-//!   size limit for every frame.
+//! * [`Dialect`]: wire format of calls, attempts and answers;
+//!   [`Native`] is the implementation for Thymeshift's own headers.
+//! * [`PeerLink`] and [`Control`]: `tarpc` services;
+//!   [`connect_peer`], [`connect_control`], [`peer_channel`] and [`control_channel`] carry them
+//!   over TCP with the `postcard` codec and a size limit for every frame.
 //! * [`StateDump`]: snapshot of the state of an entry process.
 
 mod answer_headers;
--- a/crates/thymeshift_wire/src/load_header.rs
+++ b/crates/thymeshift_wire/src/load_header.rs
@@ -1,10 +1,10 @@
-//! Load reports that targets attach to answers, in the text format of the ORCA specification: `TEXT
-//! named_metrics.running=2, named_metrics.queued=0`.
+//! Load reports that targets attach to answers, in the text format
+//! of the ORCA specification: `TEXT named_metrics.running=2, named_metrics.queued=0`.
 //!
-//! Fields: `running`, `queued`, `incarnation`, `draining` (0 or 1), `pace_percent` (current
-//! duration of work, in percent of the usual duration) and `cold_for_ms` (remaining time for which
-//! the target is cold, in milliseconds). A report without both `running` and `queued` is ignored,
-//! and so are unknown fields.
+//! Fields: `running`, `queued`, `incarnation`, `draining` (0 or 1),
+//! `pace_percent` (current duration of work, in percent of the usual duration)
+//! and `cold_for_ms` (remaining time for which the target is cold, in milliseconds).
+//! A report without both `running` and `queued` is ignored, and so are unknown fields.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -18,8 +18,8 @@
 const FORMAT: &str = "TEXT ";
 const NAMED: &str = "named_metrics.";
 
-/// Reads the load report of an answer. A malformed report counts as missing, because a target with
-/// a faulty report must not cost the caller its answer.
+/// Reads the load report of an answer. A malformed report counts as missing,
+/// because a target with a faulty report must not cost the caller its answer.
 pub fn read(map: &HeaderMap) -> Option<LoadReport> {
     let text = map.get(&headers::LOAD)?.to_str().ok()?;
     let fields = text.strip_prefix(FORMAT)?;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -114,8 +114,8 @@
         let is_own = name.as_str().starts_with(headers::OWN_PREFIX)
             || *name == headers::LOAD
             || *name == headers::REQUEST_ID;
-        // `Retry-After` is read from 503 answers. In other answers it is meant for the caller, but
-        // it is not an unknown header.
+        // `Retry-After` is read from 503 answers.
+        // In other answers it is meant for the caller, but it is not an unknown header.
         if is_own || *name == RETRY_AFTER { HeaderAudience::Proxy } else { standard_audience(name) }
     }
 
@@ -153,8 +153,8 @@
     }
 }
 
-/// Converts a name or address to a header value. Both are plain text; any other text is a bug in
-/// this process and becomes an empty value.
+/// Converts a name or address to a header value.
+/// Both are plain text; any other text is a bug in this process and becomes an empty value.
 fn text_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -27,12 +27,12 @@
     Targets,
 }
 
-/// Bounded summary of the state that a process knows. In an exchange, both processes send a summary
-/// and merge the one they receive.
+/// Bounded summary of the state that a process knows.
+/// In an exchange, both processes send a summary and merge the one they receive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Whether the sender has received little state since its start and asks for information about
-    /// many members.
+    /// Whether the sender has received little state since its start
+    /// and asks for information about many members.
     pub is_new: bool,
     /// Known members; the first one is the sender.
     pub members: Vec<GossipMember>,
--- a/crates/thymeshift_wire/src/rate_header.rs
+++ b/crates/thymeshift_wire/src/rate_header.rs
@@ -1,5 +1,5 @@
-//! Rate limits that targets state in answers: requests per second as a decimal number, such as
-//! `3.4`.
+//! Rate limits that targets state in answers:
+//! requests per second as a decimal number, such as `3.4`.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -10,8 +10,8 @@
 /// Maximum length of a header value that is parsed, in bytes.
 const VALUE_BYTES_MAX: usize = 32;
 
-/// Error of a rate limit that is not a number or is negative. It neither sets nor clears the limit
-/// of the target.
+/// Error of a rate limit that is not a number or is negative.
+/// It neither sets nor clears the limit of the target.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("header {name}: expected requests a second as one decimal number from 0 on")]
 pub struct RateLimitError {
--- a/crates/thymeshift_wire/src/transport.rs
+++ b/crates/thymeshift_wire/src/transport.rs
@@ -108,8 +108,8 @@
     Config { pending_response_buffer: CALLS_PER_CONNECTION_MAX }
 }
 
-/// Server side of a peer connection; serve it with an implementation of [`crate::PeerLink`]. The
-/// bytes transferred are added to `bytes`.
+/// Server side of a peer connection; serve it with an implementation of [`crate::PeerLink`].
+/// The bytes transferred are added to `bytes`.
 pub fn peer_channel(stream: TcpStream, bytes: &Arc<LinkBytes>) -> PeerChannel {
     let stream = ByteCountingStream::new(stream, bytes.clone());
     BaseChannel::new(server_config(), transport(stream))
--- a/crates/thymeshift_wire/tests/dead_peer.rs
+++ b/crates/thymeshift_wire/tests/dead_peer.rs
@@ -1,5 +1,5 @@
-//! Tests of the TCP options that detect an unreachable peer. Loopback connections cannot lose their
-//! peer silently, so the tests check the options and not their effect.
+//! Tests of the TCP options that detect an unreachable peer. Loopback connections
+//! cannot lose their peer silently, so the tests check the options and not their effect.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/thymeshift_wire/tests/headers.rs
+++ b/crates/thymeshift_wire/tests/headers.rs
@@ -1,5 +1,5 @@
-//! Tests of context and load headers: values are read back as written, and malformed values are
-//! refused or ignored.
+//! Tests of context and load headers: values are read back
+//! as written, and malformed values are refused or ignored.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::time::Duration;
