--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// Checks that no kind has the earliest rules as an earlier one, because no request would ever match
-/// the later kind.
+/// Checks that no kind has the earliest rules as an earlier one,
+/// because no request would ever match the later kind.
 fn check_reachable(configuration: &Configuration, checker: &mut Checker<'_>) {
     let mut earlier: HashMap<&KindMatch, &Kind> = HashMap::new();
     for (index, kind) in configuration.kinds.iter().enumerate() {
--- a/crates/thymeshift_config/src/configuration.rs
+++ b/crates/thymeshift_config/src/configuration.rs
@@ -25,9 +25,9 @@
 use crate::tree::Node;
 use crate::tree::json_lines;
 
-/// Share of the platform's retry limit that the processes use together, in tenths. The margin is
-/// needed because each process counts only its own requests and the counting windows of processes
-/// differ.
+/// Share of the platform's retry limit that the processes use together, in tenths.
+/// The margin is needed because each process counts only its own requests
+/// and the counting windows of processes differ.
 const RETRY_LIMIT_USED_TENTHS: u64 = 9;
 
 /// Maximum size of a published text, in bytes; the platform stores values of up to 1 MiB.
@@ -42,13 +42,13 @@
     pub entry_vms_max: u64,
     /// Names of all data halls.
     pub data_halls: Vec<DataHallName>,
-    /// Drained data halls, whose targets receive no new requests until the data hall is removed
-    /// from this list.
+    /// Drained data halls, whose targets receive no new requests
+    /// until the data hall is removed from this list.
     pub drained_halls: Vec<DataHallName>,
     /// One-way network latency between two data halls, in microseconds.
     pub data_hall_one_way_us: u64,
-    /// Additional response time that is accepted to avoid traffic between data halls, in
-    /// microseconds. Such traffic may be charged by volume.
+    /// Additional response time that is accepted to avoid traffic between data halls,
+    /// in microseconds. Such traffic may be charged by volume.
     pub data_hall_detour_us: u64,
     /// Limits for callers.
     pub limits: Limits,
@@ -68,8 +68,8 @@
             mistakes.add(check::text_too_long(text.len()));
             return Err(mistakes);
         }
-        // A text with a mistake is parsed again by the general reader, which knows the exact
-        // locations.
+        // A text with a mistake is parsed again
+        // by the general reader, which knows the exact locations.
         let fast_result = json_lines::parse(text).map(|node| Self::decode_and_check(&node));
         if let Some(Ok(configuration)) = fast_result {
             return Ok(configuration);
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Returns the configuration with the discovered targets and drained data halls added. Targets
-    /// of services that the configuration does not contain are ignored.
+    /// Returns the configuration with the discovered targets and drained data halls added.
+    /// Targets of services that the configuration does not contain are ignored.
     #[must_use]
     pub fn with_discovered(&self, discovery: &Discovery) -> Self {
         let mut joined = self.clone();
@@ -122,8 +122,8 @@
         self
     }
 
-    /// Sets the state of all targets for which `is_leaving` returns true to leaving, whatever state
-    /// the documents give.
+    /// Sets the state of all targets for which `is_leaving` returns true
+    /// to leaving, whatever state the documents give.
     pub fn mark_leaving(
         &mut self,
         is_leaving: impl Fn(&ServiceName, &TargetName, Incarnation) -> bool,
--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -1,7 +1,7 @@
 //! Conversion of a YAML tree to typed values that collects all mistakes.
 //!
-//! A decoder records a mistake and returns `None`. Its caller continues with the next field, so
-//! that one pass finds all mistakes.
+//! A decoder records a mistake and returns `None`.
+//! Its caller continues with the next field, so that one pass finds all mistakes.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Reads an optional field. The outer option is `None` if a mistake was recorded; the inner one
-    /// is `None` if the field is missing or empty.
+    /// Reads an optional field. The outer option is `None` if a mistake was recorded;
+    /// the inner one is `None` if the field is missing or empty.
     #[expect(clippy::option_option, reason = "the two options answer different questions")]
     pub(crate) fn optional<T: Decode>(&mut self, name: &'static str) -> Option<Option<T>> {
         match self.find_field(name) {
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Reads an optional decimal number within `range`, multiplies it by `parts` and rounds it to a
-    /// whole number; see [`Self::optional`] for the options.
+    /// Reads an optional decimal number within `range`, multiplies it by `parts`
+    /// and rounds it to a whole number; see [`Self::optional`] for the options.
     #[expect(clippy::option_option, reason = "the two options answer different questions")]
     pub(crate) fn optional_decimal(
         &mut self,
--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -1,12 +1,12 @@
-//! Discovered state that is published separately from the configuration: targets, and data halls
-//! that an operator has drained.
+//! Discovered state that is published separately from the configuration:
+//! targets, and data halls that an operator has drained.
 //!
-//! Both are entries of one list, so that every process receives their changes in the same order: a
-//! process never sees a target in a drained data hall without the drain.
+//! Both are entries of one list, so that every process receives their changes in the same order:
+//! a process never sees a target in a drained data hall without the drain.
 //!
-//! The list is composed of entries that the targets write themselves, and other writers may add
-//! entries too. Each entry is therefore accepted or skipped on its own: an invalid entry must not
-//! block later changes of the other entries.
+//! The list is composed of entries that the targets write themselves,
+//! and other writers may add entries too. Each entry is therefore accepted or skipped on its own:
+//! an invalid entry must not block later changes of the other entries.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -79,9 +79,9 @@
         Ok(items.into_iter().collect())
     }
 
-    /// Returns this list with the targets added that were serving in `previous` and are missing
-    /// here, and the number of targets added. A missing target is not added if its address is in
-    /// use again or if an entry with its name was skipped.
+    /// Returns this list with the targets added that were serving in `previous`
+    /// and are missing here, and the number of targets added. A missing target is not added
+    /// if its address is in use again or if an entry with its name was skipped.
     pub fn retaining_missing(&self, previous: &Self) -> (Self, usize) {
         let listed = self.targets.iter().map(|listed| listed.target.name.as_str());
         let left_out = self.left_out.iter().map(|left| left.name.as_str());
@@ -120,13 +120,13 @@
     text.chars().take(LEFT_OUT_CHARS_MAX).collect()
 }
 
-/// Parses successive revisions of the list. Few targets change between two revisions, and many
-/// processes of a large fleet parse a long list, so that lines which the previous revision already
-/// contained are not parsed again.
+/// Parses successive revisions of the list.
+/// Few targets change between two revisions, and many processes of a large fleet parse a long list,
+/// so that lines which the previous revision already contained are not parsed again.
 #[derive(Debug, Default)]
 pub struct DiscoveryReader {
-    /// Entries of the previous revision by their line; empty if the entries were not on one line
-    /// each.
+    /// Entries of the previous revision by their line;
+    /// empty if the entries were not on one line each.
     lines: HashMap<String, Item>,
 }
 
--- a/crates/thymeshift_config/src/kind.rs
+++ b/crates/thymeshift_config/src/kind.rs
@@ -13,12 +13,12 @@
 
 /// Upper bound of the weight of one part of a traffic split.
 const WEIGHT_MAX: u64 = 1_000_000;
-/// Divisor of the latency objective that gives the default maximum queue time. A request that is
-/// refused after this time leaves the caller's retry a chance to meet the objective.
+/// Divisor of the latency objective that gives the default maximum queue time. A request
+/// that is refused after this time leaves the caller's retry a chance to meet the objective.
 const OBJECTIVE_TO_WAIT_DIVISOR: u64 = 4;
 
-/// Divisor of the latency objective that gives the default hedging delay of safe requests. A hedge
-/// that starts after this time can still meet the objective.
+/// Divisor of the latency objective that gives the default hedging delay of safe requests.
+/// A hedge that starts after this time can still meet the objective.
 const OBJECTIVE_TO_HEDGE_DIVISOR: u64 = 2;
 
 /// Whether a request may be sent to a target more than once.
@@ -35,8 +35,8 @@
 
 decode_keyword!(Repeat { "safe" => Safe, "unsafe" => Unsafe });
 
-/// Properties of a request that rules match against. The method is compared as received; the host
-/// is in lower case and without port.
+/// Properties of a request that rules match against.
+/// The method is compared as received; the host is in lower case and without port.
 pub trait RequestHead {
     /// Returns the HTTP method.
     fn method(&self) -> &str;
@@ -100,8 +100,8 @@
     pub weight: u64,
 }
 
-/// Kind of request: the rules that match it, the services that serve it, and its queueing and retry
-/// policy.
+/// Kind of request: the rules that match it, the services
+/// that serve it, and its queueing and retry policy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Kind {
     /// Name of the kind, unique in the configuration.
@@ -109,28 +109,28 @@
     /// Rules that a request of this kind must satisfy.
     #[serde(rename = "match")]
     pub rules: KindMatch,
-    /// Service that serves the requests of this kind; with a traffic split, the service of the
-    /// first part.
+    /// Service that serves the requests of this kind;
+    /// with a traffic split, the service of the first part.
     pub service: ServiceName,
     /// Traffic split over several services by weight; empty if `service` serves all requests.
     pub split: Vec<SplitPart>,
     /// Priority among the kinds of a service; 1 is served first.
     pub priority: u64,
-    /// Maximum time from accepting a request to the head of its answer, in milliseconds. A caller
-    /// may request a shorter deadline.
+    /// Maximum time from accepting a request to the head of its answer, in milliseconds.
+    /// A caller may request a shorter deadline.
     pub deadline_ms: u64,
-    /// Latency objective, in milliseconds: an answer within this time has the full value for the
-    /// caller. 0 if the kind has no objective.
+    /// Latency objective, in milliseconds: an answer within this time has the full value
+    /// for the caller. 0 if the kind has no objective.
     pub objective_ms: u64,
-    /// Maximum time in the queue, in milliseconds. Defaults to a quarter of the objective, or to
-    /// the deadline if the kind has no objective.
+    /// Maximum time in the queue, in milliseconds.
+    /// Defaults to a quarter of the objective, or to the deadline if the kind has no objective.
     pub wait_max_ms: u64,
     /// Maximum number of queued requests of this kind at one VM.
     pub queue_max: u64,
     /// Maximum number of attempts, including the first.
     pub attempts_max: u64,
-    /// Delay after which a second attempt is started in parallel to the first, in milliseconds; 0
-    /// disables hedging. Defaults to half of the objective for a safe kind with an objective.
+    /// Delay after which a second attempt is started in parallel to the first, in milliseconds;
+    /// 0 disables hedging. Defaults to half of the objective for a safe kind with an objective.
     pub hedge_after_ms: u64,
     /// Whether a request of this kind may be run more than once.
     pub repeat: Repeat,
@@ -140,8 +140,8 @@
 }
 
 impl Kind {
-    /// Selects a service by weight. `draw` is a uniformly distributed random number over all of
-    /// `u64`.
+    /// Selects a service by weight.
+    /// `draw` is a uniformly distributed random number over all of `u64`.
     pub fn service_for(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.split.iter().map(|part| part.weight).sum();
         if total == 0 {
--- a/crates/thymeshift_config/src/lib.rs
+++ b/crates/thymeshift_config/src/lib.rs
@@ -1,12 +1,12 @@
 //! Typed settings and configuration. Every mistake in a text is reported with its location.
 //!
 //! * [`Settings`] belong to one VM and are read from a local YAML file.
-//! * [`Configuration`] belongs to the whole fleet and is published by the platform as YAML. JSON is
-//!   accepted too, because it is a subset of YAML.
+//! * [`Configuration`] belongs to the whole fleet and is published by the platform as YAML.
+//!   JSON is accepted too, because it is a subset of YAML.
 //!
-//! Both parsers reject unknown fields and report all mistakes of a text at once, each with its
-//! line, column, field, the value found and the value expected. The result depends only on the
-//! bytes of the text, so that every VM accepts or rejects the same revision.
+//! Both parsers reject unknown fields and report all mistakes of a text at once, each
+//! with its line, column, field, the value found and the value expected. The result depends only
+//! on the bytes of the text, so that every VM accepts or rejects the same revision.
 
 mod check;
 mod configuration;
--- a/crates/thymeshift_config/src/organisation.rs
+++ b/crates/thymeshift_config/src/organisation.rs
@@ -22,8 +22,8 @@
     pub name: OrganisationName,
     /// Digests of the organisation's API keys.
     pub key_digests: Vec<KeyDigest>,
-    /// Rank among organisations; 1 is served first. It takes precedence over the priority of a
-    /// request's kind.
+    /// Rank among organisations; 1 is served first.
+    /// It takes precedence over the priority of a request's kind.
     pub rank: u64,
     /// Rate limit over all VMs together, in requests per second; `None` if unlimited.
     pub rate_per_s: Option<RequestRate>,
--- a/crates/thymeshift_config/src/service.rs
+++ b/crates/thymeshift_config/src/service.rs
@@ -17,8 +17,8 @@
 use crate::decode::decode_keyword;
 use crate::tree::Node;
 
-/// One second in microseconds. Upper bound of measuring budgets and probe costs, because a target
-/// slot provides no more time per second.
+/// One second in microseconds. Upper bound of measuring budgets and probe costs,
+/// because a target slot provides no more time per second.
 const SECOND_US: u64 = 1_000_000;
 
 /// Upper bound of the time for which a target may be listed as cold, in milliseconds.
@@ -42,12 +42,12 @@
     /// Chooses the better of two random targets by the requests in flight from this VM.
     #[display("two_choices")]
     TwoChoices,
-    /// Chooses the better of two random targets by observed latency and the requests in flight from
-    /// this VM.
+    /// Chooses the better of two random targets by observed
+    /// latency and the requests in flight from this VM.
     #[display("latency_two_choices")]
     LatencyTwoChoices,
-    /// Chooses the target with the lowest expected response time, estimated from load reports and
-    /// their age, requests in flight from this VM, observed latency and network distance.
+    /// Chooses the target with the lowest expected response time, estimated from load reports
+    /// and their age, requests in flight from this VM, observed latency and network distance.
     #[display("expected_time")]
     ExpectedTime,
 }
@@ -88,8 +88,8 @@
     pub incarnation: Incarnation,
     /// Whether the target may receive new requests.
     pub state: TargetState,
-    /// Time after being listed during which the target works more slowly than usual, in
-    /// milliseconds; `None` if the list does not state it.
+    /// Time after being listed during which the target works more slowly than usual,
+    /// in milliseconds; `None` if the list does not state it.
     pub cold_for_ms: Option<u64>,
 }
 
@@ -162,24 +162,24 @@
     pub idle_connection_ms: u64,
     /// Whether an answer by which a target sheds a request proves that the request did not run.
     pub shed_means_not_run: bool,
-    /// Maximum backoff that a target can request, in milliseconds. It keeps a target that requests
-    /// an unlimited backoff from being lost forever.
+    /// Maximum backoff that a target can request, in milliseconds.
+    /// It keeps a target that requests an unlimited backoff from being lost forever.
     pub backoff_max_ms: u64,
-    /// Target time that all VMs together may spend on measuring one target, in microseconds per
-    /// second. 0 disables probes.
+    /// Target time that all VMs together may spend on measuring one target,
+    /// in microseconds per second. 0 disables probes.
     pub measuring_budget_us_per_s: u64,
     /// Probe configuration; without it, no probes are sent.
     pub probe: Option<Probe>,
     /// Ejection policy for failing targets.
     pub ejection: Ejection,
-    /// Time over which the traffic to a new target is increased to its full share (slow start), in
-    /// milliseconds.
+    /// Time over which the traffic to a new target is increased
+    /// to its full share (slow start), in milliseconds.
     pub cold_start_ramp_ms: u64,
-    /// Maximum rate of requests to a cold target from all VMs together, in requests per second;
-    /// `None` if unlimited.
+    /// Maximum rate of requests to a cold target from all VMs together,
+    /// in requests per second; `None` if unlimited.
     pub cold_requests_per_s: Option<RequestRate>,
-    /// Maximum rate of requests to a cold target in any second, from all VMs together. Derived from
-    /// `cold_requests_per_s` and the settings by [`crate::Configuration::capped`].
+    /// Maximum rate of requests to a cold target in any second, from all VMs together.
+    /// Derived from `cold_requests_per_s` and the settings by [`crate::Configuration::capped`].
     #[serde(skip)]
     pub cold_bound_per_s: RequestRate,
     /// Budget for retries and hedges, in percent of requests.
--- a/crates/thymeshift_config/src/settings.rs
+++ b/crates/thymeshift_config/src/settings.rs
@@ -19,9 +19,9 @@
 const STOP_MS_MAX: u64 = 3_600_000;
 /// Upper bound of the grace period before the platform kills a stopping process, in seconds.
 const STOP_GRACE_S_MAX: f64 = 3_600.0;
-/// Time between the end of the wait for requests in flight and the time at which the platform kills
-/// the process, in milliseconds. The process uses it to notify its peers; the margin also allows
-/// for a slow VM.
+/// Time between the end of the wait for requests in flight
+/// and the time at which the platform kills the process, in milliseconds.
+/// The process uses it to notify its peers; the margin also allows for a slow VM.
 const STOP_MARGIN_MS: u64 = 700;
 /// Upper bound of the configured probe rate, in probes per second and target.
 const PROBES_PER_S_MAX: u64 = 10_000;
@@ -71,14 +71,14 @@
     pub platform_address: SocketAddr,
     /// Peer addresses of other entry processes, in addition to those in the platform's VM list.
     pub peers: Vec<SocketAddr>,
-    /// Listen address for datagrams of other entry processes. Without it, the process sends no
-    /// datagrams and makes all decisions on its own.
+    /// Listen address for datagrams of other entry processes.
+    /// Without it, the process sends no datagrams and makes all decisions on its own.
     pub datagram_address: Option<SocketAddr>,
     /// Whether the whole fleet starts for the first time. In that case no callers are served yet,
     /// and most processes can wait for the processes that read the platform.
     pub is_first_start: bool,
-    /// Number of CPUs that this VM may use. Work for the whole fleet is assigned to VMs with a
-    /// higher value.
+    /// Number of CPUs that this VM may use.
+    /// Work for the whole fleet is assigned to VMs with a higher value.
     pub processor_share: Capacity,
     /// Number of worker threads; 0 uses one per CPU.
     pub worker_threads: u64,
@@ -90,18 +90,18 @@
     /// Time between the platform's stop signal and its kill, in milliseconds. The wait for requests
     /// in flight ends before the kill. `None` if the platform never kills a stopping process.
     pub stop_grace_ms: Option<u64>,
-    /// Upper limit of the platform for retries, in percent of requests. It overrides the
-    /// configuration.
+    /// Upper limit of the platform for retries, in percent of requests.
+    /// It overrides the configuration.
     pub retry_percent_max: u64,
-    /// Upper limit of the platform for probes, per second and target. It overrides the
-    /// configuration.
+    /// Upper limit of the platform for probes, per second and target.
+    /// It overrides the configuration.
     pub probes_per_target_s_max: u64,
     /// Factor by which the requests to a cold target may exceed the target's cold rate, in percent.
-    /// In any second, the platform tolerates the cold rate times this factor, plus
-    /// [`Settings::cold_slack_requests`].
+    /// In any second, the platform tolerates the cold rate
+    /// times this factor, plus [`Settings::cold_slack_requests`].
     pub cold_overshoot_percent: u64,
-    /// Number of requests per second that the platform tolerates above the limit from
-    /// [`Settings::cold_overshoot_percent`].
+    /// Number of requests per second that the platform tolerates
+    /// above the limit from [`Settings::cold_overshoot_percent`].
     pub cold_slack_requests: u64,
     /// Minimum severity of logged events.
     pub log_level: LogLevel,
@@ -113,8 +113,8 @@
         parse(text, "")
     }
 
-    /// Returns how long a stopping process waits for requests in flight after it has stopped
-    /// accepting callers.
+    /// Returns how long a stopping process waits for requests
+    /// in flight after it has stopped accepting callers.
     pub fn stop_wait(&self) -> Duration {
         let wait_before_kill_ms = self.stop_grace_ms.map(|grace_ms| {
             grace_ms.saturating_sub(self.stop_readiness_lag_ms).saturating_sub(STOP_MARGIN_MS)
--- a/crates/thymeshift_config/src/tree.rs
+++ b/crates/thymeshift_config/src/tree.rs
@@ -1,8 +1,8 @@
 //! YAML text parsed into a tree whose nodes know their location.
 //!
 //! Aliases and tags are rejected, so that the size of the tree is bounded by the size of the text
-//! and every reader interprets the text in the same way. A repeated key is a mistake; the last
-//! value does not silently take precedence.
+//! and every reader interprets the text in the same way.
+//! A repeated key is a mistake; the last value does not silently take precedence.
 
 pub(crate) mod json_lines;
 
--- a/crates/thymeshift_config/tests/discovery.rs
+++ b/crates/thymeshift_config/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Tests of the list of discovered targets: parsing of successive revisions, and retention of
-//! targets that are missing after an outage of the source.
+//! Tests of the list of discovered targets: parsing of successive revisions,
+//! and retention of targets that are missing after an outage of the source.
 
 use quickcheck::QuickCheck;
 use thymeshift_config::Discovery;
@@ -94,8 +94,8 @@
     lines[seed as usize % lines.len()]
 }
 
-/// Lists with mistakes are included: both parsers must report the same mistakes at the same
-/// locations.
+/// Lists with mistakes are included: both parsers must
+/// report the same mistakes at the same locations.
 #[test]
 fn successive_lists_are_read_as_if_each_was_parsed_separately() {
     fn property(lists: Vec<Vec<u8>>) -> bool {
--- a/crates/thymeshift_config/tests/json_lines_reader.rs
+++ b/crates/thymeshift_config/tests/json_lines_reader.rs
@@ -1,5 +1,5 @@
-//! Tests that the fast reader for the restricted YAML form gives the same results as the general
-//! YAML reader.
+//! Tests that the fast reader for the restricted YAML
+//! form gives the same results as the general YAML reader.
 
 use std::fmt::Write;
 
@@ -22,8 +22,8 @@
 - {"name":"r-2","match":{"host":"b.example","path_prefix":"/w/"},"split":[{"service":"one","weight":90},{"service":"two","weight":10}],"priority":1,"deadline_ms":2000,"objective_ms":400,"repeat":"unsafe"}
 "#;
 
-/// Parses a text with the general reader: the fast reader does not support the comment that is
-/// appended.
+/// Parses a text with the general reader:
+/// the fast reader does not support the comment that is appended.
 fn parse_with_general_reader(text: &str) -> Result<Configuration, String> {
     Configuration::parse(&format!("{text}\n# general\n")).map_err(|mistakes| mistakes.to_string())
 }
--- a/crates/thymeshift_config/tests/mistakes.rs
+++ b/crates/thymeshift_config/tests/mistakes.rs
@@ -1,5 +1,5 @@
-//! Tests of invalid settings and configurations: each mistake is reported with its location, the
-//! value found and the value expected, and all mistakes of a text are reported at once.
+//! Tests of invalid settings and configurations: each mistake is reported with its location,
+//! the value found and the value expected, and all mistakes of a text are reported at once.
 
 use thymeshift_config::Configuration;
 use thymeshift_config::Settings;
