--- a/crates/thymeshift_telemetry/src/logging.rs
+++ b/crates/thymeshift_telemetry/src/logging.rs
@@ -19,8 +19,8 @@
 #[display("starting the log: {_0}")]
 pub struct StartError(spdlog::Error);
 
-/// Installs a logger that writes events of `level` and above to standard output. Writing never
-/// blocks on the reader of the output.
+/// Installs a logger that writes events of `level` and above to standard output.
+/// Writing never blocks on the reader of the output.
 pub fn start_logging(level: LogLevel) -> Result<(), StartError> {
     let sink = StdStreamSink::builder().stdout().formatter(KeyValueFormatter).build()?;
     let filter = LevelFilter::MoreSevereEqual(match level {
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -1,5 +1,5 @@
-//! Names of all metrics, with their labels and meaning. `docs/OPERATIONS.md` lists the same
-//! metrics.
+//! Names of all metrics, with their labels and meaning.
+//! `docs/OPERATIONS.md` lists the same metrics.
 
 use metrics_exporter_prometheus::PrometheusBuilder;
 use metrics_exporter_prometheus::PrometheusHandle;
@@ -34,8 +34,8 @@
 pub const OVER_QUOTA: &str = "thymeshift_over_quota_total";
 /// Requests refused because they carried no known key.
 pub const UNKNOWN_KEYS: &str = "thymeshift_unknown_keys_total";
-/// Pipelined requests: requests that were started while an earlier one on the same connection was
-/// in flight.
+/// Pipelined requests: requests that were started
+/// while an earlier one on the same connection was in flight.
 pub const PIPELINED_REQUESTS: &str = "thymeshift_requests_ahead_total";
 /// Probes sent to targets, by `service`.
 pub const PROBES: &str = "thymeshift_probes_total";
@@ -53,18 +53,18 @@
 pub const PLATFORM_CALLS: &str = "thymeshift_platform_calls_total";
 /// Datagrams to other processes, by `result` (`sent`, `dropped`).
 pub const DATAGRAMS: &str = "thymeshift_datagrams_total";
-/// Grants that were returned unused because the allocator did not know the rate limit of the
-/// target.
+/// Grants that were returned unused because the allocator
+/// did not know the rate limit of the target.
 pub const UNCOUNTED_GRANTS: &str = "thymeshift_uncounted_grants_total";
 /// Targets obtained for requests, by `by` (`allocator`, `here`, `alone`, `fallback`).
 pub const TARGETS_OBTAINED: &str = "thymeshift_targets_obtained_total";
 /// State exchanges with peers, by `result` (`answered`, `failed`).
 pub const PEER_EXCHANGES: &str = "thymeshift_peer_exchanges_total";
-/// Bytes transferred over peer connections since the process started, by `way` (`received`,
-/// `sent`).
+/// Bytes transferred over peer connections since
+/// the process started, by `way` (`received`, `sent`).
 pub const PEER_BYTES: &str = "thymeshift_peer_bytes";
-/// Maximum delay of a tick in the last second, in seconds: how long the threads of the process were
-/// busy or not scheduled.
+/// Maximum delay of a tick in the last second, in seconds:
+/// how long the threads of the process were busy or not scheduled.
 pub const TICK_LATE_SECONDS: &str = "thymeshift_tick_late_seconds";
 /// Detected pauses of this process.
 pub const PAUSES: &str = "thymeshift_pauses_total";
@@ -83,15 +83,15 @@
         self.0.render()
     }
 
-    /// Merges recorded samples into the summaries. Call it every few seconds to bound memory while
-    /// no client scrapes the metrics.
+    /// Merges recorded samples into the summaries.
+    /// Call it every few seconds to bound memory while no client scrapes the metrics.
     pub fn run_upkeep(&self) {
         self.0.run_upkeep();
     }
 }
 
-/// Installs the metrics recorder of the process. If the process already has a recorder, the
-/// returned text stays empty.
+/// Installs the metrics recorder of the process.
+/// If the process already has a recorder, the returned text stays empty.
 pub fn start_metrics() -> MetricsText {
     let recorder = PrometheusBuilder::new().build_recorder();
     let text = MetricsText(recorder.handle());
--- a/crates/thymeshift_telemetry/src/non_blocking_sink.rs
+++ b/crates/thymeshift_telemetry/src/non_blocking_sink.rs
@@ -1,10 +1,10 @@
 //! Log sink for standard output that never blocks on the reader of the output.
 //!
-//! Before a line is written, the sink polls whether standard output is writable. If it is not, the
-//! line is dropped and counted.
+//! Before a line is written, the sink polls whether standard output is writable.
+//! If it is not, the line is dropped and counted.
 //!
-//! A program that reads the log through a pipe may stop reading. A line is shorter than the free
-//! space of a pipe that polls as writable, so that writing the line does not block.
+//! A program that reads the log through a pipe may stop reading. A line is shorter
+//! than the free space of a pipe that polls as writable, so that writing the line does not block.
 
 use std::io::stdout;
 use std::sync::atomic::AtomicU64;
@@ -23,12 +23,12 @@
 use spdlog::sink::SinkPropAccess;
 use spdlog::sink::StdStreamSink;
 
-/// Number of lines dropped since the last call of [`take_dropped_lines`]. One counter per process,
-/// because a process has one standard output.
+/// Number of lines dropped since the last call of [`take_dropped_lines`].
+/// One counter per process, because a process has one standard output.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the number of lines dropped since the last call because standard output was not
-/// writable, and resets it.
+/// Returns the number of lines dropped since the last call
+/// because standard output was not writable, and resets it.
 pub fn take_dropped_lines() -> u64 {
     DROPPED_LINES.swap(0, Ordering::Relaxed)
 }
@@ -76,8 +76,8 @@
     }
 }
 
-/// Returns whether standard output is writable now. If polling fails, the sink writes the line and
-/// reports any error from the write.
+/// Returns whether standard output is writable now.
+/// If polling fails, the sink writes the line and reports any error from the write.
 fn is_writable() -> bool {
     let stream = stdout();
     let mut poll_fds = [PollFd::new(&stream, PollFlags::OUT)];
