--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -25,7 +25,7 @@
 pub(crate) use operators::run_operators;
 pub(crate) use peer_link::Links;
 pub(crate) use peer_link::run_peer_link;
-pub(crate) use peer_link::say_goodbye;
+pub(crate) use peer_link::announce_shutdown;
 pub(crate) use peer_server::run_peer_server;
 pub(crate) use platform::run_platform;
 pub(crate) use relay::tell_below;
--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -169,7 +169,7 @@
 }
 
 /// Tells a few peers that this process is stopping.
-pub(crate) async fn say_goodbye(shared: &Arc<Shared>) {
+pub(crate) async fn announce_shutdown(shared: &Arc<Shared>) {
     exchange_with(shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
 }
 
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -44,7 +44,7 @@
 use crate::control_plane::run_rooms;
 use crate::control_plane::run_source;
 use crate::control_plane::run_ticker;
-use crate::control_plane::say_goodbye;
+use crate::control_plane::announce_shutdown;
 use crate::environment::Environment;
 use crate::environment::SharedSource;
 use crate::environment::Source;
@@ -207,7 +207,7 @@
     closing.send_replace(true);
     let is_drained = timeout(bound, drained(shared)).await.is_ok();
     // The others find out anyway; the bound set by the operator does not wait for them.
-    let _ = timeout(GOODBYE_LIMIT, say_goodbye(shared)).await;
+    let _ = timeout(GOODBYE_LIMIT, announce_shutdown(shared)).await;
     if is_drained {
         info!("stopped");
         return Exit::Stopped;
