--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) use peer_link::announce_shutdown;
 pub(crate) use peer_server::run_peer_server;
 pub(crate) use platform::run_platform;
-pub(crate) use relay::tell_below;
+pub(crate) use relay::notify_relay_children;
 pub(crate) use rooms::run_rooms;
 pub(crate) use source::run_source;
 pub(crate) use suspects::note_answered;
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -28,7 +28,7 @@
 const PATIENCE_SPREAD: f64 = 0.5;
 
 /// Tells the processes below this one what is in force here.
-pub(crate) fn tell_below(shared: &Shared) {
+pub(crate) fn notify_relay_children(shared: &Shared) {
     let (heads, addresses) = {
         let fleet = shared.fleet.lock();
         let below = place(&fleet).children;
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -24,7 +24,7 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 
-use crate::control_plane::tell_below;
+use crate::control_plane::notify_relay_children;
 use crate::fleet::Fleet;
 use crate::routing::Routing;
 use crate::service::ServiceRuntime;
@@ -90,7 +90,7 @@
     /// process has no datagram socket.
     fn announce_document(&self) {
         if self.allocation.socket().is_some() {
-            tell_below(self);
+            notify_relay_children(self);
         } else {
             self.peer_exchange_due.notify_one();
         }
