--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) use peer_server::run_peer_server;
 pub(crate) use platform::run_platform;
 pub(crate) use relay::notify_relay_children;
-pub(crate) use rooms::run_rooms;
+pub(crate) use rooms::run_spare_capacity_reports;
 pub(crate) use source::run_source;
 pub(crate) use suspects::note_answered;
 pub(crate) use suspects::note_crash;
--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -26,7 +26,7 @@
 const TELL_EVERY: Duration = Duration::from_millis(250);
 
 /// Tells for ever.
-pub(crate) async fn run_rooms(shared: Arc<Shared>) -> Result<(), TaskError> {
+pub(crate) async fn run_spare_capacity_reports(shared: Arc<Shared>) -> Result<(), TaskError> {
     loop {
         sleep(TELL_EVERY).await;
         let Some(routing) = shared.routing() else {
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -41,7 +41,7 @@
 use crate::control_plane::run_peer_link;
 use crate::control_plane::run_peer_server;
 use crate::control_plane::run_platform;
-use crate::control_plane::run_rooms;
+use crate::control_plane::run_spare_capacity_reports;
 use crate::control_plane::run_source;
 use crate::control_plane::run_ticker;
 use crate::control_plane::announce_shutdown;
@@ -267,7 +267,7 @@
     let control = Supervisor::new("control", statuses.clone())
         .with_task(reader)
         .with_task(with_shared("datagrams", shared, run_datagrams))
-        .with_task(with_shared("rooms", shared, run_rooms))
+        .with_task(with_shared("rooms", shared, run_spare_capacity_reports))
         .with_task(with_shared("reload", shared, run_reload))
         .with_task(with_shared("peer_link", shared, run_peer_link))
         .with_task(with_listener("peer_server", shared, &listeners.peer, run_peer_server))
