--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -17,7 +17,7 @@
 use crate::allocation_client::AcquireReply;
 use crate::allocation_client::LeaseHolder;
 use crate::control_plane::relay::take_news;
-use crate::control_plane::rooms::take_room;
+use crate::control_plane::spare_capacity::take_room;
 use crate::control_plane::source::take_heartbeat;
 use crate::control_plane::suspects::take_suspect;
 use crate::organisations::QuotaReply;
