--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -17,7 +17,7 @@
 use crate::allocation_client::AcquireReply;
 use crate::allocation_client::LeaseHolder;
 use crate::control_plane::relay::take_news;
-use crate::control_plane::spare_capacity::take_room;
+use crate::control_plane::spare_capacity::receive_spare_capacity;
 use crate::control_plane::source::take_heartbeat;
 use crate::control_plane::suspects::take_suspect;
 use crate::organisations::QuotaReply;
@@ -76,7 +76,7 @@
         Message::QuotaElsewhere(number) => {
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
-        Message::Room(told) => take_room(shared, &sender, &told),
+        Message::Room(told) => receive_spare_capacity(shared, &sender, &told),
         Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
         Message::Granted(number, granted) => client.deliver(number, AcquireReply::Granted(granted)),
         Message::Declined(number) => client.deliver(number, AcquireReply::Declined),
--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -76,7 +76,7 @@
 
 /// Another group told its room. A process that allocates none of the service's groups passes it on
 /// to who does in its own data hall.
-pub(crate) fn take_room(shared: &Shared, sender: &VmName, told: &GroupRoom) {
+pub(crate) fn receive_spare_capacity(shared: &Shared, sender: &VmName, told: &GroupRoom) {
     let routing = shared.routing();
     let Some(service) = routing.as_ref().and_then(|all| all.service(told.service.as_str())) else {
         return;
