--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -18,7 +18,7 @@
 use crate::allocation_client::LeaseHolder;
 use crate::control_plane::relay::take_news;
 use crate::control_plane::spare_capacity::receive_spare_capacity;
-use crate::control_plane::source::take_heartbeat;
+use crate::control_plane::source::receive_heartbeat;
 use crate::control_plane::suspects::take_suspect;
 use crate::organisations::QuotaReply;
 use crate::service::ServiceRuntime;
@@ -47,7 +47,7 @@
     let client = &shared.allocation;
     shared.fleet.lock().members.record_message(&sender, boot, BootClock.now());
     match message {
-        Message::SourceHeartbeat(heartbeat) => take_heartbeat(shared, &heartbeat),
+        Message::SourceHeartbeat(heartbeat) => receive_heartbeat(shared, &heartbeat),
         Message::Phase(member) => {
             shared.fleet.lock().members.record_announcement(&member, BootClock.now());
         }
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -155,7 +155,7 @@
 }
 
 /// A reader's news arrived. What comes from another data hall is passed on in the own one.
-pub(crate) fn take_heartbeat(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
+pub(crate) fn receive_heartbeat(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
     let now = BootClock.now();
     let passed_on = {
         let mut fleet = shared.fleet.lock();
