--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -16,7 +16,7 @@
 
 use crate::allocation_client::AcquireReply;
 use crate::allocation_client::LeaseHolder;
-use crate::control_plane::relay::take_news;
+use crate::control_plane::relay::receive_relayed_heads;
 use crate::control_plane::spare_capacity::receive_spare_capacity;
 use crate::control_plane::source::receive_heartbeat;
 use crate::control_plane::suspects::take_suspect;
@@ -51,7 +51,7 @@
         Message::Phase(member) => {
             shared.fleet.lock().members.record_announcement(&member, BootClock.now());
         }
-        Message::News(heads) => take_news(shared, &sender, heads),
+        Message::News(heads) => receive_relayed_heads(shared, &sender, heads),
         Message::Suspect(told) => take_suspect(shared, &sender, &told),
         Message::Acquire(acquire) => {
             let holder = LeaseHolder { vm: sender, boot, address: Some(from) };
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -47,7 +47,7 @@
 }
 
 /// The process above this one has taken in documents.
-pub(crate) fn take_news(shared: &Arc<Shared>, sender: &VmName, theirs: Heads) {
+pub(crate) fn receive_relayed_heads(shared: &Arc<Shared>, sender: &VmName, theirs: Heads) {
     if !has_newer(shared, theirs) {
         return;
     }
