--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -59,7 +59,7 @@
 
 /// A reader of the source told what is in force there. The first of the data hall that hears of
 /// it fetches from whoever told; the others wait for the one above them.
-pub(crate) fn take_reader_heads(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
+pub(crate) fn receive_reader_heads(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
     let theirs = heartbeat.heads;
     if !has_newer(shared, theirs) {
         return;
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -23,7 +23,7 @@
 
 use crate::control_plane::platform::offer;
 use crate::control_plane::relay::heads;
-use crate::control_plane::relay::take_reader_heads;
+use crate::control_plane::relay::receive_reader_heads;
 use crate::environment::Environment;
 use crate::environment::SharedSource;
 use crate::environment::Source;
@@ -176,7 +176,7 @@
     if let Some((heartbeat, addresses)) = passed_on {
         send_to_all(shared, &addresses, &Message::SourceHeartbeat(heartbeat));
     }
-    take_reader_heads(shared, heartbeat);
+    receive_reader_heads(shared, heartbeat);
 }
 
 fn send_to_all(shared: &Shared, addresses: &[SocketAddr], message: &Message) {
