--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -19,7 +19,7 @@
 use crate::control_plane::relay::receive_relayed_heads;
 use crate::control_plane::spare_capacity::receive_spare_capacity;
 use crate::control_plane::source::receive_heartbeat;
-use crate::control_plane::suspects::take_suspect;
+use crate::control_plane::suspects::receive_suspect;
 use crate::organisations::QuotaReply;
 use crate::service::ServiceRuntime;
 use crate::shared::Shared;
@@ -52,7 +52,7 @@
             shared.fleet.lock().members.record_announcement(&member, BootClock.now());
         }
         Message::News(heads) => receive_relayed_heads(shared, &sender, heads),
-        Message::Suspect(told) => take_suspect(shared, &sender, &told),
+        Message::Suspect(told) => receive_suspect(shared, &sender, &told),
         Message::Acquire(acquire) => {
             let holder = LeaseHolder { vm: sender, boot, address: Some(from) };
             take_acquire(shared, holder, from, acquire);
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -58,7 +58,7 @@
 }
 
 /// A peer told of a suspect. What comes from another data hall is passed on in the own one.
-pub(crate) fn take_suspect(shared: &Shared, sender: &VmName, told: &SuspectReport) {
+pub(crate) fn receive_suspect(shared: &Shared, sender: &VmName, told: &SuspectReport) {
     let now = BootClock.now();
     let near = {
         let mut fleet = shared.fleet.lock();
