--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -228,7 +228,7 @@
     exchange: &Exchange,
     address: SocketAddr,
 ) -> Result<(), ExchangeError> {
-    let wanted = take_summary(shared, exchange);
+    let wanted = apply_summary(shared, exchange);
     for document in wanted {
         let is_resting = document == Document::Targets && !shared.list_fetch_delay().is_zero();
         if is_resting || !shared.links.begin_fetch(document, BootClock.now()) {
@@ -249,7 +249,7 @@
 }
 
 /// Takes in a peer's summary; returns the documents that it has newer.
-pub(crate) fn take_summary(
+pub(crate) fn apply_summary(
     shared: &Arc<Shared>,
     exchange: &Exchange,
 ) -> Vec<thymeshift_wire::Document> {
--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -21,7 +21,7 @@
 
 use crate::control_plane::accept::accept;
 use crate::control_plane::peer_link::exchange_once;
-use crate::control_plane::peer_link::take_summary;
+use crate::control_plane::peer_link::apply_summary;
 use crate::shared::Shared;
 
 /// Connections from peers served at one time.
@@ -48,7 +48,7 @@
 
 impl PeerLink for PeerServer {
     async fn exchange(self, _: Context, summary: Exchange) -> Exchange {
-        let wanted = take_summary(&self.shared, &summary);
+        let wanted = apply_summary(&self.shared, &summary);
         if !wanted.is_empty()
             && let Some(sender) = summary.members.first()
         {
