--- a/crates/thymeshift_entry/src/caller/suspicion.rs
+++ b/crates/thymeshift_entry/src/caller/suspicion.rs
@@ -9,7 +9,7 @@
 
 use crate::caller::forward::Answered;
 use crate::control_plane::note_answered;
-use crate::control_plane::note_crash;
+use crate::control_plane::report_crash;
 use crate::shared::Shared;
 
 /// A request as the fleet knows it.
@@ -41,7 +41,7 @@
             Ok(_) => note_answered(&self.shared, self.fingerprint),
             Err(failed) => {
                 if let Some(crash) = &failed.crash {
-                    note_crash(&self.shared, self.fingerprint, crash);
+                    report_crash(&self.shared, self.fingerprint, crash);
                 }
             }
         }
--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -32,5 +32,5 @@
 pub(crate) use spare_capacity::run_spare_capacity_reports;
 pub(crate) use source::run_source;
 pub(crate) use suspects::note_answered;
-pub(crate) use suspects::note_crash;
+pub(crate) use suspects::report_crash;
 pub(crate) use ticker::run_ticker;
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -23,7 +23,7 @@
 use crate::target_client::TargetCrash;
 
 /// A target ended while it ran a request of this process.
-pub(crate) fn note_crash(shared: &Shared, fingerprint: Fingerprint, crash: &TargetCrash) {
+pub(crate) fn report_crash(shared: &Shared, fingerprint: Fingerprint, crash: &TargetCrash) {
     let now = BootClock.now();
     let number = shared.next_crash_number();
     let reported = Crash {
