--- a/crates/thymeshift_entry/src/caller/suspicion.rs
+++ b/crates/thymeshift_entry/src/caller/suspicion.rs
@@ -8,7 +8,7 @@
 use thymeshift_types::Fingerprint;
 
 use crate::caller::forward::Answered;
-use crate::control_plane::note_answered;
+use crate::control_plane::report_answered;
 use crate::control_plane::report_crash;
 use crate::shared::Shared;
 
@@ -38,7 +38,7 @@
     pub(crate) fn note(&self, answered: &Answered) {
         match answered {
             Ok(response) if response.status().is_server_error() => {}
-            Ok(_) => note_answered(&self.shared, self.fingerprint),
+            Ok(_) => report_answered(&self.shared, self.fingerprint),
             Err(failed) => {
                 if let Some(crash) = &failed.crash {
                     report_crash(&self.shared, self.fingerprint, crash);
--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -31,6 +31,6 @@
 pub(crate) use relay::notify_relay_children;
 pub(crate) use spare_capacity::run_spare_capacity_reports;
 pub(crate) use source::run_source;
-pub(crate) use suspects::note_answered;
+pub(crate) use suspects::report_answered;
 pub(crate) use suspects::report_crash;
 pub(crate) use ticker::run_ticker;
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -46,7 +46,7 @@
 }
 
 /// A target answered a request of this process, so that it outlived it.
-pub(crate) fn note_answered(shared: &Shared, fingerprint: Fingerprint) {
+pub(crate) fn report_answered(shared: &Shared, fingerprint: Fingerprint) {
     let is_cleared = {
         let quarantine = &mut shared.fleet.lock().quarantine;
         !quarantine.is_empty() && quarantine.record_answer(fingerprint, BootClock.now())
