--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -23,7 +23,7 @@
 pub use http_get::http_get;
 pub(crate) use observe::run_observe;
 pub(crate) use operators::run_operators;
-pub(crate) use peer_link::Links;
+pub(crate) use peer_link::PeerLinks;
 pub(crate) use peer_link::run_peer_link;
 pub(crate) use peer_link::announce_shutdown;
 pub(crate) use peer_server::run_peer_server;
--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -77,7 +77,7 @@
 
 /// Open connections to peers.
 #[derive(Default)]
-pub(crate) struct Links {
+pub(crate) struct PeerLinks {
     open: Mutex<HashMap<SocketAddr, PeerLinkClient>>,
     /// Documents that are being fetched, and since when.
     fetching: Mutex<HashMap<Document, Timestamp>>,
@@ -92,7 +92,7 @@
     count: u32,
 }
 
-impl Links {
+impl PeerLinks {
     async fn get(&self, address: SocketAddr) -> Result<PeerLinkClient, LinkError> {
         if let Some(client) = self.open.lock().get(&address) {
             return Ok(client.clone());
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -42,7 +42,7 @@
 use tokio::sync::watch;
 
 use crate::allocation_client::AllocationClient;
-use crate::control_plane::Links;
+use crate::control_plane::PeerLinks;
 use crate::fleet::Fleet;
 use crate::gaps::Gaps;
 use crate::organisations::Quotas;
@@ -85,7 +85,7 @@
     pub(crate) peer_exchange_due: Notify,
     pub(crate) platform_answered_at: Mutex<Option<Timestamp>>,
     pub(crate) statuses: Statuses,
-    pub(crate) links: Links,
+    pub(crate) links: PeerLinks,
     pub(crate) allocation: Arc<AllocationClient>,
     pub(crate) quotas: Quotas,
     /// Wakes the ticker when a request is queued.
@@ -156,7 +156,7 @@
             peer_exchange_due: Notify::new(),
             platform_answered_at: Mutex::new(None),
             statuses: Statuses::default(),
-            links: Links::default(),
+            links: PeerLinks::default(),
             metrics_text,
             routing: RwLock::new(None),
             drained_by_order: Mutex::default(),
