--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -123,7 +123,7 @@
     }
 
     /// Whether a whole document may be handed out now; it counts if so.
-    pub(crate) fn begin_serving(&self, now: Timestamp) -> bool {
+    pub(crate) fn try_begin_transfer(&self, now: Timestamp) -> bool {
         let mut serving = self.serving.lock();
         if now.since(serving.since) >= SERVING_WINDOW {
             *serving = Serving { since: now, count: 0 };
--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -63,7 +63,7 @@
     async fn fetch(self, _: Context, document: Document, have: Option<Head>) -> Transfer {
         let transfer = self.shared.fleet.lock().document(document).transfer(have);
         match transfer {
-            Transfer::Whole(_) if !self.shared.links.begin_serving(BootClock.now()) => {
+            Transfer::Whole(_) if !self.shared.links.try_begin_transfer(BootClock.now()) => {
                 Transfer::Busy
             }
             transfer => transfer,
