--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -32,7 +32,7 @@
 use crate::environment::Source;
 use crate::environment::SourceError;
 use crate::shared::Shared;
-use crate::target_client::PROBED_ALONE_MAX;
+use crate::target_client::STANDALONE_PROBE_TARGETS_MAX;
 
 /// Peers asked in one round.
 const PEERS_ASKED: usize = 3;
@@ -112,7 +112,7 @@
     for service in &routing.services {
         for group in service.target_groups() {
             let group = service.group(&group);
-            if group.target_count() <= PROBED_ALONE_MAX {
+            if group.target_count() <= STANDALONE_PROBE_TARGETS_MAX {
                 group.expect_requests(now);
                 is_probed = true;
             }
--- a/crates/thymeshift_entry/src/target_client/mod.rs
+++ b/crates/thymeshift_entry/src/target_client/mod.rs
@@ -22,7 +22,7 @@
 pub(crate) use body::RequestBody;
 pub(crate) use body::TargetBody;
 pub(crate) use crash::TargetCrash;
-pub(crate) use pace_probe::PROBED_ALONE_MAX;
+pub(crate) use pace_probe::STANDALONE_PROBE_TARGETS_MAX;
 pub(crate) use pace_probe::run_pace_probes;
 pub(crate) use pool::Pool;
 pub(crate) use probe::run_probes;
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -53,7 +53,7 @@
 
 /// Targets of a group that a process probes while it knows no other one: in a large fleet
 /// many may be starting, and together they would swamp the targets and their own processors.
-pub(crate) const PROBED_ALONE_MAX: usize = 16;
+pub(crate) const STANDALONE_PROBE_TARGETS_MAX: usize = 16;
 
 /// The probes of each target.
 type Probing = Arc<Mutex<HashMap<Destination, ProbePacing>>>;
@@ -144,7 +144,7 @@
         };
         let now = BootClock.now();
         for group in service.groups() {
-            let is_too_large = is_alone && group.target_count() > PROBED_ALONE_MAX;
+            let is_too_large = is_alone && group.target_count() > STANDALONE_PROBE_TARGETS_MAX;
             if is_too_large || !group.was_acquired_within(IN_USE, now) {
                 continue;
             }
