--- a/crates/thymeshift_entry/src/target_client/answer.rs
+++ b/crates/thymeshift_entry/src/target_client/answer.rs
@@ -10,13 +10,13 @@
 use hyper::body::Incoming;
 
 use crate::target_client::BodyError;
-use crate::target_client::Lease;
+use crate::target_client::AnswerResources;
 use crate::target_client::TargetBody;
 
 pub(crate) struct Answer {
     pub(crate) parts: Parts,
     pub(crate) incoming: Incoming,
-    pub(crate) lease: Lease,
+    pub(crate) lease: AnswerResources,
     pub(crate) body_stall: Duration,
 }
 
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -33,7 +33,7 @@
 use crate::shared::Shared;
 use crate::target_client::Answer;
 use crate::target_client::BodyError;
-use crate::target_client::Lease;
+use crate::target_client::AnswerResources;
 use crate::target_client::RequestBody;
 use crate::target_client::TargetBody;
 use crate::target_client::TargetCrash;
@@ -198,7 +198,7 @@
         let (parts, incoming) = response.into_parts();
         let incarnation = self.grant.incarnation();
         let pool = self.grant.service().pool().clone();
-        let lease = Lease::new(connection, self.grant);
+        let lease = AnswerResources::new(connection, self.grant);
         let answer = Answer { parts, incoming, lease, body_stall };
         if plan.answer_buffer_bytes == 0 {
             return Ok(answer.streamed());
--- a/crates/thymeshift_entry/src/target_client/body.rs
+++ b/crates/thymeshift_entry/src/target_client/body.rs
@@ -133,12 +133,12 @@
 }
 
 /// What an answer holds until its body has ended: the connection and the grant.
-pub(crate) struct Lease {
+pub(crate) struct AnswerResources {
     connection: Connection,
     grant: GrantGuard,
 }
 
-impl Lease {
+impl AnswerResources {
     pub(crate) fn new(connection: Connection, grant: GrantGuard) -> Self {
         Self { connection, grant }
     }
@@ -157,13 +157,13 @@
     taken: Option<Bytes>,
     /// None if all of it was taken in.
     incoming: Option<Incoming>,
-    lease: Option<Lease>,
+    lease: Option<AnswerResources>,
     stall: Stall,
     stall_limit: Duration,
 }
 
 impl TargetBody {
-    pub(crate) fn new(incoming: Incoming, lease: Lease, stall_limit: Duration) -> Self {
+    pub(crate) fn new(incoming: Incoming, lease: AnswerResources, stall_limit: Duration) -> Self {
         let stall = Stall::new(stall_limit);
         let is_over = incoming.is_end_stream();
         let (incoming, lease) = (Some(incoming), Some(lease));
--- a/crates/thymeshift_entry/src/target_client/mod.rs
+++ b/crates/thymeshift_entry/src/target_client/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use attempt::Freshness;
 pub(crate) use body::BodyError;
 pub(crate) use body::BodyLimits;
-pub(crate) use body::Lease;
+pub(crate) use body::AnswerResources;
 pub(crate) use body::RequestBody;
 pub(crate) use body::TargetBody;
 pub(crate) use crash::TargetCrash;
