--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -37,7 +37,7 @@
 use crate::target_client::RequestBody;
 use crate::target_client::TargetBody;
 use crate::target_client::TargetCrash;
-use crate::target_client::crash::crash_of;
+use crate::target_client::crash::detect_crash;
 use crate::target_client::pool::ConnectError;
 use crate::target_client::pool::Connection;
 use crate::target_client::statements::Statements;
@@ -221,7 +221,7 @@
             }
             Some(Ok(response)) => return Ok(response),
             Some(Err(_)) => {
-                crash = crash_of(&pool, &destination, incarnation, began_at).await;
+                crash = detect_crash(&pool, &destination, incarnation, began_at).await;
                 Failure::new(Outcome::Unknown, Reason::ConnectionLost, Step::AnswerBody, peer)
             }
             None => Failure::new(Outcome::Unknown, Reason::Deadline, Step::AnswerBody, peer),
@@ -327,7 +327,7 @@
         self.learn(Observation::Broken);
         let incarnation = self.grant.incarnation();
         let pool = self.grant.service().pool().clone();
-        let crash = crash_of(&pool, destination, incarnation, began_at).await;
+        let crash = detect_crash(&pool, destination, incarnation, began_at).await;
         if crash.is_some() {
             // Nobody else is sent there to find out the same.
             self.learn(Observation::Unreachable);
--- a/crates/thymeshift_entry/src/target_client/crash.rs
+++ b/crates/thymeshift_entry/src/target_client/crash.rs
@@ -36,7 +36,7 @@
 }
 
 /// The end of the target to which a connection was lost now, if that is why.
-pub(crate) async fn crash_of(
+pub(crate) async fn detect_crash(
     pool: &Arc<Pool>,
     destination: &Destination,
     incarnation: Option<Incarnation>,
