--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -40,7 +40,7 @@
 use crate::target_client::crash::detect_crash;
 use crate::target_client::pool::ConnectError;
 use crate::target_client::pool::Connection;
-use crate::target_client::statements::Statements;
+use crate::target_client::statements::TargetStatements;
 
 /// Whether a connection that served before may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -186,7 +186,7 @@
         };
         let meaning = D::meaning(response.status(), response.headers(), &attempt);
         self.shared.unknown_headers.note::<D>(response.headers(), &destination);
-        let statements = Statements::read::<D>(response.status(), response.headers());
+        let statements = TargetStatements::read::<D>(response.status(), response.headers());
         let shown = observation(meaning, &statements, D::report(response.headers()));
         self.learn_statements(meaning, statements, &destination);
         self.learn(shown);
@@ -339,7 +339,7 @@
 
 fn observation(
     meaning: Meaning,
-    statements: &Statements,
+    statements: &TargetStatements,
     report: Option<LoadReport>,
 ) -> Observation {
     match meaning {
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -18,13 +18,13 @@
 use crate::target_client::Attempt;
 
 /// The statements of one answer.
-pub(super) struct Statements {
+pub(super) struct TargetStatements {
     rate_limit: Result<Option<RequestRate>, RateLimitMistake>,
     backoff: Result<Option<Duration>, RetryAfterMistake>,
     is_leaving: bool,
 }
 
-impl Statements {
+impl TargetStatements {
     /// Whether the target asks for a backoff.
     pub(super) fn asks_for_backoff(&self) -> bool {
         matches!(self.backoff, Ok(Some(_)))
@@ -45,7 +45,7 @@
     pub(super) fn learn_statements(
         &mut self,
         meaning: Meaning,
-        statements: Statements,
+        statements: TargetStatements,
         destination: &Destination,
     ) {
         if matches!(meaning, Meaning::OtherTarget | Meaning::Foreign) {
