--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -188,7 +188,7 @@
         self.shared.unknown_headers.note::<D>(response.headers(), &destination);
         let statements = TargetStatements::read::<D>(response.status(), response.headers());
         let shown = observation(meaning, &statements, D::report(response.headers()));
-        self.learn_statements(meaning, statements, &destination);
+        self.apply_statements(meaning, statements, &destination);
         self.learn(shown);
         if let Some(failed) = self.failed_by(meaning, &destination) {
             // Whatever else comes on this connection belongs to nobody.
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -42,7 +42,7 @@
 impl<D: Dialect> Attempt<D> {
     /// Learns what the target says of itself. An answer of another target, or to another request,
     /// says nothing of this one.
-    pub(super) fn learn_statements(
+    pub(super) fn apply_statements(
         &mut self,
         meaning: Meaning,
         statements: TargetStatements,
