--- a/crates/thymeshift_entry/src/caller/write_stall.rs
+++ b/crates/thymeshift_entry/src/caller/write_stall.rs
@@ -17,16 +17,16 @@
 use tokio::net::TcpStream;
 
 use crate::caller::ahead::Ahead;
-use crate::target_client::Stall;
+use crate::target_client::StallTimer;
 
 pub(crate) struct WriteStall {
     ahead: Arc<Ahead>,
-    stall: Stall,
+    stall: StallTimer,
 }
 
 impl WriteStall {
     pub(crate) fn new(ahead: Arc<Ahead>, limit: Duration) -> Self {
-        Self { ahead, stall: Stall::new(limit) }
+        Self { ahead, stall: StallTimer::new(limit) }
     }
 
     fn watch<T>(
--- a/crates/thymeshift_entry/src/target_client/body.rs
+++ b/crates/thymeshift_entry/src/target_client/body.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 
 use crate::service::GrantGuard;
-use crate::target_client::Stall;
+use crate::target_client::StallTimer;
 use crate::target_client::pool::Connection;
 
 /// Why a body broke off.
@@ -51,13 +51,13 @@
     incoming: Incoming,
     limits: BodyLimits,
     left_bytes: u64,
-    stall: Stall,
+    stall: StallTimer,
 }
 
 impl RequestBody {
     pub(crate) fn streaming(incoming: Incoming, limits: BodyLimits) -> Self {
         let left_bytes = limits.bytes_max;
-        let stall = Stall::new(limits.stall);
+        let stall = StallTimer::new(limits.stall);
         Self::Streaming(Box::new(StreamingBody { incoming, limits, left_bytes, stall }))
     }
 
@@ -158,13 +158,13 @@
     /// None if all of it was taken in.
     incoming: Option<Incoming>,
     lease: Option<AnswerResources>,
-    stall: Stall,
+    stall: StallTimer,
     stall_limit: Duration,
 }
 
 impl TargetBody {
     pub(crate) fn new(incoming: Incoming, lease: AnswerResources, stall_limit: Duration) -> Self {
-        let stall = Stall::new(stall_limit);
+        let stall = StallTimer::new(stall_limit);
         let is_over = incoming.is_end_stream();
         let (incoming, lease) = (Some(incoming), Some(lease));
         let mut body = Self { taken: None, incoming, lease, stall, stall_limit };
@@ -177,7 +177,7 @@
     /// A body that is complete; its connection and grant are given back already.
     pub(crate) fn whole(bytes: Bytes) -> Self {
         let stall_limit = Duration::ZERO;
-        let stall = Stall::new(stall_limit);
+        let stall = StallTimer::new(stall_limit);
         Self { taken: Some(bytes), incoming: None, lease: None, stall, stall_limit }
     }
 
--- a/crates/thymeshift_entry/src/target_client/mod.rs
+++ b/crates/thymeshift_entry/src/target_client/mod.rs
@@ -26,5 +26,5 @@
 pub(crate) use pace_probe::run_pace_probes;
 pub(crate) use pool::Pool;
 pub(crate) use probe::run_probes;
-pub(crate) use stall::Stall;
+pub(crate) use stall::StallTimer;
 pub(crate) use unknown_headers::UnknownHeaders;
--- a/crates/thymeshift_entry/src/target_client/stall.rs
+++ b/crates/thymeshift_entry/src/target_client/stall.rs
@@ -10,12 +10,12 @@
 use tokio::time::sleep_until;
 
 /// A timer that runs only while nothing arrives.
-pub(crate) struct Stall {
+pub(crate) struct StallTimer {
     limit: Duration,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
+impl StallTimer {
     pub(crate) fn new(limit: Duration) -> Self {
         Self { limit, timer: None }
     }
