--- a/crates/thymeshift_entry/src/caller/write_stall.rs
+++ b/crates/thymeshift_entry/src/caller/write_stall.rs
@@ -35,7 +35,7 @@
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_ready() {
-            self.stall.moved();
+            self.stall.reset();
             return written;
         }
         match self.stall.poll_stalled(context) {
--- a/crates/thymeshift_entry/src/target_client/body.rs
+++ b/crates/thymeshift_entry/src/target_client/body.rs
@@ -82,7 +82,7 @@
                 return Poll::Ready(Some(Err(BodyError::Stalled { limit: self.limits.stall })));
             }
         };
-        self.stall.moved();
+        self.stall.reset();
         let frame = match frame {
             None => return Poll::Ready(None),
             Some(Err(source)) => return Poll::Ready(Some(Err(BodyError::Broken { source }))),
@@ -217,7 +217,7 @@
                 return Poll::Ready(Some(Err(BodyError::Stalled { limit: body.stall_limit })));
             }
         };
-        body.stall.moved();
+        body.stall.reset();
         match frame {
             None => {
                 body.finish();
--- a/crates/thymeshift_entry/src/target_client/stall.rs
+++ b/crates/thymeshift_entry/src/target_client/stall.rs
@@ -21,7 +21,7 @@
     }
 
     /// Something arrived.
-    pub(crate) fn moved(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.timer = None;
     }
 
