--- a/crates/thymeshift_entry/src/target_client/answer.rs
+++ b/crates/thymeshift_entry/src/target_client/answer.rs
@@ -29,7 +29,7 @@
 
     /// The answer once it is complete, or once `bytes_max` of it are here. An answer that
     /// breaks off before is an error.
-    pub(crate) async fn taken_in(self, bytes_max: u64) -> Result<Response<TargetBody>, BodyError> {
+    pub(crate) async fn buffered(self, bytes_max: u64) -> Result<Response<TargetBody>, BodyError> {
         let mut body = TargetBody::new(self.incoming, self.lease, self.body_stall);
         let mut taken = BytesMut::new();
         while (taken.len() as u64) < bytes_max {
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -203,7 +203,7 @@
         if plan.answer_buffer_bytes == 0 {
             return Ok(answer.streamed());
         }
-        let taking = answer.taken_in(plan.answer_buffer_bytes);
+        let taking = answer.buffered(plan.answer_buffer_bytes);
         let taken = self.shared.gaps.until(&BootClock, deadline, taking).await;
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
