--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -194,7 +194,7 @@
             // Whatever else comes on this connection belongs to nobody.
             return Err(failed.into());
         }
-        connection.limit_idle(response.headers());
+        connection.record_keep_alive(response.headers());
         let (parts, incoming) = response.into_parts();
         let incarnation = self.grant.incarnation();
         let pool = self.grant.service().pool().clone();
--- a/crates/thymeshift_entry/src/target_client/pool.rs
+++ b/crates/thymeshift_entry/src/target_client/pool.rs
@@ -201,7 +201,7 @@
     }
 
     /// Notes how long the target says that it keeps the connection while it is idle.
-    pub(crate) fn limit_idle(&mut self, map: &HeaderMap) {
+    pub(crate) fn record_keep_alive(&mut self, map: &HeaderMap) {
         let told = map.get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
         let seconds = told.and_then(keep_alive_seconds);
         self.idle_max = seconds.map(|seconds| Duration::from_secs(seconds).mul_f64(IDLE_SHARE));
