--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -34,7 +34,7 @@
 use crate::service::PendingAcquire;
 use crate::service::ServiceRuntime;
 use crate::shared::Shared;
-use crate::target_client::probe::ask;
+use crate::target_client::probe::send_probe;
 
 /// Time between two looks.
 const LOOK: Duration = Duration::from_millis(15);
@@ -206,7 +206,7 @@
 ) -> bool {
     let Subject { service, group } = subject;
     let limit = Duration::from_millis(probe.timeout_ms);
-    let answer = timeout(limit, ask::<D>(service, destination, probe, limit)).await;
+    let answer = timeout(limit, send_probe::<D>(service, destination, probe, limit)).await;
     let name = service.name().as_str().to_owned();
     counter!(metric::PROBES, "service" => name.clone()).increment(1);
     counter!(metric::MEASURING_US, "service" => name).increment(probe.cost_us);
--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -139,7 +139,7 @@
 ) -> Ended {
     let began = BootClock.now();
     let limit = Duration::from_millis(probe.timeout_ms);
-    let answer = timeout(limit, ask::<D>(&service, &destination, &probe, limit)).await;
+    let answer = timeout(limit, send_probe::<D>(&service, &destination, &probe, limit)).await;
     let spent = BootClock.now().since(began);
     // Whether or not an answer came: the target may have worked for it.
     let counted_us = (spent.as_micros() as u64).max(probe.cost_us);
@@ -155,7 +155,7 @@
     Ended { subject, spent }
 }
 
-pub(super) async fn ask<D: Dialect>(
+pub(super) async fn send_probe<D: Dialect>(
     service: &Arc<ServiceRuntime>,
     destination: &Destination,
     probe: &Probe,
