--- a/crates/thymeshift_entry/src/target_client/unknown_headers.rs
+++ b/crates/thymeshift_entry/src/target_client/unknown_headers.rs
@@ -30,7 +30,7 @@
 
 impl UnknownHeaders {
     /// Notes what an answer of `target` carries.
-    pub(crate) fn note<D: Dialect>(&self, headers: &HeaderMap, target: &Destination) {
+    pub(crate) fn record<D: Dialect>(&self, headers: &HeaderMap, target: &Destination) {
         let is_unknown = |name: &&HeaderName| D::header_audience(name) == HeaderAudience::Unknown;
         for name in headers.keys().filter(is_unknown) {
             self.note_name(name, target);
