--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -185,7 +185,7 @@
             Some(Ok(response)) => response,
         };
         let meaning = D::meaning(response.status(), response.headers(), &attempt);
-        self.shared.unknown_headers.note::<D>(response.headers(), &destination);
+        self.shared.unknown_headers.record::<D>(response.headers(), &destination);
         let statements = TargetStatements::read::<D>(response.status(), response.headers());
         let shown = observation(meaning, &statements, D::report(response.headers()));
         self.apply_statements(meaning, statements, &destination);
