--- a/crates/thymeshift_entry/src/control_plane/http_get.rs
+++ b/crates/thymeshift_entry/src/control_plane/http_get.rs
@@ -34,7 +34,7 @@
     ConnectTimedOut,
     /// The connection broke, or what came is not HTTP.
     #[display("asking: {_0}")]
-    Ask(hyper::Error),
+    Http(hyper::Error),
     /// The path cannot be asked for.
     #[display("the request: {_0}")]
     Request(http::Error),
@@ -77,7 +77,7 @@
     let both = async {
         tokio::select! {
             answer = asking => answer,
-            Err(error) = driving => Err(GetError::Ask(error)),
+            Err(error) = driving => Err(GetError::Http(error)),
         }
     };
     timeout(limit, both).await.unwrap_or(Err(GetError::TimedOut { limit }))
