--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -20,8 +20,8 @@
 use tokio::net::TcpListener;
 
 use crate::control_plane::accept::accept;
-use crate::control_plane::peer_link::exchange_once;
 use crate::control_plane::peer_link::apply_summary;
+use crate::control_plane::peer_link::exchange_once;
 use crate::shared::Shared;
 
 /// Connections from peers served at one time.
--- a/crates/thymeshift_entry/src/target_client/answer.rs
+++ b/crates/thymeshift_entry/src/target_client/answer.rs
@@ -9,8 +9,8 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::target_client::BodyError;
 use crate::target_client::AnswerResources;
+use crate::target_client::BodyError;
 use crate::target_client::TargetBody;
 
 pub(crate) struct Answer {
