--- a/crates/thymeshift_entry/src/control_plane/accept.rs
+++ b/crates/thymeshift_entry/src/control_plane/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections within a limit, for the ports that callers do not reach.
+//! Accept loop with a connection limit, for the ports of peers, operators and collectors.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,14 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// Pause after a failed accept: mostly too many open files, which only time mends.
+/// Delay after a failed accept. The usual cause is too many open files, which only closing
+/// connections resolves.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts for ever, at most `connections_max` at a time, and serves each connection in a
-/// task of its own. A failed accept is logged as `failed_event`.
+/// Accepts connections in an endless loop and serves each one in its own task.
+///
+/// At most `connections_max` connections are open at a time. A failed accept is logged as
+/// `failed_event`. Returns an error only if the connection limit's semaphore is closed.
 pub(crate) async fn accept<F>(
     listener: &TcpListener,
     connections_max: usize,
@@ -26,9 +29,9 @@
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let places = Arc::new(Semaphore::new(connections_max));
+    let permits = Arc::new(Semaphore::new(connections_max));
     loop {
-        let place = places.clone().acquire_owned().await?;
+        let permit = permits.clone().acquire_owned().await?;
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
@@ -38,12 +41,13 @@
             }
         };
         if let Err(error) = end_if_silent(&stream) {
-            // It went away in this very moment, or is served without.
+            // The peer has just disconnected, or the connection is served without a silence
+            // timeout.
             debug!("silence_unbounded", kv: { error: = error });
         }
         let serving = serve(stream);
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             serving.await;
         });
     }
