--- a/crates/thymeshift_entry/src/control_plane/dump.rs
+++ b/crates/thymeshift_entry/src/control_plane/dump.rs
@@ -1,4 +1,4 @@
-//! The dump of the whole state.
+//! State dump of this process, for operators.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -16,13 +16,15 @@
 use crate::fleet::Fleet;
 use crate::shared::Shared;
 
-/// Leaving marks listed at most.
+/// Most leaving marks listed in a state dump.
 const MARKS_MAX: usize = 1_000;
-/// Entries that are left out, listed at most.
+/// Most discovery entries listed in a state dump as left out of the target list.
 const LEFT_OUT_MAX: usize = 1_000;
 
-/// What this process believes now. The fleet's part is read under one lock, and so is
-/// each service.
+/// Returns the current state of this process.
+///
+/// The fleet state is read under one lock and is consistent in itself, and so is the state of each
+/// service; the parts may stem from slightly different times.
 pub(crate) fn dump(shared: &Shared) -> StateDump {
     let now = BootClock.now();
     let routing = shared.routing();
@@ -82,7 +84,9 @@
     dump.collect()
 }
 
-/// The data halls in which targets or processes are known, with what is known of each.
+/// Returns the known data halls with their numbers of targets and processes.
+///
+/// A data hall is known if it has targets or processes, or if the configuration drains it.
 pub(crate) fn halls(shared: &Shared) -> Vec<HallDump> {
     let mut halls: BTreeMap<DataHallName, HallDump> = BTreeMap::new();
     let Some(routing) = shared.routing() else {
