--- a/crates/thymeshift_entry/src/control_plane/explain.rs
+++ b/crates/thymeshift_entry/src/control_plane/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request like this one would go where it goes now.
+//! Explanation of how a given request would be routed now, for operators.
 
 use thymeshift_config::RequestHead;
 use thymeshift_dispatch::TargetDump;
@@ -11,10 +11,10 @@
 use crate::routing::KindRuntime;
 use crate::routing::Routing;
 
-/// The request to be explained, as the rules see it.
-struct Asked<'a>(&'a ExplainRequest);
+/// Adapter that lets the matching rules read the request to be explained.
+struct RequestView<'a>(&'a ExplainRequest);
 
-impl RequestHead for Asked<'_> {
+impl RequestHead for RequestView<'_> {
     fn method(&self) -> &str {
         &self.0.method
     }
@@ -33,18 +33,19 @@
     }
 }
 
+/// Returns the kind, service and targets that `request` would be routed to.
 pub(crate) fn explain(routing: Option<&Routing>, request: &ExplainRequest) -> Explanation {
     let Some(routing) = routing else {
-        return unexplained("refused: no configuration is in force yet");
+        return not_routed("refused: no configuration is in force yet");
     };
-    let asked = Asked(request);
+    let view = RequestView(request);
     let kinds = &routing.configuration.kinds;
-    let index = routing.configuration.kind_of(&asked);
-    let before = &kinds[..index.unwrap_or(kinds.len())];
-    let passed_over = before.iter().map(|kind| kind.name.clone()).collect();
-    let Some(kind) = routing.kind_of(&asked) else {
+    let index = routing.configuration.kind_of(&view);
+    let earlier_kinds = &kinds[..index.unwrap_or(kinds.len())];
+    let passed_over = earlier_kinds.iter().map(|kind| kind.name.clone()).collect();
+    let Some(kind) = routing.kind_of(&view) else {
         let verdict = "refused: the rules of no kind match";
-        return Explanation { passed_over, ..unexplained(verdict) };
+        return Explanation { passed_over, ..not_routed(verdict) };
     };
     let mut targets = kind.service.dump(BootClock.now()).targets;
     targets.sort_by_key(|target| (target.usability != Usability::Open, target.expected_us));
@@ -57,7 +58,7 @@
     }
 }
 
-fn unexplained(verdict: &str) -> Explanation {
+fn not_routed(verdict: &str) -> Explanation {
     Explanation {
         kind: None,
         passed_over: Vec::new(),
