--- a/crates/thymeshift_entry/src/control_plane/operators.rs
+++ b/crates/thymeshift_entry/src/control_plane/operators.rs
@@ -1,4 +1,4 @@
-//! Answering the operators' program, on a port of its own.
+//! RPC server for the operators' command-line program, on a separate port.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,10 +34,10 @@
 use crate::control_plane::peer_link::exchange_once;
 use crate::shared::Shared;
 
-/// Connections of operators served at one time.
+/// Most operator connections served at the same time.
 const OPERATORS_MAX: usize = 16;
 
-/// Accepts operators for ever.
+/// Serves operator connections in an endless loop.
 pub(crate) async fn run_operators(
     shared: Arc<Shared>,
     listener: Arc<TcpListener>,
@@ -89,43 +89,43 @@
             counter = order.stamp.counter, revision:? = order.revision
         });
         self.shared.apply_orders();
-        self.tell_all(order).await
+        self.announce_order(order).await
     }
 }
 
 impl ControlServer {
-    /// Tells every VM believed to be there and says which of them confirmed.
-    async fn tell_all(&self, order: thymeshift_fleet::Order) -> OrderAnswer {
+    /// Sends the order to every VM that is not considered gone, and returns which VMs confirmed it.
+    async fn announce_order(&self, order: thymeshift_fleet::Order) -> OrderAnswer {
         let members = self.shared.fleet.lock().members.dump(BootClock.now());
-        let there = |member: &MemberDump| member.liveness != Liveness::Gone;
-        let there: Vec<MemberDump> = members.into_iter().filter(there).collect();
-        let addresses = there.iter().map(|there| there.member.peer_address);
-        let told =
+        let is_present = |member: &MemberDump| member.liveness != Liveness::Gone;
+        let present: Vec<MemberDump> = members.into_iter().filter(is_present).collect();
+        let addresses = present.iter().map(|known| known.member.peer_address);
+        let exchanges =
             addresses.map(|address| exchange_once(&self.shared, address, GossipScope::SenderOnly));
-        let answers = join_all(told).await;
+        let answers = join_all(exchanges).await;
         let mut confirmed = vec![self.shared.settings().vm.clone()];
         let mut unconfirmed = Vec::new();
-        for (there, answer) in there.into_iter().zip(answers) {
+        for (known, answer) in present.into_iter().zip(answers) {
             let list = if answer.is_ok() { &mut confirmed } else { &mut unconfirmed };
-            list.push(there.member.vm);
+            list.push(known.member.vm);
         }
         OrderAnswer::Taken { order, confirmed, unconfirmed }
     }
 }
 
-/// Words for a data hall in which neither a target nor a process is known.
+/// Returns an error message if no target, process or drained-hall entry is known for the data hall.
 fn unknown_hall(shared: &Shared, hall: &DataHallName) -> Option<String> {
     let is_known = halls(shared).iter().any(|known| known.name == *hall);
     (!is_known).then(|| format!("no data hall is called {hall}"))
 }
 
-/// Words for a subject that the configuration in force does not have.
+/// Returns an error message if the configuration in force has no such subject.
 fn unknown_subject(shared: &Shared, subject: &OrderSubject) -> Option<String> {
     let routing = shared.routing();
     let service_name = match subject {
         OrderSubject::Target(service, _) | OrderSubject::Probing(service) => service,
         OrderSubject::DataHall(hall) => return unknown_hall(shared, hall),
-        // It may be known to others, or be expected.
+        // A request's fingerprint may be known to peers only, or the request may still be expected.
         OrderSubject::Request(_) => return None,
     };
     let service = routing.as_ref().and_then(|routing| routing.service(service_name.as_str()));
