--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -1,4 +1,4 @@
-//! What must happen regularly: expired waits, pauses noticed, idle connections closed.
+//! Periodic work: ends expired waits, detects process pauses, closes idle connections.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,31 +17,32 @@
 
 use crate::shared::Shared;
 
-/// Time between two ticks while requests wait. Waits end at most this much late.
-const TICK: Duration = Duration::from_millis(10);
-/// The same while none waits: short enough for pauses to be noticed.
-const IDLE_TICK: Duration = Duration::from_millis(100);
-/// Time between two rounds of housekeeping.
-const HOUSEKEEPING_EVERY: Duration = Duration::from_secs(1);
+/// Interval between two ticks while requests wait for a target; a wait ends at most one interval
+/// after its limit.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between two ticks while no request waits: short enough to detect process pauses.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two runs of the housekeeping.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ticks for ever.
+/// Runs the ticks and the housekeeping in an endless loop.
 pub(crate) async fn run_ticker(shared: Arc<Shared>) -> Result<(), TaskError> {
-    let mut last = BootClock.now();
-    let mut kept_at = last;
+    let mut last_tick_at = BootClock.now();
+    let mut housekeeping_at = last_tick_at;
     let mut late_max = Duration::ZERO;
     loop {
-        let wait = if has_waiting(&shared) { TICK } else { IDLE_TICK };
-        // A request that begins to wait needs ticks from now on.
+        let wait = if has_waiting(&shared) { TICK_INTERVAL } else { IDLE_TICK_INTERVAL };
+        // The first request that starts to wait cuts the idle interval short.
         let is_early = timeout(wait, shared.request_queued.notified()).await.is_ok();
         let now = BootClock.now();
         if !is_early {
-            late_max = late_max.max(now.since(last).saturating_sub(wait));
+            late_max = late_max.max(now.since(last_tick_at).saturating_sub(wait));
         }
-        last = now;
+        last_tick_at = now;
         tick_services(&shared, now);
-        if now.since(kept_at) >= HOUSEKEEPING_EVERY {
-            kept_at = now;
-            keep_house(&shared, now);
+        if now.since(housekeeping_at) >= HOUSEKEEPING_INTERVAL {
+            housekeeping_at = now;
+            run_housekeeping(&shared, now);
             set_gauges(&shared, late_max);
             late_max = Duration::ZERO;
         }
@@ -53,8 +54,8 @@
     routing.is_some_and(|routing| routing.services.iter().any(|service| service.has_waiting()))
 }
 
-/// Gauges are set here and not where they change: a look-up for each request would cost
-/// more than the figure is worth.
+/// Copies the counts kept in atomics to the gauges. The request path does not set gauges,
+/// because each update costs a metric look-up.
 fn set_gauges(shared: &Shared, late_max: Duration) {
     let metrics = &shared.metrics;
     gauge!(metric::TICK_LATE_SECONDS).set(late_max.as_secs_f64());
@@ -79,7 +80,7 @@
     }
 }
 
-fn keep_house(shared: &Shared, now: Timestamp) {
+fn run_housekeeping(shared: &Shared, now: Timestamp) {
     let left_out = shared.request_log_budget.take_left_out();
     if left_out > 0 {
         warn!("request_lines_left_out", kv: { count = left_out });
