--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -1,10 +1,13 @@
-//! Start of a process that knows nothing: a configuration before anybody is served.
+//! Bootstrap of a starting process: obtains a configuration before any caller is served.
 //!
-//! The platform and some peers are asked at the same time, and the largest revision
-//! counts: the platform may be stale, and so may a peer. The process is ready once each
-//! side has answered or has been given its chance. If only one side can be reached, that
-//! one is believed: a stale configuration serves callers better than none, and the next
-//! exchange with anybody who knows more ends it.
+//! The process queries the platform and some peers at the same time and adopts the largest
+//! revision, because the platform and each peer may be stale. Bootstrap ends once both the platform
+//! and the peers have answered or have had enough rounds to answer. If only one of the two is
+//! reachable, its revision is adopted: callers are better served by a stale configuration than by
+//! none, and the next exchange with a better informed peer replaces a stale one.
+//!
+//! If the environment's source is never stale, the first answer of the source or a peer is adopted
+//! instead.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -34,66 +37,76 @@
 use crate::shared::Shared;
 use crate::target_client::STANDALONE_PROBE_TARGETS_MAX;
 
-/// Peers asked in one round.
-const PEERS_ASKED: usize = 3;
-/// Those among them that are known to hold documents, at most.
-const INFORMED_ASKED: usize = 2;
-/// Rounds in which a reachable peer is waited for although the platform has answered.
-const ROUNDS_FOR_PEERS: u32 = 2;
-/// Pause between two rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
-/// How long peers have before the source is asked too.
+/// Peers queried in one round.
+const PEERS_PER_ROUND: usize = 3;
+/// Most peers queried in one round that are chosen because they are known to hold documents.
+const DOCUMENT_HOLDERS_PER_ROUND_MAX: usize = 2;
+/// Rounds in which bootstrap waits for an answer of a peer although the platform has answered.
+const PEER_WAIT_ROUNDS: u32 = 2;
+/// Delay between two rounds of queries, or the initial delay where it doubles from round to round.
+const ROUND_DELAY: Duration = Duration::from_millis(200);
+/// Time that peers have to answer before the source is queried too.
 const SOURCE_DELAY: Duration = Duration::from_millis(20);
-/// How long after its start a process that knows a configuration but no other process waits
-/// for an answer of one before it serves.
-const PEERS_LIMIT: Duration = Duration::from_millis(80);
-/// Pause between two rounds in which peers are asked, before the spread.
-const PEERS_PAUSE: Duration = Duration::from_millis(40);
-/// How long peers have, before the spread of once more as much, where the first page of the
-/// source's list is not all of it: then the fleet is large as well, and would read each page as
-/// often as it has processes. Named peers may come up 300 ms after the others.
+/// Time since its start for which a process that has a configuration but knows no peer waits for
+/// an answer of a peer before it serves.
+const PEER_ANSWER_LIMIT: Duration = Duration::from_millis(80);
+/// Delay between two rounds of queries to peers, before jitter.
+const PEER_ROUND_DELAY: Duration = Duration::from_millis(40);
+/// Extra time that peers have to answer, before up to 100 % jitter, if the source's list of targets
+/// has more than one page.
+///
+/// A long list implies a large fleet, and without this delay every process of the fleet would read
+/// every page. Peers named in the settings may start 300 ms after the other processes.
 const LONG_LIST_DELAY: Duration = Duration::from_millis(450);
-/// Time for the first probes' answers: a probe takes 6 ms and the way there and back 3 ms.
-const FIRST_REPORTS: Duration = Duration::from_millis(12);
-/// Rounds for which a process leaves the source to others at the first start of the fleet.
-const PATIENT_ROUNDS: u32 = 12;
-/// Longest pause between two rounds: everybody who starts asks, and a source that is down
-/// must not be asked ever more.
-const ROUND_PAUSE_MAX: Duration = Duration::from_millis(1_600);
+/// Time for the answers to the first probes: a probe takes 6 ms at the target and 3 ms of network
+/// round trip.
+const FIRST_PROBES_LIMIT: Duration = Duration::from_millis(12);
+/// Rounds for which a process leaves reading the source to the peers named in the settings, at the
+/// first start of the fleet.
+const FIRST_START_WAIT_ROUNDS: u32 = 12;
+/// Longest delay between two rounds. Every starting process queries the source, so the rate must
+/// stay bounded while the source is down.
+const ROUND_DELAY_MAX: Duration = Duration::from_millis(1_600);
 
 /// Returns once a configuration is in force.
 pub(crate) async fn bootstrap<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
     if E::SOURCE_IS_CURRENT {
-        bootstrap_from_anybody::<E>(shared, source).await;
+        bootstrap_from_first_answer::<E>(shared, source).await;
     } else {
         bootstrap_from_all::<E>(shared, source).await;
     }
 }
 
-/// Whoever answers first is believed: the source is never stale, and what a peer tells is
-/// compared with the source in the next call, long before this process counts as one that must
-/// know. Peers are asked a little earlier, because a call of the source has its price.
-async fn bootstrap_from_anybody<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
+/// Adopts the first configuration that the source or a peer returns.
+///
+/// The source is never stale, and a peer's answer is compared with the source in the next call,
+/// long before this process is expected to know the current revision. Peers are queried
+/// [`SOURCE_DELAY`] earlier than the source, because calls to the source are costly.
+async fn bootstrap_from_first_answer<E: Environment>(
+    shared: &Arc<Shared>,
+    source: &SharedSource<E>,
+) {
     let mut in_force = shared.has_configuration.subscribe();
     tokio::select! {
-        // An error would mean that this process is ending.
+        // The watch channel fails only when the process shuts down.
         _ = in_force.wait_for(|is_in_force| *is_in_force) => {}
-        () = ask_by_turns::<E>(shared, source) => {}
+        () = poll_peers_and_source::<E>(shared, source) => {}
     }
-    // Who holds the source now reads on from there. To wait for that would keep this process from
-    // serving for as long as a watch lasts.
+    // A task that holds the source's lock keeps its read position. Waiting for the lock would delay
+    // serving for as long as a long poll of the source lasts.
     if let Ok(mut source) = source.try_lock() {
         source.forget_beginning();
     }
-    // Decisions taken alone overload targets. Peers that are not there refuse at once.
+    // A process that knows no peers overloads targets, because it can't see the load that others
+    // cause. Peers that are not running refuse the connection at once.
     if is_alone(shared) {
-        let left = PEERS_LIMIT.saturating_sub(BootClock.now().since(shared.started_at));
-        let _ = timeout(left, ask_peers(shared)).await;
+        let left = PEER_ANSWER_LIMIT.saturating_sub(BootClock.now().since(shared.started_at));
+        let _ = timeout(left, query_peers(shared)).await;
     }
     let is_alone = is_alone(shared);
     info!("bootstrapped", kv: { is_alone });
     if is_alone {
-        learn_loads(shared).await;
+        probe_initial_loads(shared).await;
     }
 }
 
@@ -101,9 +114,11 @@
     shared.fleet.lock().members.is_alone(BootClock.now())
 }
 
-/// Has the targets probed that this process allocates, since nobody else told of them: others
-/// may have started in the same moment, and send requests to the same targets.
-async fn learn_loads(shared: &Shared) {
+/// Probes the targets that this process allocates and waits for the first answers.
+///
+/// No peer has reported the targets' load, and other processes may have started at the same time and
+/// send requests to the same targets.
+async fn probe_initial_loads(shared: &Shared) {
     let Some(routing) = shared.routing() else {
         return;
     };
@@ -119,37 +134,37 @@
         }
     }
     if is_probed {
-        sleep(FIRST_REPORTS).await;
+        sleep(FIRST_PROBES_LIMIT).await;
     }
 }
 
-/// Asks peers, and the source where it is this process's turn, for ever.
-async fn ask_by_turns<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
+/// Queries the peers, and after a delay also the source, in an endless loop.
+async fn poll_peers_and_source<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
     let asking = shared.clone();
-    let peers = tokio::spawn(async move { ask_peers_again(&asking).await });
-    // Ends with this future, which is dropped once a configuration is in force.
+    let peers = tokio::spawn(async move { poll_peers(&asking).await });
+    // The task is aborted with this future, which is dropped once a configuration is in force.
     let _peers = AbortOnDrop(peers);
     sleep(SOURCE_DELAY).await;
-    if !is_named(shared) {
+    if !is_named_peer(shared) {
         wait_for_peers(shared).await;
-        if is_list_long::<E>(shared, source).await {
-            let spread = rand::rng().random_range(1.0..2.0);
-            sleep(LONG_LIST_DELAY.mul_f64(spread)).await;
+        if has_long_target_list::<E>(shared, source).await {
+            let jitter = rand::rng().random_range(1.0..2.0);
+            sleep(LONG_LIST_DELAY.mul_f64(jitter)).await;
         }
     }
-    let mut pause = ROUND_PAUSE;
+    let mut delay = ROUND_DELAY;
     loop {
-        ask_source::<E>(shared, source).await;
+        query_source::<E>(shared, source).await;
         if shared.routing().is_none() {
             warn!("no_configuration_yet");
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(ROUND_PAUSE_MAX);
+        sleep(delay).await;
+        delay = (delay * 2).min(ROUND_DELAY_MAX);
     }
 }
 
-/// Whether the first page of the source's list is not all of it.
-async fn is_list_long<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
+/// Returns whether the source's list of targets has more than one page.
+async fn has_long_target_list<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     match source.lock().await.begin().await {
         Ok(beginning) => beginning == Beginning::Long,
@@ -160,6 +175,7 @@
     }
 }
 
+/// Task that is aborted when this handle is dropped.
 struct AbortOnDrop(JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -168,45 +184,49 @@
     }
 }
 
-/// Asks peers in short rounds for ever: one that was asked too much names others.
-async fn ask_peers_again(shared: &Arc<Shared>) {
+/// Queries peers in an endless loop of short rounds. A peer that limits its document transfers
+/// returns addresses of other peers, which the next round may choose.
+async fn poll_peers(shared: &Arc<Shared>) {
     loop {
-        ask_peers(shared).await;
-        let spread = rand::rng().random_range(0.5..1.5);
-        sleep(PEERS_PAUSE.mul_f64(spread)).await;
+        query_peers(shared).await;
+        let jitter = rand::rng().random_range(0.5..1.5);
+        sleep(PEER_ROUND_DELAY.mul_f64(jitter)).await;
     }
 }
 
-/// At the first start of the fleet nobody is served yet: the source is left to those processes
-/// that all ask first, while there are any.
+/// At the first start of the fleet, leaves reading the source to the named peers for up to
+/// [`FIRST_START_WAIT_ROUNDS`] rounds, or until no peer is known to run.
+///
+/// No caller is served yet at that time, so waiting costs nothing but a later start.
 async fn wait_for_peers(shared: &Shared) {
     if !shared.settings().is_first_start {
         return;
     }
-    for _ in 0..PATIENT_ROUNDS {
-        sleep(ROUND_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5))).await;
+    for _ in 0..FIRST_START_WAIT_ROUNDS {
+        sleep(ROUND_DELAY.mul_f64(rand::rng().random_range(0.5..1.5))).await;
         if is_alone(shared) {
             return;
         }
     }
 }
 
-/// Whether the settings of other processes name this one as a peer.
-fn is_named(shared: &Shared) -> bool {
+/// Returns whether the peer list in the settings, which all processes share, names this process.
+fn is_named_peer(shared: &Shared) -> bool {
     let settings = shared.settings();
     settings.peers.contains(&settings.peer_address)
 }
 
-/// Source and peers are asked, and the largest revision counts: both may be stale.
+/// Queries the source and peers and adopts the largest revision, because both may be stale.
 async fn bootstrap_from_all<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
     let mut round = 0;
     loop {
         round += 1;
         let (has_platform, peers) =
-            futures::future::join(ask_source::<E>(shared, source), ask_peers(shared)).await;
+            futures::future::join(query_source::<E>(shared, source), query_peers(shared)).await;
         let is_in_force = shared.routing().is_some();
-        let is_asked = peers.answered > 0 || peers.asked == 0 || round >= ROUNDS_FOR_PEERS;
-        if is_in_force && is_asked {
+        let has_peer_round_ended =
+            peers.answered > 0 || peers.asked == 0 || round >= PEER_WAIT_ROUNDS;
+        if is_in_force && has_peer_round_ended {
             let answered = peers.answered;
             info!("bootstrapped", kv: { round, has_platform, peers_answered = answered });
             return;
@@ -215,22 +235,22 @@
             let (asked, answered) = (peers.asked, peers.answered);
             warn!("no_configuration_yet", kv: { round, has_platform, asked, answered });
         }
-        sleep(ROUND_PAUSE).await;
+        sleep(ROUND_DELAY).await;
     }
 }
 
-/// Whether the source answered.
-async fn ask_source<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) -> bool {
+/// Reads the source once; returns whether the source answered.
+async fn query_source<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) -> bool {
     if shared.allocation.socket().is_none() {
-        return ask_platform(shared).await;
+        return query_platform(shared).await;
     }
-    let is_lost = |error: &SourceError| warn!("source_call_failed", kv: { error: = error });
+    let log_failure = |error: &SourceError| warn!("source_call_failed", kv: { error: = error });
     let mut source = source.lock().await;
-    read_once(shared, &mut *source, Duration::ZERO).await.inspect_err(is_lost).is_ok()
+    read_once(shared, &mut *source, Duration::ZERO).await.inspect_err(log_failure).is_ok()
 }
 
-/// Whether the platform answered.
-async fn ask_platform(shared: &Arc<Shared>) -> bool {
+/// Fetches the configuration from the platform once; returns whether the platform answered.
+async fn query_platform(shared: &Arc<Shared>) -> bool {
     match fetch(shared, Document::Configuration, Duration::ZERO).await {
         Ok(published) => {
             if let Some(published) = published {
@@ -245,26 +265,28 @@
     }
 }
 
-struct Peers {
+/// Result of one round of queries to peers.
+struct PeerRound {
     asked: usize,
     answered: usize,
 }
 
-async fn ask_peers(shared: &Arc<Shared>) -> Peers {
+/// Exchanges state with up to [`PEERS_PER_ROUND`] random peers, with preference for document holders.
+async fn query_peers(shared: &Arc<Shared>) -> PeerRound {
     let now = BootClock.now();
-    let picked = {
+    let addresses = {
         let members = &shared.fleet.lock().members;
         let rng = &mut rand::rng();
-        let mut picked = members.pick_document_holders(INFORMED_ASKED, rng);
-        let mut others = members.pick_peers(PEERS_ASKED, now, rng);
-        others.retain(|address| !picked.contains(address));
-        picked.extend(others);
-        picked.truncate(PEERS_ASKED);
-        picked
+        let mut addresses = members.pick_document_holders(DOCUMENT_HOLDERS_PER_ROUND_MAX, rng);
+        let mut others = members.pick_peers(PEERS_PER_ROUND, now, rng);
+        others.retain(|address| !addresses.contains(address));
+        addresses.extend(others);
+        addresses.truncate(PEERS_PER_ROUND);
+        addresses
     };
-    let asked = picked.len();
+    let asked = addresses.len();
     let exchanges =
-        picked.into_iter().map(|address| exchange_once(shared, address, GossipScope::Regular));
+        addresses.into_iter().map(|address| exchange_once(shared, address, GossipScope::Regular));
     let answered = join_all(exchanges).await.into_iter().flatten().count();
-    Peers { asked, answered }
+    PeerRound { asked, answered }
 }
