--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -1,4 +1,4 @@
-//! Taking in datagrams of other entry processes.
+//! Receiver of datagrams from other entry processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,25 +24,26 @@
 use crate::service::ServiceRuntime;
 use crate::shared::Shared;
 
-/// Takes datagrams in for ever; without a socket it waits for ever.
+/// Receives and handles datagrams in an endless loop; never returns if the process has no datagram
+/// socket.
 pub(crate) async fn run_datagrams(shared: Arc<Shared>) -> Result<(), TaskError> {
     let Some(socket) = shared.allocation.socket().cloned() else {
         return std::future::pending().await;
     };
     let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
     loop {
-        // An error is that of an earlier send, which nobody waits for.
+        // A receive error reports the failure of an earlier send, which no task waits for.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         match Datagram::decode(&buffer[..length]) {
-            Ok(datagram) => take(&shared, datagram, from),
+            Ok(datagram) => handle(&shared, datagram, from),
             Err(error) => debug!("datagram_refused", kv: { error: = error }),
         }
     }
 }
 
-fn take(shared: &Arc<Shared>, datagram: Datagram, from: SocketAddr) {
+fn handle(shared: &Arc<Shared>, datagram: Datagram, from: SocketAddr) {
     let Datagram { sender, boot, message } = datagram;
     let client = &shared.allocation;
     shared.fleet.lock().members.record_message(&sender, boot, BootClock.now());
@@ -52,10 +53,10 @@
             shared.fleet.lock().members.record_announcement(&member, BootClock.now());
         }
         Message::News(heads) => receive_relayed_heads(shared, &sender, heads),
-        Message::Suspect(told) => receive_suspect(shared, &sender, &told),
+        Message::Suspect(report) => receive_suspect(shared, &sender, &report),
         Message::Acquire(acquire) => {
             let holder = LeaseHolder { vm: sender, boot, address: Some(from) };
-            take_acquire(shared, holder, from, acquire);
+            handle_acquire(shared, holder, from, acquire);
         }
         Message::Release(release) => {
             if let Some(service) = service(shared, &release.service) {
@@ -65,18 +66,18 @@
         }
         Message::QuotaAsk(ask) => {
             let message = match shared.quotas.asked(shared, &sender, &ask) {
-                QuotaReply::Counted(told) => Message::QuotaCounted(ask.number, told),
+                QuotaReply::Counted(count) => Message::QuotaCounted(ask.number, count),
                 QuotaReply::Elsewhere => Message::QuotaElsewhere(ask.number),
             };
             client.send(from, message);
         }
-        Message::QuotaCounted(number, told) => {
-            shared.quotas.replied(number, QuotaReply::Counted(told));
+        Message::QuotaCounted(number, count) => {
+            shared.quotas.replied(number, QuotaReply::Counted(count));
         }
         Message::QuotaElsewhere(number) => {
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
-        Message::Room(told) => receive_spare_capacity(shared, &sender, &told),
+        Message::Room(report) => receive_spare_capacity(shared, &sender, &report),
         Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
         Message::Granted(number, granted) => client.deliver(number, AcquireReply::Granted(granted)),
         Message::Declined(number) => client.deliver(number, AcquireReply::Declined),
@@ -94,7 +95,7 @@
     }
 }
 
-fn take_acquire(shared: &Shared, holder: LeaseHolder, from: SocketAddr, acquire: Acquire) {
+fn handle_acquire(shared: &Shared, holder: LeaseHolder, from: SocketAddr, acquire: Acquire) {
     let client = &shared.allocation;
     let Some(service) = allocating_service(shared, &acquire.service) else {
         client.send(from, Message::Declined(acquire.number));
