--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answering peers.
+//! RPC server for exchanges and document fetches of peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,15 +24,15 @@
 use crate::control_plane::peer_link::exchange_once;
 use crate::shared::Shared;
 
-/// Connections from peers served at one time.
-const PEERS_MAX: usize = 1_024;
+/// Most peer connections served at the same time.
+const PEER_CONNECTIONS_MAX: usize = 1_024;
 
-/// Accepts peers for ever.
+/// Serves peer connections in an endless loop.
 pub(crate) async fn run_peer_server(
     shared: Arc<Shared>,
     listener: Arc<TcpListener>,
 ) -> Result<(), TaskError> {
-    accept(&listener, PEERS_MAX, "peer_accept_failed", |stream| {
+    accept(&listener, PEER_CONNECTIONS_MAX, "peer_accept_failed", |stream| {
         let server = PeerServer { shared: shared.clone() };
         let channel = peer_channel(stream, server.shared.links.bytes());
         let calls = channel.execute(server.serve());
@@ -72,11 +72,11 @@
 }
 
 impl PeerServer {
-    /// The caller has something newer: an exchange the other way round fetches it.
+    /// Starts an exchange with the calling peer to fetch the newer documents that its summary shows.
     fn fetch_from(&self, address: SocketAddr) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            // A failure is counted and logged there; the next exchange tries again.
+            // `exchange_once` counts and logs a failure; the next exchange retries the fetch.
             let _ = exchange_once(&shared, address, GossipScope::SenderOnly).await;
         });
     }
