--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -1,6 +1,6 @@
-//! Passing new documents on within the data hall.
+//! Distribution of new documents within the data hall along a relay tree.
 //!
-//! See [`thymeshift_fleet::relay_position`] for who fetches from whom.
+//! [`thymeshift_fleet::relay_position`] defines which process fetches from which one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,16 +24,17 @@
 use crate::fleet::Fleet;
 use crate::shared::Shared;
 
-/// Spread of the time for which a process waits for the one above it.
-const PATIENCE_SPREAD: f64 = 0.5;
+/// Jitter of the time for which a process waits for its parent in the relay tree, as a fraction of
+/// that time.
+const WAIT_JITTER: f64 = 0.5;
 
-/// Tells the processes below this one what is in force here.
+/// Sends the revisions in force here to this process's children in the relay tree.
 pub(crate) fn notify_relay_children(shared: &Shared) {
     let (heads, addresses) = {
         let fleet = shared.fleet.lock();
-        let below = place(&fleet).children;
+        let children = own_position(&fleet).children;
         let address = |vm: &VmName| fleet.members.find(vm)?.datagram_address;
-        let addresses: Vec<SocketAddr> = below.iter().filter_map(address).collect();
+        let addresses: Vec<SocketAddr> = children.iter().filter_map(address).collect();
         (heads(&fleet), addresses)
     };
     for address in addresses {
@@ -41,12 +42,13 @@
     }
 }
 
-/// What is in force here.
+/// Returns the revisions of the documents in force here.
 pub(crate) fn heads(fleet: &Fleet) -> Heads {
     Heads { configuration: fleet.configuration.head(), targets: fleet.targets.head() }
 }
 
-/// The process above this one has taken in documents.
+/// Handles the parent's announcement of adopted documents: fetches the documents that are newer
+/// than the ones in force here.
 pub(crate) fn receive_relayed_heads(shared: &Arc<Shared>, sender: &VmName, theirs: Heads) {
     if !has_newer(shared, theirs) {
         return;
@@ -57,15 +59,17 @@
     }
 }
 
-/// A reader of the source told what is in force there. The first of the data hall that hears of
-/// it fetches from whoever told; the others wait for the one above them.
+/// Handles the revisions announced by a reader of the source.
+///
+/// The first process of the data hall's relay tree fetches from the sender at once. Others wait for
+/// their parent, and fetch from the sender if the parent has not delivered the documents in time.
 pub(crate) fn receive_reader_heads(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
     let theirs = heartbeat.heads;
     if !has_newer(shared, theirs) {
         return;
     }
-    let patience = place(&shared.fleet.lock()).wait_limit();
-    if patience.is_zero() {
+    let wait_limit = own_position(&shared.fleet.lock()).wait_limit();
+    if wait_limit.is_zero() {
         fetch(shared, heartbeat.peer_address);
         return;
     }
@@ -74,8 +78,8 @@
     }
     let (shared, address) = (shared.clone(), heartbeat.peer_address);
     tokio::spawn(async move {
-        let spread = rand::rng().random_range(1.0..1.0 + PATIENCE_SPREAD);
-        sleep(patience.mul_f64(spread)).await;
+        let jitter = rand::rng().random_range(1.0..1.0 + WAIT_JITTER);
+        sleep(wait_limit.mul_f64(jitter)).await;
         shared.is_awaiting_relay.store(false, Ordering::Relaxed);
         if has_newer(&shared, theirs) {
             fetch(&shared, address);
@@ -83,7 +87,8 @@
     });
 }
 
-/// Fetches what is newer at a process, after the rest that lists of targets leave.
+/// Fetches newer documents from the process at `address`, after the minimum delay between two
+/// lists of targets. Does nothing if a delayed fetch is already pending.
 fn fetch(shared: &Arc<Shared>, address: SocketAddr) {
     if shared.is_list_fetch_delayed.swap(true, Ordering::Relaxed) {
         return;
@@ -92,12 +97,12 @@
     tokio::spawn(async move {
         sleep(shared.list_fetch_delay()).await;
         shared.is_list_fetch_delayed.store(false, Ordering::Relaxed);
-        // A failure is counted and logged there; the next heartbeat of a reader tries again.
+        // `exchange_once` counts and logs a failure; the next heartbeat of a reader retries.
         let _ = exchange_once(&shared, address, GossipScope::SenderOnly).await;
     });
 }
 
-/// Whether anything is newer there than here.
+/// Returns whether the sender has a newer document than the ones in force here.
 fn has_newer(shared: &Shared, theirs: Heads) -> bool {
     let ours = heads(&shared.fleet.lock());
     is_newer(theirs.configuration, ours.configuration) || is_newer(theirs.targets, ours.targets)
@@ -107,9 +112,9 @@
     theirs.map(|head| head.revision) > ours.map(|head| head.revision)
 }
 
-/// This process's place among those of its data hall.
-fn place(fleet: &Fleet) -> RelayPosition {
+/// Returns this process's position in the relay tree of its data hall.
+fn own_position(fleet: &Fleet) -> RelayPosition {
     let own = fleet.members.own();
-    let near = fleet.members.serving_in(&own.data_hall, BootClock.now());
-    relay_position(&own.vm, near.into_iter().map(Member::candidate))
+    let hall_members = fleet.members.serving_in(&own.data_hall, BootClock.now());
+    relay_position(&own.vm, hall_members.into_iter().map(Member::candidate))
 }
