--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -1,4 +1,5 @@
-//! Reading the source of configuration and targets, while it is this process's turn.
+//! Reader of the source of configuration and targets. Only the processes assigned as readers call
+//! the source; the others receive documents from their peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,57 +32,62 @@
 use crate::fleet::Fleet;
 use crate::shared::Shared;
 
-/// How long the source may hold a call. Short, so that a source that falls silent is noticed
-/// in time by somebody.
-const WATCH_WAIT: Duration = Duration::from_millis(950);
-/// Pause after an answer that brought changes: those that follow at once come together.
-const GATHER: Duration = Duration::from_millis(150);
-/// Longest rest between two looks at whose turn it is.
-const REST_MAX: Duration = Duration::from_millis(800);
+/// Time for which the source may hold a long poll open. Short, so that some reader detects in time
+/// that the source has stopped answering.
+const LONG_POLL_LIMIT: Duration = Duration::from_millis(950);
+/// Delay after an answer with changes, so that further changes in quick succession arrive in one
+/// answer.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(150);
+/// Longest interval between two checks whether this process is the assigned reader.
+const ASSIGNMENT_CHECK_INTERVAL_MAX: Duration = Duration::from_millis(800);
 
-/// Reads for ever, whenever it is this process's turn.
+/// Reads the source in an endless loop, whenever this process is the assigned reader.
 pub(crate) async fn run_source<E: Environment>(
     shared: Arc<Shared>,
     source: SharedSource<E>,
 ) -> Result<(), TaskError> {
     let mut was_answered = true;
-    // Until then the start of the process reads. An error would mean that it is ending.
+    // Until a configuration is in force, bootstrap reads the source. The watch channel fails only
+    // when the process shuts down.
     let _ = shared.has_configuration.subscribe().wait_for(|is_in_force| *is_in_force).await;
     loop {
-        let turn = {
+        let read_action = {
             let now = BootClock.now();
-            turn(&shared.fleet.lock(), now)
+            read_action(&shared.fleet.lock(), now)
         };
-        let wait = match turn {
-            ReadAction::LongPoll => WATCH_WAIT,
+        let wait = match read_action {
+            ReadAction::LongPoll => LONG_POLL_LIMIT,
             ReadAction::Poll => Duration::ZERO,
-            ReadAction::Wait(rest) => {
-                sleep(rest.min(REST_MAX)).await;
+            ReadAction::Wait(delay) => {
+                sleep(delay.min(ASSIGNMENT_CHECK_INTERVAL_MAX)).await;
                 continue;
             }
         };
         let read = read_once(&shared, &mut *source.lock().await, wait).await;
-        log_dependency(&read, &mut was_answered);
-        tell_fleet(&shared, read.is_ok());
+        log_source_transition(&read, &mut was_answered);
+        send_heartbeat(&shared, read.is_ok());
         if let Ok(1..) = read {
-            sleep(GATHER.max(shared.list_fetch_delay())).await;
+            sleep(CHANGE_BATCH_DELAY.max(shared.list_fetch_delay())).await;
         }
     }
 }
 
-fn turn(fleet: &Fleet, now: Timestamp) -> ReadAction {
+/// Returns whether this process reads the source now, and otherwise when to check again.
+fn read_action(fleet: &Fleet, now: Timestamp) -> ReadAction {
     let own = &fleet.members.own().vm;
     let contacts = fleet.members.contacts(now);
     let others = contacts.iter().filter(|member| member.vm != *own);
     let others: Vec<Candidate<'_>> = others.map(|member| member.candidate()).collect();
-    let place = HallRank {
+    let hall_rank = HallRank {
         rank: fleet.members.rank_in_hall(now),
         is_contact: fleet.members.is_contact(now),
     };
-    fleet.readers.next_action(&others, place, now)
+    fleet.readers.next_action(&others, hall_rank, now)
 }
 
-/// Makes one call and puts in force what it brought. Returns how many documents changed.
+/// Calls the source once and offers the returned documents for adoption.
+///
+/// Returns the number of documents that changed, or the error of the call.
 pub(crate) async fn read_once<S: Source>(
     shared: &Arc<Shared>,
     source: &mut S,
@@ -113,7 +119,8 @@
             Ok(changed.len())
         }
         Err(SourceError::Forgotten) => {
-            // The source answered; the next call reads everything at once.
+            // The source is reachable but no longer knows the revision that was asked from; the next
+            // call reads all documents in full.
             fleet.readers.succeeded(now);
             Err(SourceError::Forgotten)
         }
@@ -125,7 +132,7 @@
     }
 }
 
-fn log_dependency(read: &Result<usize, SourceError>, was_answered: &mut bool) {
+fn log_source_transition(read: &Result<usize, SourceError>, was_answered: &mut bool) {
     match read {
         Ok(_) if !*was_answered => info!("source_regained"),
         Err(error) if *was_answered => warn!("source_lost", kv: { error: = error }),
@@ -134,8 +141,9 @@
     *was_answered = read.is_ok();
 }
 
-/// Tells the own data hall, and some processes of every other, how the call ended.
-fn tell_fleet(shared: &Shared, is_answered: bool) {
+/// Reports the result of a call to the source to the processes of this data hall and to some
+/// processes of every other data hall.
+fn send_heartbeat(shared: &Shared, is_answered: bool) {
     let (heartbeat, addresses) = {
         let fleet = shared.fleet.lock();
         let now = BootClock.now();
@@ -147,33 +155,35 @@
             data_hall: own.data_hall.clone(),
             peer_address: own.peer_address,
         };
-        let told = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
-        let addresses = told.filter_map(|member| member.datagram_address);
+        let recipients = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
+        let addresses = recipients.filter_map(|member| member.datagram_address);
         (heartbeat, addresses.collect::<Vec<SocketAddr>>())
     };
     send_to_all(shared, &addresses, &Message::SourceHeartbeat(heartbeat));
 }
 
-/// A reader's news arrived. What comes from another data hall is passed on in the own one.
+/// Handles a heartbeat of a source reader, and forwards a heartbeat from another data hall to the
+/// processes of this data hall.
 pub(crate) fn receive_heartbeat(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
     let now = BootClock.now();
-    let passed_on = {
+    let forwarded = {
         let mut fleet = shared.fleet.lock();
         let SourceHeartbeat { reader, is_answered, heads, .. } = heartbeat;
         let is_due = fleet.news_forwarding.is_due(*is_answered, *heads, now);
         fleet.readers.record_report(reader, *is_answered, now);
         let own = fleet.members.own();
         (heartbeat.data_hall != own.data_hall && is_due).then(|| {
-            let passed_on = SourceHeartbeat {
+            let forwarded = SourceHeartbeat {
                 data_hall: own.data_hall.clone(),
                 peer_address: own.peer_address,
                 ..heartbeat.clone()
             };
-            let near = fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
-            (passed_on, near.collect::<Vec<SocketAddr>>())
+            let hall_peers =
+                fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
+            (forwarded, hall_peers.collect::<Vec<SocketAddr>>())
         })
     };
-    if let Some((heartbeat, addresses)) = passed_on {
+    if let Some((heartbeat, addresses)) = forwarded {
         send_to_all(shared, &addresses, &Message::SourceHeartbeat(heartbeat));
     }
     receive_reader_heads(shared, heartbeat);
