--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -1,8 +1,8 @@
-//! Telling the other allocators of a service how much room there is in the groups that are
-//! allocated here.
+//! Reports of the spare capacity of the target groups that this process allocates, sent to the
+//! other allocators of the same service.
 //!
-//! A process knows a few contacts of each other data hall, and they know who allocates there: a
-//! contact passes the message on.
+//! A process knows only a few contacts of each other data hall. The contacts know the allocators of
+//! their data hall and forward the report to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 use crate::service::ServiceRuntime;
 use crate::shared::Shared;
 
-/// Time between two messages about one group.
-const TELL_EVERY: Duration = Duration::from_millis(250);
+/// Interval between two reports on one group.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Tells for ever.
+/// Sends the reports in an endless loop while this process serves callers.
 pub(crate) async fn run_spare_capacity_reports(shared: Arc<Shared>) -> Result<(), TaskError> {
     loop {
-        sleep(TELL_EVERY).await;
+        sleep(REPORT_INTERVAL).await;
         let Some(routing) = shared.routing() else {
             continue;
         };
@@ -36,12 +36,12 @@
             continue;
         }
         for service in &routing.services {
-            tell_of_service(&shared, service, BootClock.now());
+            report_service(&shared, service, BootClock.now());
         }
     }
 }
 
-fn tell_of_service(shared: &Shared, service: &ServiceRuntime, now: Timestamp) {
+fn report_service(shared: &Shared, service: &ServiceRuntime, now: Timestamp) {
     let groups = service.target_groups();
     if groups.len() < 2 {
         return;
@@ -53,16 +53,16 @@
         if !is_allocated_here(shared, service, group, now) {
             continue;
         }
-        let told = GroupRoom {
+        let report = GroupRoom {
             service: service.name().clone(),
             group: group.clone(),
             allocator: allocator.clone(),
             room: service.group(group).spare_capacity(now),
         };
-        service.record_group_room(&told);
+        service.record_group_room(&report);
         for other in groups.iter().filter(|other| *other != group) {
             if let Some(address) = address_for(shared, service, other, now) {
-                shared.allocation.send(address, Message::Room(told.clone()));
+                shared.allocation.send(address, Message::Room(report.clone()));
             }
         }
     }
@@ -74,15 +74,16 @@
     Some(AllocatorAddress { vm: own.vm.clone(), address: own.datagram_address? })
 }
 
-/// Another group told its room. A process that allocates none of the service's groups passes it on
-/// to who does in its own data hall.
-pub(crate) fn receive_spare_capacity(shared: &Shared, sender: &VmName, told: &GroupRoom) {
+/// Handles a report of another group's spare capacity, and forwards a report that came from the
+/// group's allocator itself to the allocator of this data hall's group.
+pub(crate) fn receive_spare_capacity(shared: &Shared, sender: &VmName, report: &GroupRoom) {
     let routing = shared.routing();
-    let Some(service) = routing.as_ref().and_then(|all| all.service(told.service.as_str())) else {
+    let Some(service) = routing.as_ref().and_then(|all| all.service(report.service.as_str()))
+    else {
         return;
     };
-    service.record_group_room(told);
-    let is_first_hand = *sender == told.allocator.vm;
+    service.record_group_room(report);
+    let is_first_hand = *sender == report.allocator.vm;
     if !is_first_hand {
         return;
     }
@@ -92,7 +93,7 @@
         return;
     };
     if let Some(address) = address_for(shared, service, &group, BootClock.now()) {
-        shared.allocation.send(address, Message::Room(told.clone()));
+        shared.allocation.send(address, Message::Room(report.clone()));
     }
 }
 
@@ -105,8 +106,8 @@
     matches!(service.allocator_order(shared, group, now).first(), Some(None))
 }
 
-/// Where the first allocator of a group that answers is reached, as known here; none if it is
-/// this process.
+/// Returns the address of the first allocator of a group that is considered reachable, or `None` if
+/// that allocator is this process.
 fn address_for(
     shared: &Shared,
     service: &ServiceRuntime,
@@ -114,9 +115,9 @@
     now: Timestamp,
 ) -> Option<SocketAddr> {
     let order = service.allocator_order(shared, group, now);
-    let mut usable = order.iter().filter(|place| match place {
-        Some(place) => !shared.allocation.is_skipped(&place.vm, now),
+    let mut usable = order.iter().filter(|allocator| match allocator {
+        Some(allocator) => !shared.allocation.is_skipped(&allocator.vm, now),
         None => true,
     });
-    usable.next()?.as_ref().map(|place| place.address)
+    usable.next()?.as_ref().map(|allocator| allocator.address)
 }
