--- a/crates/thymeshift_entry/src/control_plane/http_get.rs
+++ b/crates/thymeshift_entry/src/control_plane/http_get.rs
@@ -1,5 +1,6 @@
-//! One GET over a connection of its own, bounded in time and size. Calls to the platform
-//! are few, so that a pool would only add ways to fail.
+//! HTTP GET over a new connection, bounded in time and size.
+//!
+//! Calls to the platform are rare, so a connection pool would only add failure modes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,41 +21,44 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time to open the connection.
+/// Longest time to open the connection of a GET.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
-/// A GET that brought no answer.
+/// Error of a GET that returned no complete answer.
 #[derive(Debug, Display, Error, From)]
 pub enum GetError {
     /// The connection could not be opened.
     #[display("connecting: {_0}")]
     Connect(io::Error),
-    /// The connection was not open in time.
+    /// The connection was not open within the connect timeout.
     #[display("no connection within {CONNECT_LIMIT:?}")]
     ConnectTimedOut,
-    /// The connection broke, or what came is not HTTP.
-    #[display("asking: {_0}")]
+    /// The connection broke, or the answer is not valid HTTP.
+    #[display("HTTP exchange: {_0}")]
     Http(hyper::Error),
-    /// The path cannot be asked for.
-    #[display("the request: {_0}")]
+    /// The path is not valid in an HTTP request.
+    #[display("building the request: {_0}")]
     Request(http::Error),
     #[display("no answer within {limit:?}")]
     #[from(ignore)]
-    /// No answer came in time.
+    /// No complete answer arrived within the caller's time limit.
     TimedOut {
-        /// The time given.
+        /// Time limit of the request and its answer.
         limit: Duration,
     },
-    #[display("the answer breaks off or is longer than {bytes_max} bytes")]
+    #[display("the answer body is incomplete or longer than {bytes_max} bytes")]
     #[from(ignore)]
-    /// The body is incomplete or too long.
+    /// The answer body is incomplete or longer than the limit.
     Body {
-        /// Most bytes taken.
+        /// Largest accepted body, in bytes.
         bytes_max: usize,
     },
 }
 
-/// Asks `address` for `path`.
+/// Sends `GET path` to `address` and returns the answer with its whole body.
+///
+/// Opening the connection is limited separately; `limit` bounds the request and its answer, and
+/// `bytes_max` the body. Returns a [`GetError`] if no complete answer arrives within the limits.
 pub async fn http_get(
     address: SocketAddr,
     path: &str,
@@ -73,7 +77,7 @@
         let body = body.map_err(|_| GetError::Body { bytes_max })?.to_bytes();
         Ok(Response::from_parts(parts, body))
     };
-    // Both ends of the exchange run here, so that giving up closes the connection.
+    // The connection is driven in this future, so dropping the future closes the connection.
     let both = async {
         tokio::select! {
             answer = asking => answer,
