--- a/crates/thymeshift_entry/src/control_plane/observe.rs
+++ b/crates/thymeshift_entry/src/control_plane/observe.rs
@@ -1,6 +1,8 @@
-//! `/live`, `/ready` and `/metrics` for the platform's balancer and for collectors.
+//! HTTP server for `/live`, `/ready` and `/metrics`, for the platform's load balancer and metric
+//! collectors.
 //!
-//! Live: the process runs and answers. Ready: it has a configuration and is not stopping.
+//! `/live` succeeds while the process runs. `/ready` succeeds while the process has a configuration
+//! and is not stopping.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,12 +25,12 @@
 use crate::control_plane::accept::accept;
 use crate::shared::Shared;
 
-/// Connections served at one time.
+/// Most connections to the observe port served at the same time.
 const CONNECTIONS_MAX: usize = 64;
-/// Longest time to send a request's head; also ends idle connections.
+/// Longest time for a client to send a request head. The same timeout closes idle connections.
 const HEAD_LIMIT: Duration = Duration::from_secs(30);
 
-/// Serves for ever.
+/// Serves the observe port in an endless loop.
 pub(crate) async fn run_observe(
     shared: Arc<Shared>,
     listener: Arc<TcpListener>,
@@ -42,7 +44,7 @@
             });
             let mut builder = http1::Builder::new();
             let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEAD_LIMIT);
-            // A broken connection of a collector is the collector's matter.
+            // A connection error concerns only the collector and needs no handling here.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         }
     })
