--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -1,4 +1,5 @@
-//! Talking to peers: regularly to one at random, at once to a few when there is news.
+//! Exchanges with peers: periodically with one random peer, and at once with a few peers when there
+//! is something new to announce.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,38 +36,43 @@
 use crate::control_plane::suspects::log_verdict;
 use crate::shared::Shared;
 
-/// Time between two regular exchanges, before the spread.
-const EXCHANGE_EVERY: Duration = Duration::from_millis(1_250);
-/// The same in a fleet that is larger: members for which it grows by as much again. Processes
-/// that work together hear of each other by datagrams, too.
-const MEMBERS_PER_EXCHANGE_EVERY: u32 = 144;
-/// The same for a process that has just started and hardly knows anybody, and how long it
-/// counts as such.
-const EXCHANGE_EVERY_YOUNG: Duration = Duration::from_millis(200);
-const YOUNG: Duration = Duration::from_secs(4);
-/// The same while it has hardly heard of others: whoever allocates is found by knowing them.
-const EXCHANGE_EVERY_NEW: Duration = Duration::from_millis(50);
-/// Longest time to open a connection to a peer. A VM that has no power yet says nothing, and
-/// what was sent to it is sent again only after a second.
+/// Interval between two periodic exchanges in a small fleet, before jitter.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_250);
+/// Number of members by which the exchange interval grows by another [`EXCHANGE_INTERVAL`]. Processes
+/// that work together also see each other's datagrams, so a large fleet needs fewer exchanges.
+const MEMBERS_PER_EXCHANGE_INTERVAL: u32 = 144;
+/// Interval between two exchanges during the first seconds of a process, while it learns of its
+/// peers.
+const STARTUP_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time since its start for which a process exchanges more often.
+const STARTUP_PERIOD: Duration = Duration::from_secs(4);
+/// Interval between two exchanges while a starting process knows hardly any peer: it needs to know
+/// the members to find the allocators.
+const FIRST_CONTACTS_EXCHANGE_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time to open a connection to a peer. A VM that is powered off does not answer, and the
+/// kernel repeats an unanswered connection request only after one second.
 const CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// Longest time for one exchange.
+/// Longest time for one exchange with a peer.
 const CALL_LIMIT: Duration = Duration::from_millis(500);
-/// Longest time to fetch a document: it may be long, and the link of a small VM busy.
+/// Longest time to fetch a document, which may be long while a small VM's network link is busy.
 const FETCH_LIMIT: Duration = Duration::from_secs(2);
-/// Peers told at once when there is news.
-const TOLD_AT_ONCE: usize = 3;
-/// Time after which a document is fetched from another peer although the answer of the first
-/// has not come.
-const FETCH_AGAIN: Duration = Duration::from_millis(400);
-/// Whole documents that one process hands out within [`SERVING_WINDOW`]. Who is refused asks
-/// one that was served: so documents reach a young fleet as along a tree, and not over the link
-/// of the few processes that everybody knows. The number is chosen, not measured.
-const SERVED_AT_ONCE_MAX: u32 = 8;
-const SERVING_WINDOW: Duration = Duration::from_millis(50);
-/// Connections to peers kept open.
-const LINKS_MAX: usize = 32;
+/// Number of peers to exchange with at once when there is something new to announce.
+const ANNOUNCEMENT_PEERS: usize = 3;
+/// Time after which a document is fetched from another peer while the first peer has not yet
+/// answered.
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Most whole documents that a process sends to peers within [`TRANSFER_WINDOW`].
+///
+/// A refused peer fetches from a peer that was served. Documents so spread through a starting fleet
+/// like along a tree, rather than over the network links of the few processes that all others know.
+const TRANSFERS_PER_WINDOW_MAX: u32 = 8;
+/// Length of the window in which sent documents are counted.
+const TRANSFER_WINDOW: Duration = Duration::from_millis(50);
+/// Most connections to peers kept open. When a new connection reaches the limit, the process drops
+/// all older ones.
+const OPEN_CONNECTIONS_MAX: usize = 32;
 
-/// An exchange that brought no answer.
+/// Error of an exchange that returned no answer.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ExchangeError {
     #[display("connecting to peer: {_0}")]
@@ -79,15 +85,15 @@
 #[derive(Default)]
 pub(crate) struct PeerLinks {
     open: Mutex<HashMap<SocketAddr, PeerLinkClient>>,
-    /// Documents that are being fetched, and since when.
+    /// Documents being fetched, with the time of the last fetch.
     fetching: Mutex<HashMap<Document, Timestamp>>,
-    serving: Mutex<Serving>,
+    transfers: Mutex<TransferWindow>,
     bytes: Arc<LinkBytes>,
 }
 
-/// Whole documents handed out lately.
+/// Count of the whole documents sent to peers in the current window.
 #[derive(Default)]
-struct Serving {
+struct TransferWindow {
     since: Timestamp,
     count: u32,
 }
@@ -99,105 +105,117 @@
         }
         let client = connect_peer(address, CONNECT_LIMIT, &self.bytes).await?;
         let mut links = self.open.lock();
-        if links.len() >= LINKS_MAX {
+        if links.len() >= OPEN_CONNECTIONS_MAX {
             links.clear();
         }
         links.insert(address, client.clone());
         Ok(client)
     }
 
-    /// Whether a document may be fetched now: not if another peer was asked for it a moment
-    /// ago, whose answer is on its way.
+    /// Returns whether a document may be fetched now, and records the fetch if so.
+    ///
+    /// Refuses a fetch that starts less than [`FETCH_RETRY_DELAY`] after one of the same document that is
+    /// still running.
     fn begin_fetch(&self, document: Document, now: Timestamp) -> bool {
         let mut fetching = self.fetching.lock();
-        let is_under_way = fetching.get(&document).is_some_and(|at| now.since(*at) < FETCH_AGAIN);
-        if !is_under_way {
+        let is_pending =
+            fetching.get(&document).is_some_and(|at| now.since(*at) < FETCH_RETRY_DELAY);
+        if !is_pending {
             fetching.insert(document, now);
         }
-        !is_under_way
+        !is_pending
     }
 
-    /// A fetch has ended.
+    /// Records that a fetch has ended, so that the document may be fetched again.
     fn end_fetch(&self, document: Document) {
         self.fetching.lock().remove(&document);
     }
 
-    /// Whether a whole document may be handed out now; it counts if so.
+    /// Returns whether a whole document may be sent to a peer now, and counts the request.
     pub(crate) fn try_begin_transfer(&self, now: Timestamp) -> bool {
-        let mut serving = self.serving.lock();
-        if now.since(serving.since) >= SERVING_WINDOW {
-            *serving = Serving { since: now, count: 0 };
+        let mut transfers = self.transfers.lock();
+        if now.since(transfers.since) >= TRANSFER_WINDOW {
+            *transfers = TransferWindow { since: now, count: 0 };
         }
-        serving.count += 1;
-        serving.count <= SERVED_AT_ONCE_MAX
+        transfers.count += 1;
+        transfers.count <= TRANSFERS_PER_WINDOW_MAX
     }
 
-    fn forget(&self, address: SocketAddr) {
+    fn drop_connection(&self, address: SocketAddr) {
         self.open.lock().remove(&address);
     }
 
-    /// Bytes over links to and from peers.
+    /// Returns the counters of bytes received from and sent to peers.
     pub(crate) fn bytes(&self) -> &Arc<LinkBytes> {
         &self.bytes
     }
 }
 
-/// Exchanges for ever.
+/// Exchanges state with peers in an endless loop.
 pub(crate) async fn run_peer_link(shared: Arc<Shared>) -> Result<(), TaskError> {
     loop {
-        let spread = rand::rng().random_range(0.8..1.2);
-        let every = exchange_every(&shared);
-        let is_news =
-            timeout(every.mul_f64(spread), shared.peer_exchange_due.notified()).await.is_ok();
-        if is_news {
-            exchange_with(&shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
+        let jitter = rand::rng().random_range(0.8..1.2);
+        let interval = exchange_interval(&shared);
+        let is_due_early =
+            timeout(interval.mul_f64(jitter), shared.peer_exchange_due.notified()).await.is_ok();
+        if is_due_early {
+            exchange_with(&shared, ANNOUNCEMENT_PEERS, GossipScope::SenderOnly).await;
         } else {
             exchange_with(&shared, 1, GossipScope::Regular).await;
         }
     }
 }
 
-fn exchange_every(shared: &Shared) -> Duration {
+/// Returns the interval until the next periodic exchange, before jitter.
+fn exchange_interval(shared: &Shared) -> Duration {
     let now = BootClock.now();
     let fleet = shared.fleet.lock();
-    if now.since(shared.started_at) < YOUNG {
-        return if fleet.members.is_new() { EXCHANGE_EVERY_NEW } else { EXCHANGE_EVERY_YOUNG };
+    if now.since(shared.started_at) < STARTUP_PERIOD {
+        return if fleet.members.is_new() {
+            FIRST_CONTACTS_EXCHANGE_INTERVAL
+        } else {
+            STARTUP_EXCHANGE_INTERVAL
+        };
     }
     let members = fleet.members.count_alive(now);
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    EXCHANGE_EVERY + EXCHANGE_EVERY * members / MEMBERS_PER_EXCHANGE_EVERY
+    EXCHANGE_INTERVAL + EXCHANGE_INTERVAL * members / MEMBERS_PER_EXCHANGE_INTERVAL
 }
 
-/// Tells a few peers that this process is stopping.
+/// Announces to a few peers that this process is stopping.
 pub(crate) async fn announce_shutdown(shared: &Arc<Shared>) {
-    exchange_with(shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
+    exchange_with(shared, ANNOUNCEMENT_PEERS, GossipScope::SenderOnly).await;
 }
 
-async fn exchange_with(shared: &Arc<Shared>, count: usize, breadth: GossipScope<'static>) {
-    let picked = {
+/// Exchanges state with `count` random peers at the same time.
+async fn exchange_with(shared: &Arc<Shared>, count: usize, scope: GossipScope<'static>) {
+    let addresses = {
         let now = BootClock.now();
         let mut fleet = shared.fleet.lock();
         let revision = fleet.configuration.head().map(|head| head.revision);
         fleet.members.advance_heartbeat(shared.phase(), revision);
         fleet.members.pick_peers(count, now, &mut rand::rng())
     };
-    let exchanges = picked.into_iter().map(|address| exchange_once(shared, address, breadth));
+    let exchanges = addresses.into_iter().map(|address| exchange_once(shared, address, scope));
     join_all(exchanges).await;
 }
 
-/// One exchange, and what it shows to be wanted.
+/// Exchanges state with the peer at `address` once, and fetches the documents that are newer there.
+///
+/// Counts the result. A failure is also logged and recorded for the peer, and its connection is
+/// dropped.
 pub(crate) async fn exchange_once(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    breadth: GossipScope<'_>,
+    scope: GossipScope<'_>,
 ) -> Result<(), ExchangeError> {
-    let answered = call(shared, address, breadth).await;
+    let answered = call(shared, address, scope).await;
     let result = if answered.is_ok() { "answered" } else { "failed" };
     counter!(metric::PEER_EXCHANGES, "result" => result).increment(1);
     if let Err(error) = &answered {
         let peer = address.to_string();
         debug!("peer_exchange_failed", kv: { peer, error: = error });
-        shared.links.forget(address);
+        shared.links.drop_connection(address);
         shared.fleet.lock().members.record_no_answer(address);
     }
     answered
@@ -206,13 +224,13 @@
 async fn call(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    breadth: GossipScope<'_>,
+    scope: GossipScope<'_>,
 ) -> Result<(), ExchangeError> {
     let client = shared.links.get(address).await?;
-    let mut summary = shared.fleet.lock().summary(breadth, BootClock.now(), &mut rand::rng());
+    let mut summary = shared.fleet.lock().summary(scope, BootClock.now(), &mut rand::rng());
     summary.rate_limits = shared.rate_limit_updates();
     let answer = client.exchange(call_context(CALL_LIMIT), summary).await?;
-    take(shared, &client, &answer, address).await
+    apply_answer(shared, &client, &answer, address).await
 }
 
 fn call_context(limit: Duration) -> context::Context {
@@ -221,8 +239,8 @@
     context
 }
 
-/// Takes in a peer's summary and fetches what it has newer.
-async fn take(
+/// Applies a peer's summary and fetches the peer's newer documents.
+async fn apply_answer(
     shared: &Arc<Shared>,
     client: &PeerLinkClient,
     exchange: &Exchange,
@@ -230,8 +248,8 @@
 ) -> Result<(), ExchangeError> {
     let wanted = apply_summary(shared, exchange);
     for document in wanted {
-        let is_resting = document == Document::Targets && !shared.list_fetch_delay().is_zero();
-        if is_resting || !shared.links.begin_fetch(document, BootClock.now()) {
+        let is_delayed = document == Document::Targets && !shared.list_fetch_delay().is_zero();
+        if is_delayed || !shared.links.begin_fetch(document, BootClock.now()) {
             continue;
         }
         let have = shared.fleet.lock().document(document).head();
@@ -248,29 +266,29 @@
     Ok(())
 }
 
-/// Takes in a peer's summary; returns the documents that it has newer.
+/// Applies a peer's summary; returns the documents of which the peer has a newer revision.
 pub(crate) fn apply_summary(
     shared: &Arc<Shared>,
     exchange: &Exchange,
 ) -> Vec<thymeshift_wire::Document> {
-    let taken = shared.fleet.lock().apply_exchange(exchange, BootClock.now());
-    for mark in &taken.new_marks {
+    let applied = shared.fleet.lock().apply_exchange(exchange, BootClock.now());
+    for mark in &applied.new_marks {
         shared.apply_mark(mark, "peer");
     }
-    if let Some(head) = taken.conflicting_head {
+    if let Some(head) = applied.conflicting_head {
         counter!(metric::DOCUMENTS_REFUSED, "offer" => "conflicting").increment(1);
         error!("document_conflicting", kv: {
             document = "configuration",
             revision: = head.revision, digest: = head.digest, source = "peer"
         });
     }
-    if taken.has_new_orders {
+    if applied.has_new_orders {
         shared.apply_orders();
         shared.peer_exchange_due.notify_one();
     }
     shared.merge_rate_limits(&exchange.rate_limits);
-    for fingerprint in &taken.new_suspects {
+    for fingerprint in &applied.new_suspects {
         log_verdict(shared, *fingerprint, "peer");
     }
-    taken.wanted_documents
+    applied.wanted_documents
 }
