--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -1,8 +1,9 @@
-//! Watching the platform, while it is this process's turn.
+//! Watcher of the platform. Only the processes elected as watchers call the platform.
 //!
-//! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for
-//! `/v1/vms`: `200` with the document and its revision in `thymeshift-revision`, or `204`
-//! if nothing newer than `R` came within `W`. Each call counts against the fleet's budget.
+//! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`. It
+//! answers `200` with the document, whose revision is in the `thymeshift-revision` header, or `204`
+//! if nothing newer than `R` is published within `W`. Each call counts against the fleet's budget of
+//! calls to the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,39 +26,39 @@
 use crate::native::ask;
 use crate::shared::Shared;
 
-/// How long the platform may hold a call open.
-const WAIT: Duration = Duration::from_secs(5);
-/// Time between two looks at whose turn it is.
-const LOOK: Duration = Duration::from_millis(100);
-/// Time between two calls for the VM list. The list lags anyway.
-const VM_LIST_EVERY: Duration = Duration::from_secs(10);
-/// Pause after a call that failed; the next process tries meanwhile.
-const FAILED_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which the platform may hold a long poll open.
+const LONG_POLL_LIMIT: Duration = Duration::from_secs(5);
+/// Interval between two checks whether this process is an elected watcher.
+const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two calls for the VM list, which lags behind the actual VMs anyway.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(10);
+/// Delay after a failed call to the platform; the next watcher calls in the meantime.
+const FAILURE_DELAY: Duration = Duration::from_secs(1);
 
-/// Watches for ever, whenever it is this process's turn.
+/// Watches the platform in an endless loop, whenever this process is an elected watcher.
 pub(crate) async fn run_platform(shared: Arc<Shared>) -> Result<(), TaskError> {
     let mut listed_at: Option<Timestamp> = None;
-    // After a failure the next call does not wait: a platform that accepts calls and says
-    // nothing is noticed, and so is its return, within the answer's limit.
-    let mut wait = WAIT;
+    // After a failure, the next call is no long poll. A platform that accepts calls without
+    // answering, and its recovery, are then detected within the time limit of an answer.
+    let mut wait = LONG_POLL_LIMIT;
     loop {
-        let has_token = {
+        let should_watch = {
             let now = BootClock.now();
             let mut fleet = shared.fleet.lock();
             let count = fleet.members.count_alive(now);
             fleet.election.should_watch(count, now)
         };
-        if !has_token {
-            sleep(LOOK).await;
+        if !should_watch {
+            sleep(ELECTION_CHECK_INTERVAL).await;
             continue;
         }
         shared.peer_exchange_due.notify_one();
         let watched = watch_once(&shared, &mut listed_at, wait).await;
-        wait = if watched.is_ok() { WAIT } else { Duration::ZERO };
+        wait = if watched.is_ok() { LONG_POLL_LIMIT } else { Duration::ZERO };
         if let Err(error) = watched {
             warn!("platform_call_failed", kv: { error: = error });
             shared.fleet.lock().election.failed(BootClock.now());
-            sleep(FAILED_PAUSE).await;
+            sleep(FAILURE_DELAY).await;
         }
     }
 }
@@ -68,7 +69,7 @@
     wait: Duration,
 ) -> Result<(), SourceError> {
     let now = BootClock.now();
-    if listed_at.is_none_or(|at| now.since(at) >= VM_LIST_EVERY) {
+    if listed_at.is_none_or(|at| now.since(at) >= VM_LIST_INTERVAL) {
         *listed_at = Some(now);
         if let Some(published) = fetch(shared, Document::VmList, Duration::ZERO).await? {
             offer(shared, Document::VmList, &published, "platform");
@@ -77,15 +78,15 @@
     if let Some(published) = fetch(shared, Document::Configuration, wait).await? {
         let offered = offer(shared, Document::Configuration, &published, "platform");
         if offered != OfferOutcome::Adopted {
-            // The platform answers older or refused content at once: do not ask in a loop.
-            sleep(WAIT).await;
+            // The platform returns old or rejected content at once; the delay prevents a busy loop.
+            sleep(LONG_POLL_LIMIT).await;
         }
     }
     shared.fleet.lock().election.succeeded();
     Ok(())
 }
 
-/// Asks the platform for a document newer than the one known.
+/// Fetches a document from the platform if its revision is newer than the known one.
 pub(crate) async fn fetch(
     shared: &Arc<Shared>,
     document: Document,
@@ -93,13 +94,13 @@
 ) -> Result<Option<Published>, SourceError> {
     let known = shared.fleet.lock().document(document).head();
     let after = known.map_or(0, |head| head.revision.as_u64());
-    let place = match document {
+    let document_path = match document {
         Document::Configuration => "configuration",
         Document::VmList => "vms",
         Document::Targets => "targets",
     };
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
-    let answered = ask(shared.settings().platform_address, place, after, wait).await;
+    let answered = ask(shared.settings().platform_address, document_path, after, wait).await;
     let result = match &answered {
         Ok(Some(_)) => "changed",
         Ok(None) => "unchanged",
@@ -112,7 +113,7 @@
     answered
 }
 
-/// Offers a document from any source.
+/// Offers a document for adoption; `source` states in the log where the document comes from.
 pub(crate) fn offer(
     shared: &Arc<Shared>,
     document: Document,
@@ -126,7 +127,8 @@
     }
 }
 
-/// The VM list is one peer address a line; a line that is none makes the list invalid.
+/// Offers a VM list for adoption. The list has one peer address per line, and one invalid line makes
+/// the whole list invalid.
 fn offer_vm_list(shared: &Shared, published: &Published) -> OfferOutcome {
     let mut fleet = shared.fleet.lock();
     let parse = |text: &str| -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
