--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -1,7 +1,9 @@
-//! Telling the fleet of requests that targets crash under, and of those that are cleared.
+//! Reports to the fleet on requests suspected of crashing targets, and on requests cleared of the
+//! suspicion.
 //!
-//! News goes by datagram to the own data hall and to some processes of every other, which pass it
-//! on in theirs; where there are no datagrams, with the next exchanges.
+//! A report is sent by datagram to the processes of this data hall and to some processes of every
+//! other data hall, which forward the report within theirs. Without a datagram socket, the report is
+//! part of the next exchanges with peers.
 
 use std::net::SocketAddr;
 
@@ -22,7 +24,8 @@
 use crate::shared::Shared;
 use crate::target_client::TargetCrash;
 
-/// A target ended while it ran a request of this process.
+/// Records that a target crashed while it ran a request of this process, and reports the request to
+/// the fleet if its verdict is new.
 pub(crate) fn report_crash(shared: &Shared, fingerprint: Fingerprint, crash: &TargetCrash) {
     let now = BootClock.now();
     let number = shared.next_crash_number();
@@ -41,11 +44,12 @@
     });
     if shared.fleet.lock().quarantine.record_crash(fingerprint, &reported, now) {
         log_verdict(shared, fingerprint, "own");
-        tell(shared, fingerprint);
+        send_report(shared, fingerprint);
     }
 }
 
-/// A target answered a request of this process, so that it outlived it.
+/// Records that a target answered a request of this process without crashing, and reports the
+/// request to the fleet if the answer clears it of a suspicion.
 pub(crate) fn report_answered(shared: &Shared, fingerprint: Fingerprint) {
     let is_cleared = {
         let quarantine = &mut shared.fleet.lock().quarantine;
@@ -53,28 +57,30 @@
     };
     if is_cleared {
         log_verdict(shared, fingerprint, "own");
-        tell(shared, fingerprint);
+        send_report(shared, fingerprint);
     }
 }
 
-/// A peer told of a suspect. What comes from another data hall is passed on in the own one.
-pub(crate) fn receive_suspect(shared: &Shared, sender: &VmName, told: &SuspectReport) {
+/// Handles a peer's report on a suspected request, and forwards a report from another data hall to
+/// the processes of this data hall.
+pub(crate) fn receive_suspect(shared: &Shared, sender: &VmName, report: &SuspectReport) {
     let now = BootClock.now();
-    let near = {
+    let hall_addresses = {
         let mut fleet = shared.fleet.lock();
-        if !fleet.quarantine.merge(told, now) {
+        if !fleet.quarantine.merge(report, now) {
             return;
         }
         let own_hall = &fleet.members.own().data_hall;
         let is_near = fleet.members.find(sender).is_none_or(|member| member.data_hall == *own_hall);
-        let near = fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
-        if is_near { Vec::new() } else { near.collect() }
+        let hall_addresses =
+            fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
+        if is_near { Vec::new() } else { hall_addresses.collect() }
     };
-    log_verdict(shared, told.fingerprint, "peer");
-    send(shared, &near, told);
+    log_verdict(shared, report.fingerprint, "peer");
+    send(shared, &hall_addresses, report);
 }
 
-/// Logs what holds for a request of which something new is known.
+/// Logs the current verdict on a request after a new crash, answer or report.
 pub(crate) fn log_verdict(shared: &Shared, fingerprint: Fingerprint, source: &'static str) {
     match shared.fleet.lock().quarantine.verdict(fingerprint, BootClock.now()) {
         Verdict::Free => info!("request_cleared", kv: { fingerprint: = fingerprint, source }),
@@ -88,26 +94,28 @@
     }
 }
 
-fn tell(shared: &Shared, fingerprint: Fingerprint) {
+/// Sends a report on the request by datagram, or triggers an exchange with peers if the process has
+/// no datagram socket.
+fn send_report(shared: &Shared, fingerprint: Fingerprint) {
     if shared.allocation.socket().is_none() {
         shared.peer_exchange_due.notify_one();
         return;
     }
-    let (told, addresses) = {
+    let (report, addresses) = {
         let now = BootClock.now();
         let fleet = shared.fleet.lock();
-        let Some(told) = fleet.quarantine.report(fingerprint, now) else {
+        let Some(report) = fleet.quarantine.report(fingerprint, now) else {
             return;
         };
         let members = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
         let addresses: Vec<_> = members.filter_map(|member| member.datagram_address).collect();
-        (told, addresses)
+        (report, addresses)
     };
-    send(shared, &addresses, &told);
+    send(shared, &addresses, &report);
 }
 
-fn send(shared: &Shared, addresses: &[SocketAddr], told: &SuspectReport) {
+fn send(shared: &Shared, addresses: &[SocketAddr], report: &SuspectReport) {
     for address in addresses {
-        shared.allocation.send(*address, Message::Suspect(told.clone()));
+        shared.allocation.send(*address, Message::Suspect(report.clone()));
     }
 }
