--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -116,8 +116,8 @@
 
 /// Probes the targets that this process allocates and waits for the first answers.
 ///
-/// No peer has reported the targets' load, and other processes may have started at the same time and
-/// send requests to the same targets.
+/// No peer has reported the targets' load, and other processes may have started at the same time
+/// and send requests to the same targets.
 async fn probe_initial_loads(shared: &Shared) {
     let Some(routing) = shared.routing() else {
         return;
@@ -271,7 +271,8 @@
     answered: usize,
 }
 
-/// Exchanges state with up to [`PEERS_PER_ROUND`] random peers, with preference for document holders.
+/// Exchanges state with up to [`PEERS_PER_ROUND`] random peers, with preference for document
+/// holders.
 async fn query_peers(shared: &Arc<Shared>) -> PeerRound {
     let now = BootClock.now();
     let addresses = {
