--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -1,4 +1,5 @@
-//! Communication of an entry process with the platform, its peers and operators; readiness and metrics.
+//! Communication of an entry process with the platform, its peers and operators; readiness and
+//! metrics.
 
 mod accept;
 mod bootstrap;
