--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -38,8 +38,9 @@
 
 /// Interval between two periodic exchanges in a small fleet, before jitter.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_250);
-/// Number of members by which the exchange interval grows by another [`EXCHANGE_INTERVAL`]. Processes
-/// that work together also see each other's datagrams, so a large fleet needs fewer exchanges.
+/// Number of members by which the exchange interval grows by another [`EXCHANGE_INTERVAL`].
+/// Processes that work together also see each other's datagrams, so a large fleet needs fewer
+/// exchanges.
 const MEMBERS_PER_EXCHANGE_INTERVAL: u32 = 144;
 /// Interval between two exchanges during the first seconds of a process, while it learns of its
 /// peers.
@@ -114,8 +115,8 @@
 
     /// Returns whether a document may be fetched now, and records the fetch if so.
     ///
-    /// Refuses a fetch that starts less than [`FETCH_RETRY_DELAY`] after one of the same document that is
-    /// still running.
+    /// Refuses a fetch that starts less than [`FETCH_RETRY_DELAY`] after one of the same document
+    /// that is still running.
     fn begin_fetch(&self, document: Document, now: Timestamp) -> bool {
         let mut fetching = self.fetching.lock();
         let is_pending =
