--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -2,8 +2,8 @@
 //!
 //! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`. It
 //! answers `200` with the document, whose revision is in the `thymeshift-revision` header, or `204`
-//! if nothing newer than `R` is published within `W`. Each call counts against the fleet's budget of
-//! calls to the platform.
+//! if nothing newer than `R` is published within `W`. Each call counts against the fleet's budget
+//! of calls to the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -127,8 +127,8 @@
     }
 }
 
-/// Offers a VM list for adoption. The list has one peer address per line, and one invalid line makes
-/// the whole list invalid.
+/// Offers a VM list for adoption. The list has one peer address per line, and one invalid line
+/// makes the whole list invalid.
 fn offer_vm_list(shared: &Shared, published: &Published) -> OfferOutcome {
     let mut fleet = shared.fleet.lock();
     let parse = |text: &str| -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
