--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -119,8 +119,8 @@
             Ok(changed.len())
         }
         Err(SourceError::Forgotten) => {
-            // The source is reachable but no longer knows the revision that was asked from; the next
-            // call reads all documents in full.
+            // The source is reachable but no longer knows the revision that was asked from; the
+            // next call reads all documents in full.
             fleet.readers.succeeded(now);
             Err(SourceError::Forgotten)
         }
