--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -2,8 +2,8 @@
 //! suspicion.
 //!
 //! A report is sent by datagram to the processes of this data hall and to some processes of every
-//! other data hall, which forward the report within theirs. Without a datagram socket, the report is
-//! part of the next exchanges with peers.
+//! other data hall, which forward the report within theirs. Without a datagram socket, the report
+//! is part of the next exchanges with peers.
 
 use std::net::SocketAddr;
 
