--- a/crates/thymeshift_entry/src/target_client/answer.rs
+++ b/crates/thymeshift_entry/src/target_client/answer.rs
@@ -1,4 +1,5 @@
-//! An answer whose head has arrived: passed on as it comes, or taken in whole first.
+//! Answer of a target whose head has arrived: streamed to the caller, or buffered before
+//! forwarding.
 
 use std::time::Duration;
 
@@ -13,35 +14,40 @@
 use crate::target_client::BodyError;
 use crate::target_client::TargetBody;
 
+/// Answer of a target whose body is still arriving.
 pub(crate) struct Answer {
     pub(crate) parts: Parts,
     pub(crate) incoming: Incoming,
-    pub(crate) lease: AnswerResources,
+    pub(crate) resources: AnswerResources,
     pub(crate) body_stall: Duration,
 }
 
 impl Answer {
-    /// The answer, passed on as it arrives.
+    /// Returns the answer with a body that is forwarded as it arrives.
     pub(crate) fn streamed(self) -> Response<TargetBody> {
-        let body = TargetBody::new(self.incoming, self.lease, self.body_stall);
+        let body = TargetBody::new(self.incoming, self.resources, self.body_stall);
         Response::from_parts(self.parts, body)
     }
 
-    /// The answer once it is complete, or once `bytes_max` of it are here. An answer that
-    /// breaks off before is an error.
+    /// Returns the answer once its body is complete, or once `bytes_max` of the body have arrived.
+    ///
+    /// Returns an error if the body breaks off or stalls before that.
     pub(crate) async fn buffered(self, bytes_max: u64) -> Result<Response<TargetBody>, BodyError> {
-        let mut body = TargetBody::new(self.incoming, self.lease, self.body_stall);
-        let mut taken = BytesMut::new();
-        while (taken.len() as u64) < bytes_max {
+        let mut body = TargetBody::new(self.incoming, self.resources, self.body_stall);
+        let mut buffer = BytesMut::new();
+        while (buffer.len() as u64) < bytes_max {
             let Some(frame) = body.frame().await else {
-                return Ok(Response::from_parts(self.parts, TargetBody::whole(taken.freeze())));
+                return Ok(Response::from_parts(
+                    self.parts,
+                    TargetBody::from_buffered(buffer.freeze()),
+                ));
             };
-            // Trailers are not passed on in answers that were held.
+            // Trailers of buffered answers are dropped.
             if let Ok(data) = frame?.into_data() {
-                taken.extend_from_slice(&data);
+                buffer.extend_from_slice(&data);
             }
         }
-        let body = body.after(Bytes::from(taken));
+        let body = body.with_prefix(Bytes::from(buffer));
         Ok(Response::from_parts(self.parts, body))
     }
 }
