--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target.
+//! One attempt to have a request answered by one target.
 
 use std::error::Error;
 use std::marker::PhantomData;
@@ -42,51 +42,52 @@
 use crate::target_client::pool::Connection;
 use crate::target_client::statements::TargetStatements;
 
-/// Whether a connection that served before may be used.
+/// Whether an attempt may reuse an idle connection of the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// It may.
+    /// An idle connection may be reused.
     Any,
-    /// It may not. The target may be closing an idle connection in the very moment in
-    /// which the request is sent, and then nobody knows whether it ran.
+    /// The connection must be new. A target may close an idle connection just as the request is
+    /// sent, and it is then unknown whether the request ran.
     New,
 }
 
-/// What an attempt is to do.
+/// Request and limits of one attempt.
 pub(crate) struct AttemptPlan {
     pub(crate) head: http::request::Parts,
     pub(crate) body: RequestBody,
     pub(crate) deadline: Timestamp,
-    /// What the target is told, but for the time left.
+    /// Call context sent to the target, except for the remaining time.
     pub(crate) context: CallContext,
-    /// Identity of this attempt.
+    /// Identifier of this attempt, sent to the target.
     pub(crate) id: HeaderValue,
     pub(crate) freshness: Freshness,
     pub(crate) body_stall: Duration,
-    /// Identity of the caller's request.
+    /// Identifier of the caller's request, the same for all its attempts.
     pub(crate) request_id: HeaderValue,
-    /// The organisation whose key the caller sent.
+    /// Organisation whose key the caller sent.
     pub(crate) organisation: Option<OrganisationName>,
-    /// Answers up to this length are taken in whole before they count as answers.
+    /// Number of bytes up to which an answer is buffered before it counts as an answer; 0 streams
+    /// every answer.
     pub(crate) answer_buffer_bytes: u64,
 }
 
-/// An attempt that brought no answer.
+/// Failure of an attempt: no answer of the target is to be forwarded, or only as the last resort.
 pub(crate) struct AttemptFailure {
     pub(crate) failure: Failure,
-    /// The target that was tried; none if it may not be used any more.
+    /// Target that was tried; `None` if the target may not be used any more.
     pub(crate) target: Option<TargetIndex>,
-    /// Whether anything was sent, so that it counts as an attempt.
+    /// Whether the failure counts as an attempt, because part of the request may have been sent.
     pub(crate) is_sent: bool,
-    /// The body, if it was not used.
+    /// Request body, if no part of it was sent.
     pub(crate) body: Option<RequestBody>,
-    /// The target's own failure, to be passed on if nothing more is tried.
+    /// Failure answer of the target itself, forwarded to the caller if no other attempt follows.
     pub(crate) answer: Option<Response<TargetBody>>,
-    /// The end of the target, if that is why there is no answer.
+    /// Crash of the target, if the crash caused the failure.
     pub(crate) crash: Option<TargetCrash>,
 }
 
-/// An attempt at the granted target.
+/// Attempt at the target of a grant.
 pub(crate) struct Attempt<D> {
     dialect: PhantomData<D>,
     shared: Arc<Shared>,
@@ -106,28 +107,30 @@
         &self.grant
     }
 
-    /// Runs the attempt. Dropping the future cancels it at the target: its connection is
-    /// closed.
+    /// Runs the attempt and returns the target's answer, or the failure of the attempt.
+    ///
+    /// Dropping the future closes the connection, which cancels the attempt at the target.
     pub(crate) async fn run(
         self,
         plan: AttemptPlan,
     ) -> Result<Response<TargetBody>, Box<AttemptFailure>> {
         let Some(destination) = self.grant.destination() else {
-            return Err(self.given_up(plan.body).into());
+            return Err(self.not_sent(plan.body).into());
         };
         let connection = match self.connection(&plan, &destination).await {
             Ok(connection) => connection,
-            Err(error) => return Err(self.unconnected(plan.body, &destination, &error).into()),
+            Err(error) => return Err(self.connect_failed(plan.body, &destination, &error).into()),
         };
-        // The last look before the first byte: the target may have begun to leave, the
-        // process may have slept.
+        // Last check before the first byte: since the grant, the target may have started to leave
+        // or the process may have been paused.
         if !self.grant.may_send(plan.deadline) {
             connection.put_back();
-            return Err(self.given_up(plan.body).into());
+            return Err(self.not_sent(plan.body).into());
         }
         self.send(plan, connection, destination).await
     }
 
+    /// Returns an idle connection if the plan allows one, or else opens a connection.
     async fn connection(
         &self,
         plan: &AttemptPlan,
@@ -169,7 +172,7 @@
         };
         D::write_attempt(request.headers_mut(), &attempt);
         let Some(sender) = connection.sender() else {
-            return Err(self.given_up(request.into_body()).into());
+            return Err(self.not_sent(request.into_body()).into());
         };
         let sending = sender.try_send_request(request);
         let sent = self.shared.gaps.until(&BootClock, deadline, sending).await;
@@ -178,7 +181,7 @@
             Some(Err(mut error)) => {
                 let unsent = error.take_message().map(Request::into_body);
                 return Err(self
-                    .broken(&destination, unsent, error.error(), began_at)
+                    .connection_broken(&destination, unsent, error.error(), began_at)
                     .await
                     .into());
             }
@@ -187,27 +190,27 @@
         let meaning = D::meaning(response.status(), response.headers(), &attempt);
         self.shared.unknown_headers.record::<D>(response.headers(), &destination);
         let statements = TargetStatements::read::<D>(response.status(), response.headers());
-        let shown = observation(meaning, &statements, D::report(response.headers()));
+        let observed = observation(meaning, &statements, D::report(response.headers()));
         self.apply_statements(meaning, statements, &destination);
-        self.learn(shown);
-        if let Some(failed) = self.failed_by(meaning, &destination) {
-            // Whatever else comes on this connection belongs to nobody.
+        self.apply_observation(observed);
+        if let Some(failed) = self.failure_of(meaning, &destination) {
+            // Returning drops the connection: its remaining bytes belong to no request.
             return Err(failed.into());
         }
         connection.record_keep_alive(response.headers());
         let (parts, incoming) = response.into_parts();
         let incarnation = self.grant.incarnation();
         let pool = self.grant.service().pool().clone();
-        let lease = AnswerResources::new(connection, self.grant);
-        let answer = Answer { parts, incoming, lease, body_stall };
+        let resources = AnswerResources::new(connection, self.grant);
+        let answer = Answer { parts, incoming, resources, body_stall };
         if plan.answer_buffer_bytes == 0 {
             return Ok(answer.streamed());
         }
-        let taking = answer.buffered(plan.answer_buffer_bytes);
-        let taken = self.shared.gaps.until(&BootClock, deadline, taking).await;
+        let buffering = answer.buffered(plan.answer_buffer_bytes);
+        let buffered = self.shared.gaps.until(&BootClock, deadline, buffering).await;
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
-        let failure = match taken {
+        let failure = match buffered {
             Some(Ok(response)) if meaning == Meaning::Failed => {
                 let failure = Failure::new(Outcome::Failed, Reason::TargetFailed, Step::Wait, peer);
                 return Err(Box::new(AttemptFailure {
@@ -237,8 +240,9 @@
         }))
     }
 
-    /// The failure that an answer's meaning amounts to, if it is not to be passed on.
-    fn failed_by(&self, meaning: Meaning, destination: &Destination) -> Option<AttemptFailure> {
+    /// Returns the failure that an answer's meaning stands for, or `None` if the answer is to be
+    /// forwarded to the caller.
+    fn failure_of(&self, meaning: Meaning, destination: &Destination) -> Option<AttemptFailure> {
         let is_proof = self.grant.service().settings().shed_means_not_run;
         let (outcome, reason) = match meaning {
             Meaning::Answered | Meaning::Failed | Meaning::ShedByDeeperLayer => return None,
@@ -252,7 +256,8 @@
         Some(self.failure(failure, None))
     }
 
-    fn learn(&mut self, observation: Observation) {
+    /// Records the result of the attempt in the target's state, and forwards a new leaving mark.
+    fn apply_observation(&mut self, observation: Observation) {
         if let Some(mark) = self.grant.record_observation(observation) {
             self.shared.record_leaving(&mark, "answer");
         }
@@ -267,8 +272,9 @@
         AttemptFailure { failure, target, is_sent: true, body, answer: None, crash: None }
     }
 
-    /// Nothing was sent because the target may not be used any more.
-    fn given_up(self, body: RequestBody) -> AttemptFailure {
+    /// Returns the failure of an attempt that sent nothing because the target may not be used any
+    /// more.
+    fn not_sent(self, body: RequestBody) -> AttemptFailure {
         let peer = Peer::Service(self.grant.service().name().clone());
         let failure = Failure::new(Outcome::NotRun, Reason::Deadline, Step::Send, peer);
         AttemptFailure {
@@ -281,31 +287,37 @@
         }
     }
 
-    /// There is no connection, so that nothing was sent. That all connections of this process
-    /// to the target are in use tells nothing of the target.
-    fn unconnected(
+    /// Returns the failure of an attempt that sent nothing because no connection could be opened.
+    ///
+    /// The target counts as unreachable, unless this process's own share of connections is in use,
+    /// which states nothing about the target.
+    fn connect_failed(
         mut self,
         body: RequestBody,
         destination: &Destination,
         error: &ConnectError,
     ) -> AttemptFailure {
         if !matches!(error, ConnectError::ShareInUse { .. }) {
-            self.learn(Observation::Unreachable);
+            self.apply_observation(Observation::Unreachable);
         }
         let peer = self.peer(destination);
         let failure = Failure::new(Outcome::NotRun, Reason::ConnectFailed, Step::Connect, peer);
         AttemptFailure { is_sent: false, ..self.failure(failure, Some(body)) }
     }
 
+    /// Returns the failure of an attempt that got no answer before its deadline.
     fn timed_out(mut self, destination: &Destination) -> AttemptFailure {
-        self.learn(Observation::TimedOut);
+        self.apply_observation(Observation::TimedOut);
         let peer = self.peer(destination);
         self.failure(Failure::new(Outcome::Unknown, Reason::Deadline, Step::Wait, peer), None)
     }
 
-    /// If hyper hands the request back, no byte of it was written: proof that it did not
-    /// run. Any other error proves nothing.
-    async fn broken(
+    /// Returns the failure of an attempt whose connection broke, and checks whether the target has
+    /// crashed.
+    ///
+    /// If hyper returns the request in `unsent`, no byte was written, which proves that the request
+    /// did not run. After any other error it is unknown whether the request ran.
+    async fn connection_broken(
         mut self,
         destination: &Destination,
         unsent: Option<RequestBody>,
@@ -318,19 +330,19 @@
             return self.failure(failure, unsent);
         }
         if error.is_user() {
-            let reason = reason_of_body(error);
+            let reason = body_error_reason(error);
             let failure = Failure::new(Outcome::Unknown, reason, Step::ReadBody, peer);
             return self.failure(failure, None);
         }
         let service = destination.service.as_str().to_owned();
         counter!(metric::TARGET_CONNECTIONS_LOST, "service" => service).increment(1);
-        self.learn(Observation::Broken);
+        self.apply_observation(Observation::Broken);
         let incarnation = self.grant.incarnation();
         let pool = self.grant.service().pool().clone();
         let crash = detect_crash(&pool, destination, incarnation, began_at).await;
         if crash.is_some() {
-            // Nobody else is sent there to find out the same.
-            self.learn(Observation::Unreachable);
+            // Marks the crashed target unreachable, so that no other request is sent to it.
+            self.apply_observation(Observation::Unreachable);
         }
         let failure = Failure::new(Outcome::Unknown, Reason::ConnectionLost, Step::Wait, peer);
         AttemptFailure { crash, ..self.failure(failure, None) }
@@ -353,8 +365,8 @@
     }
 }
 
-/// Why a caller's body could not be passed on to its end.
-fn reason_of_body(error: &hyper::Error) -> Reason {
+/// Returns the failure reason for a caller's body that could not be forwarded completely.
+fn body_error_reason(error: &hyper::Error) -> Reason {
     let body_error = error.source().and_then(|source| source.downcast_ref::<BodyError>());
     match body_error {
         Some(BodyError::TooLong { .. }) => Reason::BodyTooLarge,
