--- a/crates/thymeshift_entry/src/target_client/body.rs
+++ b/crates/thymeshift_entry/src/target_client/body.rs
@@ -1,4 +1,5 @@
-//! Bodies on their way through: bounded, watched for stalls, never cut silently.
+//! Bodies of requests and answers in transit: bounded, checked for stalls, never truncated
+//! silently.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -18,50 +19,50 @@
 use crate::target_client::StallTimer;
 use crate::target_client::pool::Connection;
 
-/// Why a body broke off.
+/// Reason why a body ended early.
 #[derive(Debug, Display, Error)]
 pub(crate) enum BodyError {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[display("body longer than {limit_bytes} bytes")]
     TooLong { limit_bytes: u64 },
-    /// Nothing arrived for too long.
+    /// No data arrived for the stall limit.
     #[display("body stalled for {limit:?}")]
     Stalled { limit: Duration },
-    /// Its connection broke, or it ended too early.
+    /// The connection broke, or the body ended before its stated length.
     #[display("body broken: {source}")]
     Broken { source: hyper::Error },
 }
 
-/// Limits on one body.
+/// Limits on the length of one body and on its stalls.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BodyLimits {
     pub(crate) bytes_max: u64,
     pub(crate) stall: Duration,
 }
 
-/// A caller's body on its way to a target.
+/// Body of a caller's request on its way to a target.
 pub(crate) enum RequestBody {
-    /// All of it is here; it can be sent again.
+    /// Completely received body, which can be sent repeatedly.
     Whole(Bytes),
-    /// It is passed on as it arrives; it can be sent once.
+    /// Body that is forwarded as it arrives and can be sent only once.
     Streaming(Box<StreamingBody>),
 }
 
 pub(crate) struct StreamingBody {
     incoming: Incoming,
     limits: BodyLimits,
-    left_bytes: u64,
+    remaining_bytes: u64,
     stall: StallTimer,
 }
 
 impl RequestBody {
     pub(crate) fn streaming(incoming: Incoming, limits: BodyLimits) -> Self {
-        let left_bytes = limits.bytes_max;
+        let remaining_bytes = limits.bytes_max;
         let stall = StallTimer::new(limits.stall);
-        Self::Streaming(Box::new(StreamingBody { incoming, limits, left_bytes, stall }))
+        Self::Streaming(Box::new(StreamingBody { incoming, limits, remaining_bytes, stall }))
     }
 
-    /// A copy to send again, if that is possible.
+    /// Returns a copy for another attempt, or `None` if the body can be sent only once.
     pub(crate) fn try_copy(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
@@ -89,15 +90,16 @@
             Some(Ok(frame)) => frame,
         };
         if frame.is_trailers() {
-            // They may carry what a head may not, such as the name of an organisation.
+            // Trailers are dropped: they could carry headers that are removed from a request's
+            // head, such as the name of an organisation.
             return Poll::Ready(None);
         }
         let length = frame.data_ref().map_or(0, |data| data.len() as u64);
-        let Some(left_bytes) = self.left_bytes.checked_sub(length) else {
+        let Some(remaining_bytes) = self.remaining_bytes.checked_sub(length) else {
             let limit_bytes = self.limits.bytes_max;
             return Poll::Ready(Some(Err(BodyError::TooLong { limit_bytes })));
         };
-        self.left_bytes = left_bytes;
+        self.remaining_bytes = remaining_bytes;
         Poll::Ready(Some(Ok(frame)))
     }
 }
@@ -132,7 +134,7 @@
     }
 }
 
-/// What an answer holds until its body has ended: the connection and the grant.
+/// Connection and grant that an answer holds until its body has ended.
 pub(crate) struct AnswerResources {
     connection: Connection,
     grant: GrantGuard,
@@ -143,53 +145,59 @@
         Self { connection, grant }
     }
 
-    /// The answer is complete: the connection may serve another request.
+    /// Releases the grant and returns the connection to the pool, after a complete answer.
     pub(crate) fn finish(self) {
         self.connection.put_back();
         drop(self.grant);
     }
 }
 
-/// A target's body on its way to the caller. Dropped before its end, it takes the
-/// connection to the target with it; an error in it breaks the answer to the caller off.
+/// Body of a target's answer on its way to the caller.
+///
+/// Dropping the body before its end closes the connection to the target. An error in the body
+/// breaks off the answer to the caller.
 pub(crate) struct TargetBody {
-    /// What was taken in before; it comes first.
-    taken: Option<Bytes>,
-    /// None if all of it was taken in.
+    /// Data buffered before forwarding started; sent to the caller first.
+    prefix: Option<Bytes>,
+    /// Rest of the body, which is still arriving; `None` if the whole body was buffered.
     incoming: Option<Incoming>,
-    lease: Option<AnswerResources>,
+    resources: Option<AnswerResources>,
     stall: StallTimer,
     stall_limit: Duration,
 }
 
 impl TargetBody {
-    pub(crate) fn new(incoming: Incoming, lease: AnswerResources, stall_limit: Duration) -> Self {
+    pub(crate) fn new(
+        incoming: Incoming,
+        resources: AnswerResources,
+        stall_limit: Duration,
+    ) -> Self {
         let stall = StallTimer::new(stall_limit);
-        let is_over = incoming.is_end_stream();
-        let (incoming, lease) = (Some(incoming), Some(lease));
-        let mut body = Self { taken: None, incoming, lease, stall, stall_limit };
-        if is_over {
+        let is_complete = incoming.is_end_stream();
+        let (incoming, resources) = (Some(incoming), Some(resources));
+        let mut body = Self { prefix: None, incoming, resources, stall, stall_limit };
+        if is_complete {
             body.finish();
         }
         body
     }
 
-    /// A body that is complete; its connection and grant are given back already.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
+    /// Returns a completely buffered body, whose connection and grant are already released.
+    pub(crate) fn from_buffered(bytes: Bytes) -> Self {
         let stall_limit = Duration::ZERO;
         let stall = StallTimer::new(stall_limit);
-        Self { taken: Some(bytes), incoming: None, lease: None, stall, stall_limit }
+        Self { prefix: Some(bytes), incoming: None, resources: None, stall, stall_limit }
     }
 
-    /// The same body with what was already taken of it put back in front.
-    pub(crate) fn after(mut self, taken: Bytes) -> Self {
-        self.taken = Some(taken);
+    /// Returns this body with the already buffered data `prefix` put in front.
+    pub(crate) fn with_prefix(mut self, prefix: Bytes) -> Self {
+        self.prefix = Some(prefix);
         self
     }
 
     fn finish(&mut self) {
-        if let Some(lease) = self.lease.take() {
-            lease.finish();
+        if let Some(resources) = self.resources.take() {
+            resources.finish();
         }
     }
 }
@@ -203,8 +211,8 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let body = self.get_mut();
-        if let Some(taken) = body.taken.take().filter(|taken| !taken.is_empty()) {
-            return Poll::Ready(Some(Ok(Frame::data(taken))));
+        if let Some(prefix) = body.prefix.take().filter(|prefix| !prefix.is_empty()) {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         let Some(incoming) = &mut body.incoming else {
             return Poll::Ready(None);
@@ -213,7 +221,7 @@
             Poll::Ready(frame) => frame,
             Poll::Pending => {
                 ready!(body.stall.poll_stalled(context));
-                body.lease = None;
+                body.resources = None;
                 return Poll::Ready(Some(Err(BodyError::Stalled { limit: body.stall_limit })));
             }
         };
@@ -230,24 +238,24 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(source)) => {
-                body.lease = None;
+                body.resources = None;
                 Poll::Ready(Some(Err(BodyError::Broken { source })))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        let is_taken_over = self.taken.as_ref().is_none_or(Bytes::is_empty);
-        is_taken_over && self.incoming.as_ref().is_none_or(Body::is_end_stream)
+        let is_prefix_sent = self.prefix.as_ref().is_none_or(Bytes::is_empty);
+        is_prefix_sent && self.incoming.as_ref().is_none_or(Body::is_end_stream)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let taken = self.taken.as_ref().map_or(0, |taken| taken.len() as u64);
+        let prefix_bytes = self.prefix.as_ref().map_or(0, |prefix| prefix.len() as u64);
         let rest = self.incoming.as_ref().map_or_else(|| SizeHint::with_exact(0), Body::size_hint);
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower() + taken);
+        hint.set_lower(rest.lower() + prefix_bytes);
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + taken);
+            hint.set_upper(upper + prefix_bytes);
         }
         hint
     }
