--- a/crates/thymeshift_entry/src/target_client/crash.rs
+++ b/crates/thymeshift_entry/src/target_client/crash.rs
@@ -1,7 +1,8 @@
-//! Whether a target has ended while it ran a request.
+//! Detection of targets that crash while they run a request.
 //!
-//! A lost connection alone does not tell: networks reset connections, and targets close them.
-//! After the end of a target its address refuses connections, until it is back after seconds.
+//! A lost connection alone is no proof of a crash: networks reset connections, and targets close
+//! them. After a crash, the target's address refuses connections until the target has restarted,
+//! which takes seconds.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,23 +20,27 @@
 use crate::target_client::pool::ConnectError;
 use crate::target_client::pool::Pool;
 
-/// Longest wait for a connection that shows whether the target is there. A refusal takes one way
-/// there and back, 3 ms between data halls; a target that is silent is not known to have ended.
-const LOOK_LIMIT: Duration = Duration::from_millis(50);
+/// Longest wait for the connection that checks whether the target still listens.
+///
+/// A refusal takes one network round trip, 3 ms between data halls. A target that does not answer
+/// within the limit does not count as crashed.
+const LISTEN_CHECK_LIMIT: Duration = Duration::from_millis(50);
 
-/// A target ended while it ran a request.
+/// Crash of a target while it ran a request of this process.
 #[derive(Debug, Clone)]
 pub(crate) struct TargetCrash {
     pub(crate) service: ServiceName,
     pub(crate) target: TargetName,
     pub(crate) incarnation: Incarnation,
-    /// When the request was sent there.
+    /// Time at which the request was sent to the target.
     pub(crate) began_at: Timestamp,
-    /// When its connection was lost.
+    /// Time at which the connection to the target was lost.
     pub(crate) ended_at: Timestamp,
 }
 
-/// The end of the target to which a connection was lost now, if that is why.
+/// Returns the crash of the target if a crash explains the connection that was just lost.
+///
+/// Returns `None` if the target still listens or does not answer, or if its incarnation is unknown.
 pub(crate) async fn detect_crash(
     pool: &Arc<Pool>,
     destination: &Destination,
@@ -44,8 +49,8 @@
 ) -> Option<TargetCrash> {
     let ended_at = BootClock.now();
     let incarnation = incarnation?;
-    let has_ended = refuses_connections(pool, destination.address).await;
-    has_ended.then(|| TargetCrash {
+    let has_crashed = refuses_connections(pool, destination.address).await;
+    has_crashed.then(|| TargetCrash {
         service: destination.service.clone(),
         target: destination.name.clone(),
         incarnation,
@@ -54,10 +59,10 @@
     })
 }
 
-/// Whether nobody listens at `address` any more. A connection that is opened for that is kept for
-/// the next request.
+/// Returns whether no process listens at `address` any more. The connection opened for the check is
+/// kept in the pool for the next request.
 async fn refuses_connections(pool: &Arc<Pool>, address: SocketAddr) -> bool {
-    match pool.connect(address, LOOK_LIMIT).await {
+    match pool.connect(address, LISTEN_CHECK_LIMIT).await {
         Ok(connection) => {
             connection.put_back();
             false
