--- a/crates/thymeshift_entry/src/target_client/mod.rs
+++ b/crates/thymeshift_entry/src/target_client/mod.rs
@@ -1,4 +1,4 @@
-//! Towards targets: connections, one attempt of a request, probes.
+//! Client side towards targets: connections, single attempts of requests, probes.
 
 mod answer;
 mod attempt;
