--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -1,14 +1,15 @@
-//! Keeping the allocator's view of its targets fresh.
+//! Probes that keep the allocator's load reports of its targets fresh.
 //!
-//! What it does: while this process allocates a service's targets, it probes those of which no
-//! answer or probe has told anything for a short while, as many as its requests are worth, and the
-//! best ones once more just before one of them is granted. Busy targets tell enough by themselves; a
-//! service without requests is not probed.
+//! While this process allocates a service's targets, it probes the targets whose last answer or
+//! probe is older than a short age, as many as the request rate justifies, and the best targets
+//! once more just before one of them is granted. Busy targets report often enough in their answers,
+//! and a service without requests is not probed.
 //!
-//! Why: how long work takes at a target may change many times a second, and a report is
-//! worth nothing after that. One process probes for the whole fleet, so that the cost does
-//! not grow with it. The service's measuring budget bounds the probes of one target; a part
-//! of it is used, because for a moment several processes may take themselves for the allocator.
+//! The service time of a target may change many times a second, and a load report is useless after
+//! such a change. Only the allocator probes, for the whole fleet, so the cost does not grow with
+//! the fleet. The service's measuring budget bounds the probes of one target. The allocator uses
+//! only part of the budget, because several processes may briefly consider themselves the
+//! allocator.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -36,67 +37,75 @@
 use crate::shared::Shared;
 use crate::target_client::probe::send_probe;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(15);
-/// Time between two looks while nothing is granted.
-const IDLE_LOOK: Duration = Duration::from_millis(100);
-/// Age of the last report from which a target is probed, if the budget allows it.
-const AGE: Duration = Duration::from_millis(40);
-/// Processes that may take themselves for the allocator at one time.
-const ALLOCATORS_MAX: u64 = 2;
-/// Time after the last request within which a service counts as in use.
-const IN_USE: Duration = Duration::from_millis(250);
+/// Interval between two scans for targets to probe.
+const PROBE_SCAN_INTERVAL: Duration = Duration::from_millis(15);
+/// Interval between two scans while no targets are granted by this process.
+const IDLE_PROBE_SCAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Age of a target's last load report from which the target is probed, if the budget allows it.
+const REPORT_AGE_MIN: Duration = Duration::from_millis(40);
+/// Number of processes that may consider themselves the allocator at the same time.
+const CONCURRENT_ALLOCATORS_MAX: u64 = 2;
+/// Time after its last acquire request for which a group counts as in use.
+const IN_USE_WINDOW: Duration = Duration::from_millis(250);
 
-/// Longest time for which a request for a target waits for probes: one takes 6 ms and the way
-/// there and back 1 to 3 ms.
+/// Longest time for which an acquire request waits for probes: a probe takes 6 ms at the target and
+/// 1 to 3 ms of network round trip.
 const PROBES_BEFORE_GRANT_LIMIT: Duration = Duration::from_millis(12);
 
-/// Targets of a group that a process probes while it knows no other one: in a large fleet
-/// many may be starting, and together they would swamp the targets and their own processors.
+/// Most targets of a group that a process probes while it knows no peers.
+///
+/// Many processes of a large fleet may start at the same time, and their probes would overload the
+/// targets and the processes' own CPUs.
 pub(crate) const STANDALONE_PROBE_TARGETS_MAX: usize = 16;
 
-/// The probes of each target.
-type Probing = Arc<Mutex<HashMap<Destination, ProbePacing>>>;
+/// Probe pacing per target.
+type PacingByTarget = Arc<Mutex<HashMap<Destination, ProbePacing>>>;
 
-/// Probes for ever.
+/// Starts due probes, and decides pending acquire requests after their probes, in an endless loop.
 pub(crate) async fn run_pace_probes<D: Dialect>(shared: Arc<Shared>) -> Result<(), TaskError> {
-    let probing = Probing::default();
-    let mut wanted = shared.pending_acquires_receiver.lock().await;
+    let pacings = PacingByTarget::default();
+    let mut queue = shared.pending_acquires_receiver.lock().await;
     loop {
         let now = BootClock.now();
-        probing.lock().retain(|_, pacing| !pacing.is_idle(now));
-        let is_allocating = begin_due::<D>(&shared, &probing);
-        let wait = if is_allocating { LOOK } else { IDLE_LOOK };
+        pacings.lock().retain(|_, pacing| !pacing.is_idle(now));
+        let is_allocating = start_due_probes::<D>(&shared, &pacings);
+        let wait = if is_allocating { PROBE_SCAN_INTERVAL } else { IDLE_PROBE_SCAN_INTERVAL };
         let until = sleep(wait);
         tokio::pin!(until);
         loop {
             tokio::select! {
                 () = &mut until => break,
                 () = shared.group_activated.notified() => break,
-                Some(pending) = wanted.recv() => probe_then_decide::<D>(&shared, &probing, pending),
+                Some(pending) = queue.recv() => probe_then_decide::<D>(&shared, &pacings, pending),
             }
         }
     }
 }
 
-/// Probes the targets that a request would be sent to, and decides on it then.
-fn probe_then_decide<D: Dialect>(shared: &Arc<Shared>, probing: &Probing, pending: PendingAcquire) {
-    let probes = begin_early::<D>(shared, probing, &pending);
+/// Probes the candidate targets of an acquire request and then decides the request.
+fn probe_then_decide<D: Dialect>(
+    shared: &Arc<Shared>,
+    pacings: &PacingByTarget,
+    pending: PendingAcquire,
+) {
+    let probes = start_probes_before_grant::<D>(shared, pacings, &pending);
     if probes.is_empty() {
         pending.decide();
         return;
     }
     tokio::spawn(async move {
-        // A probe that takes longer goes on, and tells what it finds to later decisions.
+        // A probe that exceeds the limit continues; its result serves later decisions.
         let _ = timeout(PROBES_BEFORE_GRANT_LIMIT, join_all(probes)).await;
         pending.decide();
     });
 }
 
-/// Begins the probes that the budget allows; none if the service is gone or not probed.
-fn begin_early<D: Dialect>(
+/// Starts the probes for an acquire request that the budget allows.
+///
+/// Starts none if the service no longer exists or has no probe configured.
+fn start_probes_before_grant<D: Dialect>(
     shared: &Arc<Shared>,
-    probing: &Probing,
+    pacings: &PacingByTarget,
     pending: &PendingAcquire,
 ) -> Vec<JoinHandle<()>> {
     let routing = shared.routing();
@@ -108,27 +117,34 @@
     let Some(probe) = &settings.probe else {
         return Vec::new();
     };
-    let Some(interval) = age_allowed(&settings, probe) else {
+    let Some(interval) = probe_interval_min(&settings, probe) else {
         return Vec::new();
     };
     let now = BootClock.now();
     let mut probes = Vec::new();
     for (name, address) in &pending.targets {
         let destination = service.destination(name.clone(), *address);
-        let may_begin = {
-            let mut probing = probing.lock();
-            probing.entry(destination.clone()).or_default().try_begin_early(interval, now)
+        let may_start = {
+            let mut pacings = pacings.lock();
+            pacings.entry(destination.clone()).or_default().try_begin_early(interval, now)
         };
-        if may_begin {
-            let subject = Subject { service: service.clone(), group: pending.group.clone() };
-            probes.push(begin::<D>(shared, subject, destination, probe.clone(), probing.clone()));
+        if may_start {
+            let probed_group =
+                ProbedGroup { service: service.clone(), group: pending.group.clone() };
+            probes.push(start_probe::<D>(
+                shared,
+                probed_group,
+                destination,
+                probe.clone(),
+                pacings.clone(),
+            ));
         }
     }
     probes
 }
 
-/// Returns whether targets of any service are granted here.
-fn begin_due<D: Dialect>(shared: &Arc<Shared>, probing: &Probing) -> bool {
+/// Starts due probes. Returns whether this process currently grants targets of any service.
+fn start_due_probes<D: Dialect>(shared: &Arc<Shared>, pacings: &PacingByTarget) -> bool {
     let Some(routing) = shared.routing() else {
         return false;
     };
@@ -139,72 +155,81 @@
         let Some(probe) = &settings.probe else {
             continue;
         };
-        let Some(age) = age_allowed(&settings, probe) else {
+        let Some(interval) = probe_interval_min(&settings, probe) else {
             continue;
         };
         let now = BootClock.now();
         for group in service.groups() {
             let is_too_large = is_alone && group.target_count() > STANDALONE_PROBE_TARGETS_MAX;
-            if is_too_large || !group.was_acquired_within(IN_USE, now) {
+            if is_too_large || !group.was_acquired_within(IN_USE_WINDOW, now) {
                 continue;
             }
             is_allocating = true;
-            let mut begun = 0;
-            for (name, address) in group.stale_targets(age, now) {
+            let mut started = 0;
+            for (name, address) in group.stale_targets(interval, now) {
                 let destination = service.destination(name, address);
-                let may_begin = {
-                    let mut probing = probing.lock();
-                    probing.entry(destination.clone()).or_default().try_begin(age, now)
+                let may_start = {
+                    let mut pacings = pacings.lock();
+                    pacings.entry(destination.clone()).or_default().try_begin(interval, now)
                 };
-                if may_begin {
-                    let subject = Subject { service: service.clone(), group: group.clone() };
-                    begin::<D>(shared, subject, destination, probe.clone(), probing.clone());
-                    begun += 1;
+                if may_start {
+                    let probed_group =
+                        ProbedGroup { service: service.clone(), group: group.clone() };
+                    start_probe::<D>(
+                        shared,
+                        probed_group,
+                        destination,
+                        probe.clone(),
+                        pacings.clone(),
+                    );
+                    started += 1;
                 }
             }
-            group.spend_probe_budget(begun);
+            group.spend_probe_budget(started);
         }
     }
     is_allocating
 }
 
-/// Whose target is probed.
-struct Subject {
+/// Service and group of a probed target.
+struct ProbedGroup {
     service: Arc<ServiceRuntime>,
     group: Arc<GroupRuntime>,
 }
 
-fn begin<D: Dialect>(
+fn start_probe<D: Dialect>(
     shared: &Arc<Shared>,
-    subject: Subject,
+    probed_group: ProbedGroup,
     destination: Destination,
     probe: Probe,
-    probing: Probing,
+    pacings: PacingByTarget,
 ) -> JoinHandle<()> {
     let shared = shared.clone();
     tokio::spawn(async move {
-        let is_answered = run_probe::<D>(&shared, &subject, &destination, &probe).await;
-        if let Some(pacing) = probing.lock().get_mut(&destination) {
+        let is_answered = run_probe::<D>(&shared, &probed_group, &destination, &probe).await;
+        if let Some(pacing) = pacings.lock().get_mut(&destination) {
             pacing.finish(is_answered);
         }
     })
 }
 
-/// Shortest time between two probes of a target that the budget allows an allocator.
-fn age_allowed(service: &Service, probe: &Probe) -> Option<Duration> {
-    let probes_per_s = service.measuring_budget_us_per_s / probe.cost_us.max(1) / ALLOCATORS_MAX;
-    let between = Duration::from_secs(1).checked_div(u32::try_from(probes_per_s).ok()?)?;
-    Some(between.max(AGE))
+/// Returns the shortest interval between two probes of a target that the budget allows an
+/// allocator, or `None` if the budget allows no probes.
+fn probe_interval_min(service: &Service, probe: &Probe) -> Option<Duration> {
+    let probes_per_s =
+        service.measuring_budget_us_per_s / probe.cost_us.max(1) / CONCURRENT_ALLOCATORS_MAX;
+    let interval = Duration::from_secs(1).checked_div(u32::try_from(probes_per_s).ok()?)?;
+    Some(interval.max(REPORT_AGE_MIN))
 }
 
-/// Returns whether the target told its load.
+/// Probes a target once and records its load report. Returns whether the target reported its load.
 async fn run_probe<D: Dialect>(
     shared: &Arc<Shared>,
-    subject: &Subject,
+    probed_group: &ProbedGroup,
     destination: &Destination,
     probe: &Probe,
 ) -> bool {
-    let Subject { service, group } = subject;
+    let ProbedGroup { service, group } = probed_group;
     let limit = Duration::from_millis(probe.timeout_ms);
     let answer = timeout(limit, send_probe::<D>(service, destination, probe, limit)).await;
     let name = service.name().as_str().to_owned();
