--- a/crates/thymeshift_entry/src/target_client/pool.rs
+++ b/crates/thymeshift_entry/src/target_client/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to the targets of one service, within this VM's share.
+//! Pool of connections to the targets of one service, within this VM's share of connections.
 //!
-//! A connection is in the pool only while it is idle and its last answer was complete.
-//! Whatever else happens to it (an error, a cancelled request, an answer cut off), it is
-//! closed, so that late bytes cannot become another request's answer.
+//! A connection is in the pool only while it is idle and its last answer was complete. After an
+//! error, a cancelled request or an incomplete answer, the connection is closed, so that late bytes
+//! cannot become another request's answer.
 
 use std::collections::HashMap;
 use std::io;
@@ -32,10 +32,10 @@
 
 use crate::target_client::RequestBody;
 
-/// Longest wait for an idle connection to finish what it was doing.
+/// Longest wait for an idle connection to become ready for the next request.
 const READY_LIMIT: Duration = Duration::from_millis(5);
 
-/// A connection that could not be opened. No byte of a request was sent.
+/// Reason why a connection could not be opened. No byte of a request was sent.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ConnectError {
     #[display("not open within {limit:?}")]
@@ -48,28 +48,28 @@
     ShareInUse { share: u32 },
 }
 
-/// The header in which a target tells how long it keeps an idle connection.
+/// Header in which a target states how long it keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Part of that time for which a connection is used: the target may close it at the very
-/// moment in which the next request is sent.
-const IDLE_SHARE: f64 = 0.8;
+/// Fraction of the target's keep-alive timeout for which an idle connection is used. At the end of
+/// the timeout, the target may close the connection just as the next request is sent.
+const IDLE_FRACTION: f64 = 0.8;
 
-/// The seconds in `timeout=5, max=100`.
+/// Returns the timeout in seconds of a `keep-alive` value such as `timeout=5, max=100`.
 fn keep_alive_seconds(text: &str) -> Option<u64> {
     let mut fields = text.split(',');
     fields.find_map(|field| field.trim().strip_prefix("timeout=")?.parse().ok())
 }
 
 #[derive(Default)]
-struct PerTarget {
-    idle: Vec<Idle>,
+struct TargetConnections {
+    idle: Vec<IdleConnection>,
     open: u32,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: RawConnection,
     since: Timestamp,
-    /// When the target may close it, as far as it told.
+    /// Time from which the target may close the connection, if the target stated one.
     until: Option<Timestamp>,
 }
 
@@ -78,21 +78,22 @@
     driver: AbortHandle,
 }
 
-/// The pool of one service.
+/// Connection pool of one service.
 pub(crate) struct Pool {
     share: Mutex<u32>,
-    targets: Mutex<HashMap<SocketAddr, PerTarget>>,
+    targets: Mutex<HashMap<SocketAddr, TargetConnections>>,
     opened: Counter,
 }
 
-/// A connection in use. Dropped, it is closed; [`Connection::put_back`] keeps it.
+/// Connection in use. Dropping the value closes the connection; [`Connection::put_back`] returns it
+/// to the pool.
 pub(crate) struct Connection {
     pool: Arc<Pool>,
     address: SocketAddr,
     raw: Option<RawConnection>,
-    /// How long the target says that it keeps the connection while it is idle.
+    /// Time for which the connection may stay idle in the pool, if the target stated a timeout.
     idle_max: Option<Duration>,
-    /// Whether the drop of this value ends the connection.
+    /// Whether dropping this value closes the connection.
     is_in_use: bool,
 }
 
@@ -108,19 +109,22 @@
         *self.share.lock() = share;
     }
 
-    /// An idle connection that is still open, the most recently used first.
+    /// Returns the most recently used idle connection that is still usable, if there is one.
     pub(crate) async fn idle(self: &Arc<Self>, address: SocketAddr) -> Option<Connection> {
         loop {
             let idle = self.targets.lock().get_mut(&address)?.idle.pop()?;
             let is_old = idle.until.is_some_and(|until| BootClock.now() >= until);
-            let mut connection = self.in_use(address, idle.connection);
+            let mut connection = self.activate(address, idle.connection);
             if !is_old && connection.is_usable().await {
                 return Some(connection);
             }
         }
     }
 
-    /// A new connection. Beyond the share an idle one is closed first.
+    /// Opens a connection within `limit`. If the share is in use, closes an idle connection first.
+    ///
+    /// Returns a [`ConnectError`] if the share has no idle connection left, or if the connection
+    /// fails to open.
     pub(crate) async fn connect(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -138,26 +142,27 @@
         };
         let stream = opened.map_err(|source| ConnectError::Refused { source })?;
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
-        let (sender, driving) = handshake.map_err(|source| ConnectError::Handshake { source })?;
+        let (sender, connection_task) =
+            handshake.map_err(|source| ConnectError::Handshake { source })?;
         let driver = tokio::spawn(async move {
-            // Its errors reach whoever uses the connection.
-            let _ = driving.await;
+            // The sender of a request on this connection receives the error, too.
+            let _ = connection_task.await;
         });
         connection.raw = Some(RawConnection { sender, driver: driver.abort_handle() });
         self.opened.increment(1);
         Ok(connection)
     }
 
-    /// Counts a connection before it is opened, so that the share holds at every moment.
+    /// Counts a connection before it is opened, so that the share is never exceeded.
     fn reserve(self: &Arc<Self>, address: SocketAddr) -> Result<Connection, ConnectError> {
         let share = *self.share.lock();
         let mut targets = self.targets.lock();
         let target = targets.entry(address).or_default();
-        let closed = if target.open >= share { target.idle.pop() } else { None };
-        if target.open >= share && closed.is_none() {
+        let evicted = if target.open >= share { target.idle.pop() } else { None };
+        if target.open >= share && evicted.is_none() {
             return Err(ConnectError::ShareInUse { share });
         }
-        if let Some(idle) = closed {
+        if let Some(idle) = evicted {
             idle.connection.driver.abort();
             target.open -= 1;
         }
@@ -165,11 +170,11 @@
         Ok(Connection { pool: self.clone(), address, raw: None, idle_max: None, is_in_use: true })
     }
 
-    fn in_use(self: &Arc<Self>, address: SocketAddr, raw: RawConnection) -> Connection {
+    fn activate(self: &Arc<Self>, address: SocketAddr, raw: RawConnection) -> Connection {
         Connection { pool: self.clone(), address, raw: Some(raw), idle_max: None, is_in_use: true }
     }
 
-    /// Closes connections that were idle for longer than `idle_max`, or that are broken.
+    /// Closes idle connections that have been idle for at least `idle_max` or are broken.
     pub(crate) fn sweep(&self, idle_max: Duration, now: Timestamp) {
         let mut targets = self.targets.lock();
         for target in targets.values_mut() {
@@ -187,7 +192,7 @@
         targets.retain(|_, target| target.open > 0);
     }
 
-    fn closed(&self, address: SocketAddr) {
+    fn record_closed(&self, address: SocketAddr) {
         if let Some(target) = self.targets.lock().get_mut(&address) {
             target.open -= 1;
         }
@@ -195,16 +200,16 @@
 }
 
 impl Connection {
-    /// The sender of a request on this connection.
+    /// Returns hyper's handle for sending a request on this connection.
     pub(crate) fn sender(&mut self) -> Option<&mut SendRequest<RequestBody>> {
         self.raw.as_mut().map(|raw| &mut raw.sender)
     }
 
-    /// Notes how long the target says that it keeps the connection while it is idle.
-    pub(crate) fn record_keep_alive(&mut self, map: &HeaderMap) {
-        let told = map.get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
-        let seconds = told.and_then(keep_alive_seconds);
-        self.idle_max = seconds.map(|seconds| Duration::from_secs(seconds).mul_f64(IDLE_SHARE));
+    /// Limits the connection's idle time according to the `keep-alive` header of an answer.
+    pub(crate) fn record_keep_alive(&mut self, headers: &HeaderMap) {
+        let header = headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok());
+        let seconds = header.and_then(keep_alive_seconds);
+        self.idle_max = seconds.map(|seconds| Duration::from_secs(seconds).mul_f64(IDLE_FRACTION));
     }
 
     async fn is_usable(&mut self) -> bool {
@@ -214,12 +219,12 @@
         if sender.is_closed() {
             return false;
         }
-        // The connection's task may not yet have seen the end of the last answer; it also
-        // looks for bytes beyond it, which close the connection.
+        // The connection's task may not yet have read the end of the last answer. The task also
+        // closes the connection if further bytes follow that answer.
         matches!(timeout(READY_LIMIT, sender.ready()).await, Ok(Ok(())))
     }
 
-    /// Keeps the connection for another request. Only after a complete answer.
+    /// Returns the connection to the pool. Must be called only after a complete answer.
     pub(crate) fn put_back(mut self) {
         let Some(raw) = self.raw.take() else {
             return;
@@ -232,7 +237,7 @@
         let target = targets.entry(self.address).or_default();
         let since = BootClock.now();
         let until = self.idle_max.map(|idle_max| since + idle_max);
-        target.idle.push(Idle { connection: raw, since, until });
+        target.idle.push(IdleConnection { connection: raw, since, until });
         drop(targets);
         self.is_in_use = false;
     }
@@ -246,6 +251,6 @@
         if let Some(raw) = &self.raw {
             raw.driver.abort();
         }
-        self.pool.closed(self.address);
+        self.pool.record_closed(self.address);
     }
 }
