--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -1,4 +1,4 @@
-//! Probing targets within this VM's share of the measuring budget.
+//! Probes of targets within this VM's share of the measuring budget.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -30,55 +30,59 @@
 use crate::shared::Shared;
 use crate::target_client::RequestBody;
 
-/// Time between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two scans for due probes.
+const PROBE_SCAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A target to measure.
+/// Target of a probe, as key of its budget share.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Subject {
+struct ProbedTarget {
     service: ServiceName,
     target: TargetName,
 }
 
-/// The terms under which a share was made; other terms need another share.
+/// Settings from which a target's budget share was computed; changed settings require a new share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Terms {
+struct ShareSettings {
     budget_us_per_s: u64,
     cost_us: u64,
     entry_vms_max: u64,
 }
 
 struct Share {
-    terms: Terms,
+    share_settings: ShareSettings,
     share: MeasuringShare,
 }
 
-type Shares = HashMap<Subject, Share>;
+type Shares = HashMap<ProbedTarget, Share>;
 
-/// A probe that has ended.
-struct Ended {
-    subject: Subject,
+/// Result of a finished probe: the probed target and the time that the probe took.
+struct FinishedProbe {
+    probed: ProbedTarget,
     spent: Duration,
 }
 
-/// Probes for ever.
+/// Starts due probes in an endless loop.
 pub(crate) async fn run_probes<D: Dialect>(shared: Arc<Shared>) -> Result<(), TaskError> {
-    let mut known = Shares::new();
-    let mut probes: JoinSet<Ended> = JoinSet::new();
+    let mut shares = Shares::new();
+    let mut probes: JoinSet<FinishedProbe> = JoinSet::new();
     loop {
-        sleep(LOOK).await;
-        while let Some(ended) = probes.try_join_next() {
-            if let Ok(Ended { subject, spent }) = ended
-                && let Some(share) = known.get_mut(&subject)
+        sleep(PROBE_SCAN_INTERVAL).await;
+        while let Some(finished) = probes.try_join_next() {
+            if let Ok(FinishedProbe { probed, spent }) = finished
+                && let Some(share) = shares.get_mut(&probed)
             {
                 share.share.charge_overrun(spent);
             }
         }
-        begin_due::<D>(&shared, &mut known, &mut probes);
+        start_due_probes::<D>(&shared, &mut shares, &mut probes);
     }
 }
 
-fn begin_due<D: Dialect>(shared: &Arc<Shared>, known: &mut Shares, probes: &mut JoinSet<Ended>) {
+fn start_due_probes<D: Dialect>(
+    shared: &Arc<Shared>,
+    shares: &mut Shares,
+    probes: &mut JoinSet<FinishedProbe>,
+) {
     let Some(routing) = shared.routing() else {
         return;
     };
@@ -91,11 +95,11 @@
         if is_paused(shared, runtime.name()) {
             continue;
         }
-        let terms = terms_of(&settings, &probe, entry_vms_max);
+        let share_settings = share_settings_of(&settings, &probe, entry_vms_max);
         for destination in runtime.probe_targets() {
             let target = destination.name.clone();
-            let subject = Subject { service: runtime.name().clone(), target };
-            if try_begin(known, &subject, terms) {
+            let probed = ProbedTarget { service: runtime.name().clone(), target };
+            if try_begin(shares, &probed, share_settings) {
                 let shared = shared.clone();
                 probes.spawn(run_probe::<D>(shared, runtime.clone(), destination, probe.clone()));
             }
@@ -103,29 +107,31 @@
     }
 }
 
-fn terms_of(service: &Service, probe: &Probe, entry_vms_max: u64) -> Terms {
-    Terms {
+fn share_settings_of(service: &Service, probe: &Probe, entry_vms_max: u64) -> ShareSettings {
+    ShareSettings {
         budget_us_per_s: service.measuring_budget_us_per_s,
         cost_us: probe.cost_us,
         entry_vms_max,
     }
 }
 
+/// Returns whether an operator's order stops the probes of the service.
 fn is_paused(shared: &Shared, service: &ServiceName) -> bool {
     let subject = OrderSubject::Probing(service.clone());
     shared.fleet.lock().orders.is_stopped(&subject, BootClock.now())
 }
 
-fn try_begin(known: &mut Shares, subject: &Subject, terms: Terms) -> bool {
+/// Returns whether the target's budget share allows a probe now, and charges the probe if so.
+fn try_begin(shares: &mut Shares, probed: &ProbedTarget, share_settings: ShareSettings) -> bool {
     let now = BootClock.now();
     let new_share = || {
         let phase = rand::rng().random::<f64>();
-        let Terms { budget_us_per_s, cost_us, entry_vms_max } = terms;
+        let ShareSettings { budget_us_per_s, cost_us, entry_vms_max } = share_settings;
         let share = MeasuringShare::new(budget_us_per_s, cost_us, entry_vms_max, now, phase);
-        Share { terms, share }
+        Share { share_settings, share }
     };
-    let share = known.entry(subject.clone()).or_insert_with(new_share);
-    if share.terms != terms {
+    let share = shares.entry(probed.clone()).or_insert_with(new_share);
+    if share.share_settings != share_settings {
         *share = new_share();
     }
     share.share.try_begin(now)
@@ -136,12 +142,12 @@
     service: Arc<ServiceRuntime>,
     destination: Destination,
     probe: Probe,
-) -> Ended {
+) -> FinishedProbe {
     let began = BootClock.now();
     let limit = Duration::from_millis(probe.timeout_ms);
     let answer = timeout(limit, send_probe::<D>(&service, &destination, &probe, limit)).await;
     let spent = BootClock.now().since(began);
-    // Whether or not an answer came: the target may have worked for it.
+    // The time is charged even without an answer, because the target may have worked on the probe.
     let counted_us = (spent.as_micros() as u64).max(probe.cost_us);
     let name = service.name().as_str().to_owned();
     counter!(metric::PROBES, "service" => name.clone()).increment(1);
@@ -151,10 +157,14 @@
     {
         shared.record_leaving(&mark, "probe");
     }
-    let subject = Subject { service: service.name().clone(), target: destination.name };
-    Ended { subject, spent }
+    let probed = ProbedTarget { service: service.name().clone(), target: destination.name };
+    FinishedProbe { probed, spent }
 }
 
+/// Sends one probe and returns the load that the target reports in its answer.
+///
+/// Returns `None` without a probe if the target is in a backoff, and also on any error or if the
+/// answer reports no load. Records a backoff that the answer requests.
 pub(super) async fn send_probe<D: Dialect>(
     service: &Arc<ServiceRuntime>,
     destination: &Destination,
