--- a/crates/thymeshift_entry/src/target_client/stall.rs
+++ b/crates/thymeshift_entry/src/target_client/stall.rs
@@ -1,4 +1,4 @@
-//! Noticing that a body has stopped moving.
+//! Detection of bodies that stop making progress.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -9,7 +9,7 @@
 use tokio::time::Sleep;
 use tokio::time::sleep_until;
 
-/// A timer that runs only while nothing arrives.
+/// Timer that runs only while no data arrives.
 pub(crate) struct StallTimer {
     limit: Duration,
     timer: Option<Pin<Box<Sleep>>>,
@@ -20,12 +20,12 @@
         Self { limit, timer: None }
     }
 
-    /// Something arrived.
+    /// Stops the timer, because data arrived.
     pub(crate) fn reset(&mut self) {
         self.timer = None;
     }
 
-    /// Nothing arrived: ready once that has lasted for the limit.
+    /// Starts the timer if it does not run; ready once no data has arrived for the limit.
     pub(crate) fn poll_stalled(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let limit = self.limit;
         let timer = self.timer.get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + limit)));
