--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer says of the target itself, rather than of the request.
+//! Statements of a target about itself in the head of an answer: rate limit, backoff, leaving.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::service::Destination;
 use crate::target_client::Attempt;
 
-/// The statements of one answer.
+/// Statements about the target in the head of one answer.
 pub(super) struct TargetStatements {
     rate_limit: Result<Option<RequestRate>, RateLimitMistake>,
     backoff: Result<Option<Duration>, RetryAfterMistake>,
@@ -25,7 +25,7 @@
 }
 
 impl TargetStatements {
-    /// Whether the target asks for a backoff.
+    /// Returns whether the target requests a backoff.
     pub(super) fn asks_for_backoff(&self) -> bool {
         matches!(self.backoff, Ok(Some(_)))
     }
@@ -40,8 +40,10 @@
 }
 
 impl<D: Dialect> Attempt<D> {
-    /// Learns what the target says of itself. An answer of another target, or to another request,
-    /// says nothing of this one.
+    /// Records the statements of an answer in the target's state.
+    ///
+    /// Ignores an answer of another target or to another request, which states nothing about this
+    /// target.
     pub(super) fn apply_statements(
         &mut self,
         meaning: Meaning,
@@ -51,8 +53,8 @@
         if matches!(meaning, Meaning::OtherTarget | Meaning::Foreign) {
             return;
         }
-        self.learn_rate_limit(meaning, statements.rate_limit, destination);
-        self.learn_backoff(statements.backoff, destination);
+        self.apply_rate_limit(meaning, statements.rate_limit, destination);
+        self.apply_backoff(statements.backoff, destination);
         if statements.is_leaving
             && let Some(mark) = self.grant().mark_leaving()
         {
@@ -60,9 +62,11 @@
         }
     }
 
-    /// An answer that did not run the request may come from a part of the target that does not know
-    /// of a limit.
-    fn learn_rate_limit(
+    /// Records the rate limit that the answer states, or its end.
+    ///
+    /// Only answers to requests that ran can end a rate limit: other answers may come from a part
+    /// of the target that does not know the limit.
+    fn apply_rate_limit(
         &self,
         meaning: Meaning,
         stated: Result<Option<RequestRate>, RateLimitMistake>,
@@ -77,8 +81,8 @@
                 return;
             }
         };
-        let may_end_it = matches!(meaning, Meaning::Answered | Meaning::Failed);
-        if stated.is_none() && !may_end_it {
+        let may_end_limit = matches!(meaning, Meaning::Answered | Meaning::Failed);
+        if stated.is_none() && !may_end_limit {
             return;
         }
         if self.grant().record_rate_limit(stated) && self.shared().allows_request_log_line() {
@@ -90,13 +94,13 @@
         }
     }
 
-    fn learn_backoff(
+    fn apply_backoff(
         &self,
-        asked: Result<Option<Duration>, RetryAfterMistake>,
+        requested: Result<Option<Duration>, RetryAfterMistake>,
         destination: &Destination,
     ) {
         let service = destination.service.as_str().to_owned();
-        match asked {
+        match requested {
             Ok(None) => {}
             Ok(Some(backoff)) => {
                 self.grant().back_off(backoff);
