--- a/crates/thymeshift_entry/src/target_client/unknown_headers.rs
+++ b/crates/thymeshift_entry/src/target_client/unknown_headers.rs
@@ -1,8 +1,8 @@
-//! Headers that targets put on answers and that mean nothing here.
+//! Record of headers in targets' answers that address the load balancer but are unknown to it.
 //!
-//! What a target says to the balancer, and the balancer does not know, would be passed on to the
-//! caller without a trace. Each such name gets one log line and a counter; the names are bounded,
-//! since a target can make up any number of them.
+//! Without this record, an unknown header would be forwarded to the caller unnoticed. Each header
+//! name gets one log line and a counter. The number of names is bounded, because a target can send
+//! any number of different names.
 
 use std::collections::HashSet;
 
@@ -17,27 +17,27 @@
 
 use crate::service::Destination;
 
-/// Names kept at most.
+/// Most header names kept.
 const NAMES_MAX: usize = 32;
-/// Longest name kept, in bytes.
+/// Longest header name kept, in bytes; longer names are ignored.
 const NAME_BYTES_MAX: usize = 64;
 
-/// The names seen since the start of the process.
+/// Unknown header names received since the start of the process.
 #[derive(Default)]
 pub(crate) struct UnknownHeaders {
     names: Mutex<HashSet<HeaderName>>,
 }
 
 impl UnknownHeaders {
-    /// Notes what an answer of `target` carries.
+    /// Records the unknown headers of an answer of `target`.
     pub(crate) fn record<D: Dialect>(&self, headers: &HeaderMap, target: &Destination) {
         let is_unknown = |name: &&HeaderName| D::header_audience(name) == HeaderAudience::Unknown;
         for name in headers.keys().filter(is_unknown) {
-            self.note_name(name, target);
+            self.record_name(name, target);
         }
     }
 
-    fn note_name(&self, name: &HeaderName, target: &Destination) {
+    fn record_name(&self, name: &HeaderName, target: &Destination) {
         if name.as_str().len() > NAME_BYTES_MAX {
             return;
         }
