--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -57,30 +57,30 @@
 
 /// Result of a finished probe: the probed target and the time that the probe took.
 struct FinishedProbe {
-    probed: ProbedTarget,
+    probed_target: ProbedTarget,
     spent: Duration,
 }
 
 /// Starts due probes in an endless loop.
 pub(crate) async fn run_probes<D: Dialect>(shared: Arc<Shared>) -> Result<(), TaskError> {
-    let mut shares = Shares::new();
+    let mut share_by_target = Shares::new();
     let mut probes: JoinSet<FinishedProbe> = JoinSet::new();
     loop {
         sleep(PROBE_SCAN_INTERVAL).await;
         while let Some(finished) = probes.try_join_next() {
-            if let Ok(FinishedProbe { probed, spent }) = finished
-                && let Some(share) = shares.get_mut(&probed)
+            if let Ok(FinishedProbe { probed_target, spent }) = finished
+                && let Some(share) = share_by_target.get_mut(&probed_target)
             {
                 share.share.charge_overrun(spent);
             }
         }
-        start_due_probes::<D>(&shared, &mut shares, &mut probes);
+        start_due_probes::<D>(&shared, &mut share_by_target, &mut probes);
     }
 }
 
 fn start_due_probes<D: Dialect>(
     shared: &Arc<Shared>,
-    shares: &mut Shares,
+    share_by_target: &mut Shares,
     probes: &mut JoinSet<FinishedProbe>,
 ) {
     let Some(routing) = shared.routing() else {
@@ -98,8 +98,8 @@
         let share_settings = share_settings_of(&settings, &probe, entry_vms_max);
         for destination in runtime.probe_targets() {
             let target = destination.name.clone();
-            let probed = ProbedTarget { service: runtime.name().clone(), target };
-            if try_begin(shares, &probed, share_settings) {
+            let probed_target = ProbedTarget { service: runtime.name().clone(), target };
+            if try_begin(share_by_target, &probed_target, share_settings) {
                 let shared = shared.clone();
                 probes.spawn(run_probe::<D>(shared, runtime.clone(), destination, probe.clone()));
             }
@@ -122,7 +122,11 @@
 }
 
 /// Returns whether the target's budget share allows a probe now, and charges the probe if so.
-fn try_begin(shares: &mut Shares, probed: &ProbedTarget, share_settings: ShareSettings) -> bool {
+fn try_begin(
+    share_by_target: &mut Shares,
+    probed_target: &ProbedTarget,
+    share_settings: ShareSettings,
+) -> bool {
     let now = BootClock.now();
     let new_share = || {
         let phase = rand::rng().random::<f64>();
@@ -130,7 +134,7 @@
         let share = MeasuringShare::new(budget_us_per_s, cost_us, entry_vms_max, now, phase);
         Share { share_settings, share }
     };
-    let share = shares.entry(probed.clone()).or_insert_with(new_share);
+    let share = share_by_target.entry(probed_target.clone()).or_insert_with(new_share);
     if share.share_settings != share_settings {
         *share = new_share();
     }
@@ -157,8 +161,8 @@
     {
         shared.record_leaving(&mark, "probe");
     }
-    let probed = ProbedTarget { service: service.name().clone(), target: destination.name };
-    FinishedProbe { probed, spent }
+    let probed_target = ProbedTarget { service: service.name().clone(), target: destination.name };
+    FinishedProbe { probed_target, spent }
 }
 
 /// Sends one probe and returns the load that the target reports in its answer.
