--- a/crates/thymeshift_entry/src/control_plane/accept.rs
+++ b/crates/thymeshift_entry/src/control_plane/accept.rs
@@ -12,8 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// Delay after a failed accept. The usual cause is too many open files, which only closing
-/// connections resolves.
+/// Delay after a failed accept: the usual cause, too many open files, resolves only with time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts connections in an endless loop and serves each one in its own task.
@@ -41,8 +40,7 @@
             }
         };
         if let Err(error) = end_if_silent(&stream) {
-            // The peer has just disconnected, or the connection is served without a silence
-            // timeout.
+            // The peer has just disconnected, or the connection is served without this timeout.
             debug!("silence_unbounded", kv: { error: = error });
         }
         let serving = serve(stream);
