--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -37,7 +37,7 @@
 use crate::shared::Shared;
 use crate::target_client::STANDALONE_PROBE_TARGETS_MAX;
 
-/// Peers queried in one round.
+/// Number of peers queried in one round.
 const PEERS_PER_ROUND: usize = 3;
 /// Most peers queried in one round that are chosen because they are known to hold documents.
 const DOCUMENT_HOLDERS_PER_ROUND_MAX: usize = 2;
@@ -47,25 +47,25 @@
 const ROUND_DELAY: Duration = Duration::from_millis(200);
 /// Time that peers have to answer before the source is queried too.
 const SOURCE_DELAY: Duration = Duration::from_millis(20);
-/// Time since its start for which a process that has a configuration but knows no peer waits for
-/// an answer of a peer before it serves.
+/// Time limit, from the start of the process, for the first answer of a peer.
+///
+/// A process that has a configuration but knows no peer waits this long before it serves callers.
 const PEER_ANSWER_LIMIT: Duration = Duration::from_millis(80);
 /// Delay between two rounds of queries to peers, before jitter.
 const PEER_ROUND_DELAY: Duration = Duration::from_millis(40);
-/// Extra time that peers have to answer, before up to 100 % jitter, if the source's list of targets
-/// has more than one page.
+/// Extra time for peers to answer, before jitter of up to 100 %, if the target list is long.
 ///
-/// A long list implies a large fleet, and without this delay every process of the fleet would read
-/// every page. Peers named in the settings may start 300 ms after the other processes.
+/// A list of more than one page implies a large fleet, and without this delay every process of the
+/// fleet would read every page. Peers named in the settings may start 300 ms after the others.
 const LONG_LIST_DELAY: Duration = Duration::from_millis(450);
-/// Time for the answers to the first probes: a probe takes 6 ms at the target and 3 ms of network
-/// round trip.
+/// Time for the answers to the first probes: a probe takes 6 ms, its network round trip 3 ms.
 const FIRST_PROBES_LIMIT: Duration = Duration::from_millis(12);
-/// Rounds for which a process leaves reading the source to the peers named in the settings, at the
-/// first start of the fleet.
+/// Rounds for which only the named peers read the source, at the first start of the fleet.
 const FIRST_START_WAIT_ROUNDS: u32 = 12;
-/// Longest delay between two rounds. Every starting process queries the source, so the rate must
-/// stay bounded while the source is down.
+/// Longest delay between two rounds of queries.
+///
+/// Every starting process queries the source, so growing delays limit the calls while the source is
+/// down.
 const ROUND_DELAY_MAX: Duration = Duration::from_millis(1_600);
 
 /// Returns once a configuration is in force.
@@ -77,7 +77,7 @@
     }
 }
 
-/// Adopts the first configuration that the source or a peer returns.
+/// Adopts the first configuration that the source or a peer returns, and may wait for a first peer.
 ///
 /// The source is never stale, and a peer's answer is compared with the source in the next call,
 /// long before this process is expected to know the current revision. Peers are queried
@@ -184,8 +184,9 @@
     }
 }
 
-/// Queries peers in an endless loop of short rounds. A peer that limits its document transfers
-/// returns addresses of other peers, which the next round may choose.
+/// Queries peers in an endless loop of short rounds.
+///
+/// A peer that refuses a transfer because of its limit names other peers for the next round.
 async fn poll_peers(shared: &Arc<Shared>) {
     loop {
         query_peers(shared).await;
@@ -271,8 +272,7 @@
     answered: usize,
 }
 
-/// Exchanges state with up to [`PEERS_PER_ROUND`] random peers, with preference for document
-/// holders.
+/// Exchanges state with up to [`PEERS_PER_ROUND`] random peers, document holders preferred.
 async fn query_peers(shared: &Arc<Shared>) -> PeerRound {
     let now = BootClock.now();
     let addresses = {
