--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -24,8 +24,7 @@
 use crate::service::ServiceRuntime;
 use crate::shared::Shared;
 
-/// Receives and handles datagrams in an endless loop; never returns if the process has no datagram
-/// socket.
+/// Receives and handles datagrams in an endless loop; waits forever if there is no datagram socket.
 pub(crate) async fn run_datagrams(shared: Arc<Shared>) -> Result<(), TaskError> {
     let Some(socket) = shared.allocation.socket().cloned() else {
         return std::future::pending().await;
