--- a/crates/thymeshift_entry/src/control_plane/mod.rs
+++ b/crates/thymeshift_entry/src/control_plane/mod.rs
@@ -1,5 +1,4 @@
-//! Communication of an entry process with the platform, its peers and operators; readiness and
-//! metrics.
+//! Communication with the platform, peers and operators, and the readiness and metrics server.
 
 mod accept;
 mod bootstrap;
