--- a/crates/thymeshift_entry/src/control_plane/observe.rs
+++ b/crates/thymeshift_entry/src/control_plane/observe.rs
@@ -1,8 +1,7 @@
-//! HTTP server for `/live`, `/ready` and `/metrics`, for the platform's load balancer and metric
-//! collectors.
+//! HTTP server for the platform's load balancer and for metric collectors.
 //!
 //! `/live` succeeds while the process runs. `/ready` succeeds while the process has a configuration
-//! and is not stopping.
+//! and is not stopping. `/metrics` returns the process's metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
