--- a/crates/thymeshift_entry/src/control_plane/operators.rs
+++ b/crates/thymeshift_entry/src/control_plane/operators.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Returns an error message if no target, process or drained-hall entry is known for the data hall.
+/// Returns an error message if the data hall has no known target or process and is not drained.
 fn unknown_hall(shared: &Shared, hall: &DataHallName) -> Option<String> {
     let is_known = halls(shared).iter().any(|known| known.name == *hall);
     (!is_known).then(|| format!("no data hall is called {hall}"))
