--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -1,5 +1,4 @@
-//! Exchanges with peers: periodically with one random peer, and at once with a few peers when there
-//! is something new to announce.
+//! State exchanges with peers: periodically with one random peer, at once with a few when needed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -38,20 +37,23 @@
 
 /// Interval between two periodic exchanges in a small fleet, before jitter.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_250);
-/// Number of members by which the exchange interval grows by another [`EXCHANGE_INTERVAL`].
-/// Processes that work together also see each other's datagrams, so a large fleet needs fewer
-/// exchanges.
+/// Number of fleet members per which the exchange interval grows by another [`EXCHANGE_INTERVAL`].
+///
+/// Processes that work together also exchange datagrams, so members of a large fleet may exchange
+/// state less often.
 const MEMBERS_PER_EXCHANGE_INTERVAL: u32 = 144;
-/// Interval between two exchanges during the first seconds of a process, while it learns of its
-/// peers.
+/// Interval between two exchanges during [`STARTUP_PERIOD`], while a process knows few peers.
 const STARTUP_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time since its start for which a process exchanges more often.
 const STARTUP_PERIOD: Duration = Duration::from_secs(4);
-/// Interval between two exchanges while a starting process knows hardly any peer: it needs to know
-/// the members to find the allocators.
+/// Interval between two exchanges while a starting process knows hardly any peer.
+///
+/// A process finds the allocators of a service only among the members that it knows.
 const FIRST_CONTACTS_EXCHANGE_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest time to open a connection to a peer. A VM that is powered off does not answer, and the
-/// kernel repeats an unanswered connection request only after one second.
+/// Longest time to open a connection to a peer.
+///
+/// A VM that is not powered on yet does not answer, and the kernel repeats an unanswered connection
+/// request only after one second.
 const CONNECT_LIMIT: Duration = Duration::from_millis(150);
 /// Longest time for one exchange with a peer.
 const CALL_LIMIT: Duration = Duration::from_millis(500);
@@ -59,8 +61,7 @@
 const FETCH_LIMIT: Duration = Duration::from_secs(2);
 /// Number of peers to exchange with at once when there is something new to announce.
 const ANNOUNCEMENT_PEERS: usize = 3;
-/// Time after which a document is fetched from another peer while the first peer has not yet
-/// answered.
+/// Time without an answer after which a document may be fetched from another peer.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Most whole documents that a process sends to peers within [`TRANSFER_WINDOW`].
 ///
@@ -69,8 +70,7 @@
 const TRANSFERS_PER_WINDOW_MAX: u32 = 8;
 /// Length of the window in which sent documents are counted.
 const TRANSFER_WINDOW: Duration = Duration::from_millis(50);
-/// Most connections to peers kept open. When a new connection reaches the limit, the process drops
-/// all older ones.
+/// Most connections to peers kept open; a further connection replaces all open ones.
 const OPEN_CONNECTIONS_MAX: usize = 32;
 
 /// Error of an exchange that returned no answer.
@@ -115,8 +115,8 @@
 
     /// Returns whether a document may be fetched now, and records the fetch if so.
     ///
-    /// Refuses a fetch that starts less than [`FETCH_RETRY_DELAY`] after one of the same document
-    /// that is still running.
+    /// Refuses the fetch if an unfinished fetch of the same document started less than
+    /// [`FETCH_RETRY_DELAY`] ago.
     fn begin_fetch(&self, document: Document, now: Timestamp) -> bool {
         let mut fetching = self.fetching.lock();
         let is_pending =
@@ -203,8 +203,8 @@
 
 /// Exchanges state with the peer at `address` once, and fetches the documents that are newer there.
 ///
-/// Counts the result. A failure is also logged and recorded for the peer, and its connection is
-/// dropped.
+/// Counts the result. On a failure, also logs the error, drops the connection to the peer and
+/// records the missing answer in the member list.
 pub(crate) async fn exchange_once(
     shared: &Arc<Shared>,
     address: SocketAddr,
