--- a/crates/thymeshift_entry/src/control_plane/peer_server.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_server.rs
@@ -72,8 +72,7 @@
 }
 
 impl PeerServer {
-    /// Starts an exchange with the calling peer to fetch the newer documents that its summary
-    /// shows.
+    /// Starts an exchange with the calling peer to fetch the peer's newer documents.
     fn fetch_from(&self, address: SocketAddr) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
