--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -1,9 +1,9 @@
 //! Watcher of the platform. Only the processes elected as watchers call the platform.
 //!
-//! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`. It
-//! answers `200` with the document, whose revision is in the `thymeshift-revision` header, or `204`
-//! if nothing newer than `R` is published within `W`. Each call counts against the fleet's budget
-//! of calls to the platform.
+//! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`.
+//! Its answer is `200` with the document, and the revision in the `thymeshift-revision` header,
+//! or `204` if nothing newer than revision `R` is published within `W` milliseconds.
+//! Each call counts against the fleet's budget of calls to the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,8 +38,8 @@
 /// Watches the platform in an endless loop, whenever this process is an elected watcher.
 pub(crate) async fn run_platform(shared: Arc<Shared>) -> Result<(), TaskError> {
     let mut listed_at: Option<Timestamp> = None;
-    // After a failure, the next call is no long poll. A platform that accepts calls without
-    // answering, and its recovery, are then detected within the time limit of an answer.
+    // After a failure, the next call is not a long poll. A platform that accepts calls but does not
+    // answer, and its recovery, are then detected within the time limit of an answer.
     let mut wait = LONG_POLL_LIMIT;
     loop {
         let should_watch = {
