--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -24,8 +24,7 @@
 use crate::fleet::Fleet;
 use crate::shared::Shared;
 
-/// Jitter of the time for which a process waits for its parent in the relay tree, as a fraction of
-/// that time.
+/// Largest jitter added to the wait for the parent in the relay tree, as a fraction of the wait.
 const WAIT_JITTER: f64 = 0.5;
 
 /// Sends the revisions in force here to this process's children in the relay tree.
