--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -35,8 +35,7 @@
 /// Time for which the source may hold a long poll open. Short, so that some reader detects in time
 /// that the source has stopped answering.
 const LONG_POLL_LIMIT: Duration = Duration::from_millis(950);
-/// Delay after an answer with changes, so that further changes in quick succession arrive in one
-/// answer.
+/// Delay after an answer with changes, which batches further changes in quick succession.
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(150);
 /// Longest interval between two checks whether this process is the assigned reader.
 const ASSIGNMENT_CHECK_INTERVAL_MAX: Duration = Duration::from_millis(800);
