--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -74,8 +74,10 @@
     Some(AllocatorAddress { vm: own.vm.clone(), address: own.datagram_address? })
 }
 
-/// Handles a report of another group's spare capacity, and forwards a report that came from the
-/// group's allocator itself to the allocator of this data hall's group.
+/// Handles a report of another group's spare capacity.
+///
+/// A report that the other group's allocator sent itself is forwarded to the allocator of this data
+/// hall's group, unless that allocator is this process.
 pub(crate) fn receive_spare_capacity(shared: &Shared, sender: &VmName, report: &GroupRoom) {
     let routing = shared.routing();
     let Some(service) = routing.as_ref().and_then(|all| all.service(report.service.as_str()))
@@ -106,8 +108,9 @@
     matches!(service.allocator_order(shared, group, now).first(), Some(None))
 }
 
-/// Returns the address of the first allocator of a group that is considered reachable, or `None` if
-/// that allocator is this process.
+/// Returns the address of a group's first allocator that is considered reachable.
+///
+/// Returns `None` if that allocator is this process, or if no allocator is considered reachable.
 fn address_for(
     shared: &Shared,
     service: &ServiceRuntime,
