--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -1,5 +1,4 @@
-//! Reports to the fleet on requests suspected of crashing targets, and on requests cleared of the
-//! suspicion.
+//! Reports to the fleet on requests that are suspected of crashing targets or cleared again.
 //!
 //! A report is sent by datagram to the processes of this data hall and to some processes of every
 //! other data hall, which forward the report within theirs. Without a datagram socket, the report
@@ -94,8 +93,7 @@
     }
 }
 
-/// Sends a report on the request by datagram, or triggers an exchange with peers if the process has
-/// no datagram socket.
+/// Sends a report on the request by datagram, or by an early exchange if there is no socket.
 fn send_report(shared: &Shared, fingerprint: Fingerprint) {
     if shared.allocation.socket().is_none() {
         shared.peer_exchange_due.notify_one();
