--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -17,8 +17,7 @@
 
 use crate::shared::Shared;
 
-/// Interval between two ticks while requests wait for a target; a wait ends at most one interval
-/// after its limit.
+/// Interval between two ticks while requests wait; a wait may exceed its limit by one interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval between two ticks while no request waits: short enough to detect process pauses.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
