--- a/crates/thymeshift_entry/src/target_client/answer.rs
+++ b/crates/thymeshift_entry/src/target_client/answer.rs
@@ -1,5 +1,4 @@
-//! Answer of a target whose head has arrived: streamed to the caller, or buffered before
-//! forwarding.
+//! Answer of a target whose head has arrived; its body is streamed or buffered before forwarding.
 
 use std::time::Duration;
 
