--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -67,8 +67,7 @@
     pub(crate) request_id: HeaderValue,
     /// Organisation whose key the caller sent.
     pub(crate) organisation: Option<OrganisationName>,
-    /// Number of bytes up to which an answer is buffered before it counts as an answer; 0 streams
-    /// every answer.
+    /// Bytes of an answer to buffer before the attempt succeeds; 0 streams every answer at once.
     pub(crate) answer_buffer_bytes: u64,
 }
 
@@ -240,8 +239,7 @@
         }))
     }
 
-    /// Returns the failure that an answer's meaning stands for, or `None` if the answer is to be
-    /// forwarded to the caller.
+    /// Returns the failure that an answer means, or `None` if the answer may be forwarded.
     fn failure_of(&self, meaning: Meaning, destination: &Destination) -> Option<AttemptFailure> {
         let is_proof = self.grant.service().settings().shed_means_not_run;
         let (outcome, reason) = match meaning {
@@ -272,8 +270,7 @@
         AttemptFailure { failure, target, is_sent: true, body, answer: None, crash: None }
     }
 
-    /// Returns the failure of an attempt that sent nothing because the target may not be used any
-    /// more.
+    /// Returns the failure of an attempt that sent nothing because its target may not be used now.
     fn not_sent(self, body: RequestBody) -> AttemptFailure {
         let peer = Peer::Service(self.grant.service().name().clone());
         let failure = Failure::new(Outcome::NotRun, Reason::Deadline, Step::Send, peer);
@@ -312,8 +309,7 @@
         self.failure(Failure::new(Outcome::Unknown, Reason::Deadline, Step::Wait, peer), None)
     }
 
-    /// Returns the failure of an attempt whose connection broke, and checks whether the target has
-    /// crashed.
+    /// Returns the failure of a broken attempt, and checks whether the target has crashed.
     ///
     /// If hyper returns the request in `unsent`, no byte was written, which proves that the request
     /// did not run. After any other error it is unknown whether the request ran.
