--- a/crates/thymeshift_entry/src/target_client/body.rs
+++ b/crates/thymeshift_entry/src/target_client/body.rs
@@ -1,5 +1,4 @@
-//! Bodies of requests and answers in transit: bounded, checked for stalls, never truncated
-//! silently.
+//! Bodies of requests and answers in transit: bounded, checked for stalls and truncation.
 
 use std::pin::Pin;
 use std::task::Context;
