--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -7,9 +7,8 @@
 //!
 //! The service time of a target may change many times a second, and a load report is useless after
 //! such a change. Only the allocator probes, for the whole fleet, so the cost does not grow with
-//! the fleet. The service's measuring budget bounds the probes of one target. The allocator uses
-//! only part of the budget, because several processes may briefly consider themselves the
-//! allocator.
+//! the fleet. The service's measuring budget bounds the probes of one target. Each allocator uses
+//! only part of the budget, because several processes may briefly act as the allocator at once.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -48,8 +47,9 @@
 /// Time after its last acquire request for which a group counts as in use.
 const IN_USE_WINDOW: Duration = Duration::from_millis(250);
 
-/// Longest time for which an acquire request waits for probes: a probe takes 6 ms at the target and
-/// 1 to 3 ms of network round trip.
+/// Longest time for which an acquire request waits for probes.
+///
+/// A probe takes 6 ms at the target, and its network round trip 1 to 3 ms.
 const PROBES_BEFORE_GRANT_LIMIT: Duration = Duration::from_millis(12);
 
 /// Most targets of a group that a process probes while it knows no peers.
