--- a/crates/thymeshift_entry/src/target_client/pool.rs
+++ b/crates/thymeshift_entry/src/target_client/pool.rs
@@ -85,8 +85,7 @@
     opened: Counter,
 }
 
-/// Connection in use. Dropping the value closes the connection; [`Connection::put_back`] returns it
-/// to the pool.
+/// Connection in use, which is closed on drop unless [`Connection::put_back`] returns it.
 pub(crate) struct Connection {
     pool: Arc<Pool>,
     address: SocketAddr,
