--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -42,8 +42,7 @@
 impl<D: Dialect> Attempt<D> {
     /// Records the statements of an answer in the target's state.
     ///
-    /// Ignores an answer of another target or to another request, which states nothing about this
-    /// target.
+    /// Ignores answers of another target or to another request: they don't describe this target.
     pub(super) fn apply_statements(
         &mut self,
         meaning: Meaning,
