--- a/crates/thymeshift_entry/src/target_client/unknown_headers.rs
+++ b/crates/thymeshift_entry/src/target_client/unknown_headers.rs
@@ -17,7 +17,7 @@
 
 use crate::service::Destination;
 
-/// Most header names kept.
+/// Largest number of unknown header names kept.
 const NAMES_MAX: usize = 32;
 /// Longest header name kept, in bytes; longer names are ignored.
 const NAME_BYTES_MAX: usize = 64;
