--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -26,7 +26,7 @@
 use crate::control_plane::platform::fetch;
 use crate::control_plane::platform::offer;
 use crate::control_plane::source::read_once;
-use crate::environment::Beginning;
+use crate::environment::FirstPage;
 use crate::environment::Environment;
 use crate::environment::SharedSource;
 use crate::environment::Source;
@@ -152,7 +152,7 @@
 async fn is_list_long<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     match source.lock().await.begin().await {
-        Ok(beginning) => beginning == Beginning::Long,
+        Ok(beginning) => beginning == FirstPage::Long,
         Err(error) => {
             warn!("source_call_failed", kv: { error: = error });
             false
--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -44,8 +44,8 @@
 
     /// Reads the first part of what is published, before the first call of `changes`, which goes
     /// on from there.
-    fn begin(&mut self) -> impl Future<Output = Result<Beginning, SourceError>> + Send {
-        std::future::ready(Ok(Beginning::Whole))
+    fn begin(&mut self) -> impl Future<Output = Result<FirstPage, SourceError>> + Send {
+        std::future::ready(Ok(FirstPage::Whole))
     }
 
     /// Forgets what `begin` read, if no call has used it: it grows old.
@@ -61,7 +61,7 @@
 
 /// What the first part of what is published shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Beginning {
+pub enum FirstPage {
     /// There is no more, or the source is not read in parts.
     Whole,
     /// There is more.
--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use control_plane::GetError;
 pub use control_plane::http_get;
-pub use environment::Beginning;
+pub use environment::FirstPage;
 pub use environment::Environment;
 pub use environment::Source;
 pub use environment::SourceError;
