--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -65,7 +65,7 @@
     /// There is no more, or the source is not read in parts.
     Whole,
     /// There is more.
-    Long,
+    Partial,
 }
 
 /// A call to the source that brought nothing.
