--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -45,7 +45,7 @@
     /// Reads the first part of what is published, before the first call of `changes`, which goes
     /// on from there.
     fn begin(&mut self) -> impl Future<Output = Result<FirstPage, SourceError>> + Send {
-        std::future::ready(Ok(FirstPage::Whole))
+        std::future::ready(Ok(FirstPage::Complete))
     }
 
     /// Forgets what `begin` read, if no call has used it: it grows old.
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FirstPage {
     /// There is no more, or the source is not read in parts.
-    Whole,
+    Complete,
     /// There is more.
     Partial,
 }
