--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -151,7 +151,7 @@
 /// Whether the first page of the source's list is not all of it.
 async fn is_list_long<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
-    match source.lock().await.begin().await {
+    match source.lock().await.read_first_page().await {
         Ok(beginning) => beginning == FirstPage::Partial,
         Err(error) => {
             warn!("source_call_failed", kv: { error: = error });
--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -44,11 +44,11 @@
 
     /// Reads the first part of what is published, before the first call of `changes`, which goes
     /// on from there.
-    fn begin(&mut self) -> impl Future<Output = Result<FirstPage, SourceError>> + Send {
+    fn read_first_page(&mut self) -> impl Future<Output = Result<FirstPage, SourceError>> + Send {
         std::future::ready(Ok(FirstPage::Complete))
     }
 
-    /// Forgets what `begin` read, if no call has used it: it grows old.
+    /// Forgets what `read_first_page` read, if no call has used it: it grows old.
     fn forget_beginning(&mut self) {}
 
     /// The documents that changed since the last answered call, all of them at the first. The
