--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -83,7 +83,7 @@
     // Who holds the source now reads on from there. To wait for that would keep this process from
     // serving for as long as a watch lasts.
     if let Ok(mut source) = source.try_lock() {
-        source.forget_beginning();
+        source.discard_first_page();
     }
     // Decisions taken alone overload targets. Peers that are not there refuse at once.
     if is_alone(shared) {
--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -49,7 +49,7 @@
     }
 
     /// Forgets what `read_first_page` read, if no call has used it: it grows old.
-    fn forget_beginning(&mut self) {}
+    fn discard_first_page(&mut self) {}
 
     /// The documents that changed since the last answered call, all of them at the first. The
     /// source may hold the call for up to `wait` until something changes.
