--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -26,7 +26,7 @@
     const SOURCE_IS_CURRENT: bool;
     /// Whether targets are discovered apart from the configuration: then a process serves
     /// only once it knows both.
-    const DISCOVERS: bool;
+    const HAS_TARGET_DISCOVERY: bool;
 }
 
 /// The process's only reader of the source: what the start has read need not be read again
--- a/crates/thymeshift_entry/src/native.rs
+++ b/crates/thymeshift_entry/src/native.rs
@@ -32,7 +32,7 @@
     type Dialect = Native;
     type Source = NativeSource;
     const SOURCE_IS_CURRENT: bool = false;
-    const DISCOVERS: bool = false;
+    const HAS_TARGET_DISCOVERY: bool = false;
 }
 
 /// Reads the platform's configuration service.
