--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -112,10 +112,10 @@
             }
             Ok(changed.len())
         }
-        Err(SourceError::Forgotten) => {
+        Err(SourceError::HistoryLost) => {
             // The source answered; the next call reads everything at once.
             fleet.readers.succeeded(now);
-            Err(SourceError::Forgotten)
+            Err(SourceError::HistoryLost)
         }
         Err(error) => {
             let members = fleet.members.count_alive(now);
--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -83,7 +83,7 @@
     },
     /// The source no longer knows what changed; the next call reads everything.
     #[display("the changes since the last call are no longer known")]
-    Forgotten,
+    HistoryLost,
     /// An answer that cannot be read.
     #[display("at {place}: {mistake}")]
     #[from(ignore)]
