--- a/crates/thymeshift_entry/src/gaps.rs
+++ b/crates/thymeshift_entry/src/gaps.rs
@@ -13,9 +13,9 @@
 
 /// Tells those that wait when the process notices that it did not run for a while.
 #[derive(Debug, Default)]
-pub struct Gaps(Notify);
+pub struct PauseNotifier(Notify);
 
-impl Gaps {
+impl PauseNotifier {
     /// The process did not run for a while: whoever waits looks at the clock again.
     pub fn noticed(&self) {
         self.0.notify_waiters();
--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -34,7 +34,7 @@
 pub use environment::Environment;
 pub use environment::Source;
 pub use environment::SourceError;
-pub use gaps::Gaps;
+pub use gaps::PauseNotifier;
 pub use native::NativeEnvironment;
 pub use native::NativeSource;
 pub use process::Bound;
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -44,7 +44,7 @@
 use crate::allocation_client::AllocationClient;
 use crate::control_plane::Links;
 use crate::fleet::Fleet;
-use crate::gaps::Gaps;
+use crate::gaps::PauseNotifier;
 use crate::organisations::Quotas;
 use crate::routing::Routing;
 use crate::service::PendingAcquire;
@@ -76,7 +76,7 @@
     pub(crate) started_at: Timestamp,
     pub(crate) metrics: ProcessMetrics,
     /// Ends waits whose deadline passed while the VM was suspended.
-    pub(crate) gaps: Gaps,
+    pub(crate) gaps: PauseNotifier,
     pub(crate) fleet: Mutex<Fleet>,
     /// Whether a configuration is in force.
     pub(crate) has_configuration: watch::Sender<bool>,
@@ -150,7 +150,7 @@
             boot,
             started_at: BootClock.now(),
             metrics: ProcessMetrics::default(),
-            gaps: Gaps::default(),
+            gaps: PauseNotifier::default(),
             has_configuration: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
             peer_exchange_due: Notify::new(),
--- a/crates/thymeshift_entry/tests/gaps.rs
+++ b/crates/thymeshift_entry/tests/gaps.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use thymeshift_entry::Gaps;
+use thymeshift_entry::PauseNotifier;
 use thymeshift_types::Clock;
 use thymeshift_types::ManualClock;
 use thymeshift_types::Timestamp;
@@ -20,7 +20,7 @@
 const NOTICED_AFTER: Duration = Duration::from_millis(100);
 
 /// Runs the clocks for `ran`, suspends for `suspended`, and wakes.
-async fn suspend(clock: &ManualClock, gaps: &Gaps, ran: Duration, suspended: Duration) {
+async fn suspend(clock: &ManualClock, gaps: &PauseNotifier, ran: Duration, suspended: Duration) {
     sleep(ran).await;
     clock.advance(ran + suspended);
     sleep(NOTICED_AFTER).await;
@@ -44,7 +44,7 @@
     ];
     for Case { suspended_s, waits } in cases {
         let clock = ManualClock::new(START);
-        let gaps = Arc::new(Gaps::default());
+        let gaps = Arc::new(PauseNotifier::default());
         let begun = Instant::now();
         let (outcome, ()) = tokio::join!(
             gaps.until(&clock, START + LEFT, pending::<()>()),
@@ -60,7 +60,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_is_ready_when_the_vm_wakes_is_delivered() {
     let clock = ManualClock::new(START);
-    let gaps = Gaps::default();
+    let gaps = PauseNotifier::default();
     let (answer, answered) = oneshot::channel();
     let waking = async {
         clock.advance(Duration::from_mins(1));
@@ -74,7 +74,7 @@
 #[tokio::test(start_paused = true)]
 async fn many_gaps_in_a_row_end_no_wait_early() {
     let clock = ManualClock::new(START);
-    let gaps = Gaps::default();
+    let gaps = PauseNotifier::default();
     let noticing = async {
         for _ in 0..20 {
             sleep(Duration::from_millis(100)).await;
