--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -75,7 +75,7 @@
         counter!(metric::PAUSES).increment(1);
         warn!("process_was_paused", kv: { gap_ms = gap.as_millis() as u64 });
         shared.fleet.lock().paused(gap);
-        shared.gaps.noticed();
+        shared.gaps.notify();
     }
 }
 
--- a/crates/thymeshift_entry/src/gaps.rs
+++ b/crates/thymeshift_entry/src/gaps.rs
@@ -17,7 +17,7 @@
 
 impl PauseNotifier {
     /// The process did not run for a while: whoever waits looks at the clock again.
-    pub fn noticed(&self) {
+    pub fn notify(&self) {
         self.0.notify_waiters();
     }
 
--- a/crates/thymeshift_entry/tests/gaps.rs
+++ b/crates/thymeshift_entry/tests/gaps.rs
@@ -25,7 +25,7 @@
     clock.advance(ran + suspended);
     sleep(NOTICED_AFTER).await;
     clock.advance(NOTICED_AFTER);
-    gaps.noticed();
+    gaps.notify();
 }
 
 #[tokio::test(start_paused = true)]
@@ -65,7 +65,7 @@
     let waking = async {
         clock.advance(Duration::from_mins(1));
         answer.send(7).expect("somebody waits");
-        gaps.noticed();
+        gaps.notify();
     };
     let (outcome, ()) = tokio::join!(gaps.until(&clock, START + LEFT, answered), waking);
     assert_eq!(outcome, Some(Ok(7)));
@@ -79,7 +79,7 @@
         for _ in 0..20 {
             sleep(Duration::from_millis(100)).await;
             clock.advance(Duration::from_millis(100));
-            gaps.noticed();
+            gaps.notify();
         }
         clock.now()
     };
