--- a/crates/thymeshift_entry/src/gaps.rs
+++ b/crates/thymeshift_entry/src/gaps.rs
@@ -22,7 +22,7 @@
     }
 
     /// The outcome of `work`, or none once `deadline` has passed. What is ready counts, also late.
-    pub async fn until<C: Clock, W: Future>(
+    pub async fn timeout_at<C: Clock, W: Future>(
         &self,
         clock: &C,
         deadline: Timestamp,
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -172,7 +172,7 @@
             return Err(self.given_up(request.into_body()).into());
         };
         let sending = sender.try_send_request(request);
-        let sent = self.shared.gaps.until(&BootClock, deadline, sending).await;
+        let sent = self.shared.gaps.timeout_at(&BootClock, deadline, sending).await;
         let response = match sent {
             None => return Err(self.timed_out(&destination).into()),
             Some(Err(mut error)) => {
@@ -204,7 +204,7 @@
             return Ok(answer.streamed());
         }
         let taking = answer.taken_in(plan.answer_buffer_bytes);
-        let taken = self.shared.gaps.until(&BootClock, deadline, taking).await;
+        let taken = self.shared.gaps.timeout_at(&BootClock, deadline, taking).await;
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
         let failure = match taken {
--- a/crates/thymeshift_entry/tests/gaps.rs
+++ b/crates/thymeshift_entry/tests/gaps.rs
@@ -47,7 +47,7 @@
         let gaps = Arc::new(PauseNotifier::default());
         let begun = Instant::now();
         let (outcome, ()) = tokio::join!(
-            gaps.until(&clock, START + LEFT, pending::<()>()),
+            gaps.timeout_at(&clock, START + LEFT, pending::<()>()),
             suspend(&clock, &gaps, ran, Duration::from_secs(suspended_s)),
         );
         assert_eq!(outcome, None, "suspended for {suspended_s} s");
@@ -67,7 +67,7 @@
         answer.send(7).expect("somebody waits");
         gaps.notify();
     };
-    let (outcome, ()) = tokio::join!(gaps.until(&clock, START + LEFT, answered), waking);
+    let (outcome, ()) = tokio::join!(gaps.timeout_at(&clock, START + LEFT, answered), waking);
     assert_eq!(outcome, Some(Ok(7)));
 }
 
@@ -83,7 +83,7 @@
         }
         clock.now()
     };
-    let waiting = gaps.until(&clock, START + LEFT, pending::<()>());
+    let waiting = gaps.timeout_at(&clock, START + LEFT, pending::<()>());
     tokio::select! {
         _ = waiting => panic!("it ended with half of its time left"),
         at = noticing => assert_eq!(at, START + Duration::from_secs(2)),
