--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -9,7 +9,7 @@
 //! * [`allocation_client`]: datagrams to other entry processes, and the leases held here.
 //! * [`control_plane`]: platform, peers, operators, readiness and metrics.
 //! * [`environment`]: what may be put in place of the product's own dialect and source.
-//! * [`gaps`]: waits that end by the boot clock.
+//! * [`pauses`]: waits that end by the boot clock.
 //! * [`organisations`]: whose requests these are, and how many are admitted.
 //! * [`process`]: the supervisor tree, start and planned stop.
 
@@ -18,7 +18,7 @@
 mod control_plane;
 mod environment;
 mod fleet;
-mod gaps;
+mod pauses;
 mod native;
 mod organisations;
 mod process;
@@ -34,7 +34,7 @@
 pub use environment::Environment;
 pub use environment::Source;
 pub use environment::SourceError;
-pub use gaps::PauseNotifier;
+pub use pauses::PauseNotifier;
 pub use native::NativeEnvironment;
 pub use native::NativeSource;
 pub use process::Bound;
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -44,7 +44,7 @@
 use crate::allocation_client::AllocationClient;
 use crate::control_plane::Links;
 use crate::fleet::Fleet;
-use crate::gaps::PauseNotifier;
+use crate::pauses::PauseNotifier;
 use crate::organisations::Quotas;
 use crate::routing::Routing;
 use crate::service::PendingAcquire;
