--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -37,7 +37,7 @@
 pub use pauses::PauseNotifier;
 pub use native::NativeEnvironment;
 pub use native::NativeSource;
-pub use process::Bound;
+pub use process::BoundAddresses;
 pub use process::Exit;
 pub use process::StartError;
 pub use process::run;
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -64,7 +64,7 @@
 
 /// Addresses that the process listens on; port 0 in the settings becomes a free one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// For callers.
     pub caller: SocketAddr,
     /// For peers.
@@ -128,11 +128,11 @@
 pub async fn run<E: Environment>(
     mut settings: Settings,
     settings_path: Option<String>,
-    on_bound: impl FnOnce(&Bound),
+    on_bound: impl FnOnce(&BoundAddresses),
 ) -> Result<Exit, StartError> {
     let mut stops = Stops::new()?;
     let listeners = Listeners::bind(&mut settings)?;
-    let bound = Bound {
+    let bound = BoundAddresses {
         caller: settings.caller_address,
         peer: settings.peer_address,
         control: settings.control_address,
--- a/crates/thymeshiftd/src/main.rs
+++ b/crates/thymeshiftd/src/main.rs
@@ -8,7 +8,7 @@
 
 use thymeshift_config::Configuration;
 use thymeshift_config::Settings;
-use thymeshift_entry::Bound;
+use thymeshift_entry::BoundAddresses;
 use thymeshift_entry::Environment;
 use thymeshift_entry::Exit;
 use thymeshift_entry::NativeEnvironment;
@@ -119,7 +119,7 @@
 }
 
 /// One line on standard output, for whoever started the process with port 0.
-fn announce(bound: &Bound) {
-    let Bound { caller, peer, control, observe } = bound;
+fn announce(bound: &BoundAddresses) {
+    let BoundAddresses { caller, peer, control, observe } = bound;
     say(&format!("listening caller={caller} peer={peer} control={control} observe={observe}\n"));
 }
