--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -106,7 +106,7 @@
     /// As planned, but the bound passed before all answers had been given.
     #[display("stopped with {open} callers' connections still open after the bound")]
     #[error(ignore)]
-    BoundPassed {
+    DrainTimedOut {
         /// Connections that were cut off.
         open: u64,
     },
@@ -214,7 +214,7 @@
     }
     let open = shared.metrics.caller_connections.load(Ordering::Relaxed);
     warn!("stop_bound_passed", kv: { open });
-    Exit::BoundPassed { open }
+    Exit::DrainTimedOut { open }
 }
 
 /// Waits until no caller is connected any more: an answer counts as given only when its
--- a/crates/thymeshiftd/src/main.rs
+++ b/crates/thymeshiftd/src/main.rs
@@ -95,7 +95,7 @@
     runtime.shutdown_background();
     match exit {
         Ok(Exit::Stopped) => ExitCode::SUCCESS,
-        Ok(Exit::BoundPassed { .. }) => ExitCode::from(CODE_BOUND_PASSED),
+        Ok(Exit::DrainTimedOut { .. }) => ExitCode::from(CODE_BOUND_PASSED),
         Ok(Exit::Escalated(escalation)) => failed(&escalation.to_string()),
         Err(error) => failed(&error.to_string()),
     }
