--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -64,7 +64,7 @@
             }
         }
         Message::QuotaAsk(ask) => {
-            let message = match shared.quotas.asked(shared, &sender, &ask) {
+            let message = match shared.quotas.handle_ask(shared, &sender, &ask) {
                 QuotaReply::Counted(told) => Message::QuotaCounted(ask.number, told),
                 QuotaReply::Elsewhere => Message::QuotaElsewhere(ask.number),
             };
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -123,7 +123,7 @@
     }
 
     /// A process asks this one, which counts unless another ranks before it.
-    pub(crate) fn asked(&self, shared: &Shared, asker: &VmName, ask: &QuotaAsk) -> QuotaReply {
+    pub(crate) fn handle_ask(&self, shared: &Shared, asker: &VmName, ask: &QuotaAsk) -> QuotaReply {
         if !shared.is_serving() || !self.is_counted_here(shared, &ask.organisation) {
             return QuotaReply::Elsewhere;
         }
