--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -71,10 +71,10 @@
             client.send(from, message);
         }
         Message::QuotaCounted(number, told) => {
-            shared.quotas.replied(number, QuotaReply::Counted(told));
+            shared.quotas.deliver(number, QuotaReply::Counted(told));
         }
         Message::QuotaElsewhere(number) => {
-            shared.quotas.replied(number, QuotaReply::Elsewhere);
+            shared.quotas.deliver(number, QuotaReply::Elsewhere);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
         Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
--- a/crates/thymeshift_entry/src/organisations/questions.rs
+++ b/crates/thymeshift_entry/src/organisations/questions.rs
@@ -43,7 +43,7 @@
         Question { questions: self, number, reply }
     }
 
-    pub(super) fn replied(&self, number: QuestionNumber, reply: QuotaReply) {
+    pub(super) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
         if let Some(sender) = self.open.lock().remove(&number) {
             // Nobody waits any more if this fails.
             let _ = sender.send(reply);
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    pub(crate) fn replied(&self, number: QuestionNumber, reply: QuotaReply) {
-        self.questions.replied(number, reply);
+    pub(crate) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
+        self.questions.deliver(number, reply);
     }
 
     /// Forgets organisations that are gone.
