--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -170,7 +170,7 @@
         if let (Some(identity), Err(failure)) = (&identity, &forwarded)
             && failure.outcome == Outcome::NotRun
         {
-            self.shared.quotas.give_back(identity.name());
+            self.shared.quotas.return_token(identity.name());
         }
         let response = forwarded?;
         if response.status().is_success() {
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -116,7 +116,7 @@
     }
 
     /// A request that was admitted has provably not run.
-    pub(crate) fn give_back(&self, name: &OrganisationName) {
+    pub(crate) fn return_token(&self, name: &OrganisationName) {
         if let Some(held) = self.held.lock().get(name) {
             held.holder.lock().return_token(BootClock.now());
         }
