--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -142,7 +142,7 @@
     }
 
     /// Forgets organisations that are gone.
-    pub(crate) fn keep_only(&self, organisations: &[Organisation]) {
+    pub(crate) fn retain_organisations(&self, organisations: &[Organisation]) {
         let is_known = |name: &OrganisationName| organisations.iter().any(|one| one.name == *name);
         self.held.lock().retain(|name, _| is_known(name));
         self.counted.lock().retain(|name, _| is_known(name));
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -135,7 +135,7 @@
             apply_marks(service, fleet);
             apply_orders(service, fleet, now);
         }
-        self.quotas.keep_only(routing.keys.organisations());
+        self.quotas.retain_organisations(routing.keys.organisations());
         *self.routing.write() = Some(routing);
         self.has_configuration.send_replace(true);
     }
