--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -66,7 +66,7 @@
         Message::QuotaAsk(ask) => {
             let message = match shared.quotas.handle_ask(shared, &sender, &ask) {
                 QuotaReply::Counted(told) => Message::QuotaCounted(ask.number, told),
-                QuotaReply::Elsewhere => Message::QuotaElsewhere(ask.number),
+                QuotaReply::NotCounter => Message::QuotaElsewhere(ask.number),
             };
             client.send(from, message);
         }
@@ -74,7 +74,7 @@
             shared.quotas.deliver(number, QuotaReply::Counted(told));
         }
         Message::QuotaElsewhere(number) => {
-            shared.quotas.deliver(number, QuotaReply::Elsewhere);
+            shared.quotas.deliver(number, QuotaReply::NotCounter);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
         Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
--- a/crates/thymeshift_entry/src/organisations/questions.rs
+++ b/crates/thymeshift_entry/src/organisations/questions.rs
@@ -14,7 +14,7 @@
 pub(crate) enum QuotaReply {
     Counted(QuotaGrant),
     /// Another process counts.
-    Elsewhere,
+    NotCounter,
 }
 
 /// Questions that wait for an answer.
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -125,7 +125,7 @@
     /// A process asks this one, which counts unless another ranks before it.
     pub(crate) fn handle_ask(&self, shared: &Shared, asker: &VmName, ask: &QuotaAsk) -> QuotaReply {
         if !shared.is_serving() || !self.is_counted_here(shared, &ask.organisation) {
-            return QuotaReply::Elsewhere;
+            return QuotaReply::NotCounter;
         }
         let limit = shared.routing().and_then(|routing| {
             let mut organisations = routing.keys.organisations().iter();
@@ -133,7 +133,7 @@
         });
         match limit {
             Some(limit) => QuotaReply::Counted(self.count(shared, asker, ask, limit)),
-            None => QuotaReply::Elsewhere,
+            None => QuotaReply::NotCounter,
         }
     }
 
@@ -208,7 +208,7 @@
             };
             match self.question(shared, place.address, &ask).await {
                 Some(QuotaReply::Counted(told)) => return Some(told),
-                Some(QuotaReply::Elsewhere) => {}
+                Some(QuotaReply::NotCounter) => {}
                 None => {
                     shared.allocation.skip_process(&place.vm, BootClock.now());
                     info!("quota_unanswered", kv: {
