--- a/crates/thymeshift_entry/src/organisations/questions.rs
+++ b/crates/thymeshift_entry/src/organisations/questions.rs
@@ -19,19 +19,19 @@
 
 /// Questions that wait for an answer.
 #[derive(Default)]
-pub(super) struct Questions {
+pub(super) struct PendingQuotaAsks {
     next_number: AtomicU64,
     open: Mutex<HashMap<QuestionNumber, oneshot::Sender<QuotaReply>>>,
 }
 
 /// A question that is forgotten when it is dropped.
 pub(super) struct Question<'a> {
-    questions: &'a Questions,
+    questions: &'a PendingQuotaAsks,
     number: QuestionNumber,
     pub(super) reply: oneshot::Receiver<QuotaReply>,
 }
 
-impl Questions {
+impl PendingQuotaAsks {
     pub(super) fn next_number(&self) -> QuestionNumber {
         QuestionNumber(self.next_number.fetch_add(1, Ordering::Relaxed))
     }
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -33,7 +33,7 @@
 use tokio::time::timeout;
 
 use crate::organisations::QuotaReply;
-use crate::organisations::questions::Questions;
+use crate::organisations::questions::PendingQuotaAsks;
 use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
@@ -54,7 +54,7 @@
     held: Mutex<HashMap<OrganisationName, Arc<Held>>>,
     counted: Mutex<HashMap<OrganisationName, QuotaCounter<VmName>>>,
     rankings: Mutex<HashMap<OrganisationName, Ranking>>,
-    questions: Questions,
+    questions: PendingQuotaAsks,
 }
 
 /// Tokens of one organisation.
