--- a/crates/thymeshift_entry/src/organisations/questions.rs
+++ b/crates/thymeshift_entry/src/organisations/questions.rs
@@ -25,7 +25,7 @@
 }
 
 /// A question that is forgotten when it is dropped.
-pub(super) struct Question<'a> {
+pub(super) struct PendingQuotaAsk<'a> {
     questions: &'a PendingQuotaAsks,
     number: QuestionNumber,
     pub(super) reply: oneshot::Receiver<QuotaReply>,
@@ -37,10 +37,10 @@
     }
 
     /// Waits for the answer to a question.
-    pub(super) fn open(&self, number: QuestionNumber) -> Question<'_> {
+    pub(super) fn open(&self, number: QuestionNumber) -> PendingQuotaAsk<'_> {
         let (sender, reply) = oneshot::channel();
         self.open.lock().insert(number, sender);
-        Question { questions: self, number, reply }
+        PendingQuotaAsk { questions: self, number, reply }
     }
 
     pub(super) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingQuotaAsk<'_> {
     fn drop(&mut self) {
         self.questions.open.lock().remove(&self.number);
     }
