--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -33,7 +33,7 @@
 use tokio::time::timeout;
 
 use crate::organisations::QuotaReply;
-use crate::organisations::questions::PendingQuotaAsks;
+use crate::organisations::pending_asks::PendingQuotaAsks;
 use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
