--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -227,7 +227,7 @@
         address: SocketAddr,
         ask: &QuotaAsk,
     ) -> Option<QuotaReply> {
-        let mut question = self.questions.open(ask.number);
+        let mut question = self.questions.register(ask.number);
         for limit in ANSWER_WAITS {
             shared.allocation.send(address, Message::QuotaAsk(ask.clone()));
             if let Ok(Ok(reply)) = timeout(limit, &mut question.reply).await {
