--- a/crates/thymeshift_entry/src/organisations/pending_asks.rs
+++ b/crates/thymeshift_entry/src/organisations/pending_asks.rs
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub(super) struct PendingQuotaAsks {
     next_number: AtomicU64,
-    register: Mutex<HashMap<QuestionNumber, oneshot::Sender<QuotaReply>>>,
+    pending: Mutex<HashMap<QuestionNumber, oneshot::Sender<QuotaReply>>>,
 }
 
 /// A question that is forgotten when it is dropped.
@@ -39,12 +39,12 @@
     /// Waits for the answer to a question.
     pub(super) fn register(&self, number: QuestionNumber) -> PendingQuotaAsk<'_> {
         let (sender, reply) = oneshot::channel();
-        self.register.lock().insert(number, sender);
+        self.pending.lock().insert(number, sender);
         PendingQuotaAsk { questions: self, number, reply }
     }
 
     pub(super) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
-        if let Some(sender) = self.register.lock().remove(&number) {
+        if let Some(sender) = self.pending.lock().remove(&number) {
             // Nobody waits any more if this fails.
             let _ = sender.send(reply);
         }
@@ -53,6 +53,6 @@
 
 impl Drop for PendingQuotaAsk<'_> {
     fn drop(&mut self) {
-        self.questions.register.lock().remove(&self.number);
+        self.questions.pending.lock().remove(&self.number);
     }
 }
