--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -32,7 +32,7 @@
 
 use crate::caller::suspicion::Suspicion;
 use crate::organisations::Identity;
-use crate::organisations::rank;
+use crate::organisations::request_priority;
 use crate::routing::KindRuntime;
 use crate::service::GrantGuard;
 use crate::service::ServiceRuntime;
@@ -211,7 +211,7 @@
         let kind = &self.kind.kind;
         let wait_until = BootClock.now() + Duration::from_millis(kind.wait_max_ms);
         Request {
-            priority: rank(self.identity.as_ref(), kind),
+            priority: request_priority(self.identity.as_ref(), kind),
             deadline: self.deadline,
             wait_until: wait_until.min(self.deadline),
             objective: self.objective,
--- a/crates/thymeshift_entry/src/organisations/identity.rs
+++ b/crates/thymeshift_entry/src/organisations/identity.rs
@@ -52,7 +52,7 @@
 }
 
 /// The rank of a request: that of its organisation goes before that of its kind.
-pub(crate) fn rank(identity: Option<&Identity>, kind: &Kind) -> u8 {
+pub(crate) fn request_priority(identity: Option<&Identity>, kind: &Kind) -> u8 {
     let organisation = identity.map_or(1, |identity| identity.organisation.rank);
     u8::try_from((organisation - 1) * KIND_RANKS + kind.priority).unwrap_or(u8::MAX)
 }
--- a/crates/thymeshift_entry/src/organisations/mod.rs
+++ b/crates/thymeshift_entry/src/organisations/mod.rs
@@ -10,6 +10,6 @@
 
 pub(crate) use identity::Identity;
 pub(crate) use identity::identify;
-pub(crate) use identity::rank;
+pub(crate) use identity::request_priority;
 pub(crate) use pending_asks::QuotaReply;
 pub(crate) use quota::Quotas;
