--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -177,7 +177,7 @@
         let Some(identity) = &self.identity else {
             return Ok(());
         };
-        let is_held = self.shared.routing().is_some_and(|routing| identity.holds(&routing.keys));
+        let is_held = self.shared.routing().is_some_and(|routing| identity.is_valid(&routing.keys));
         if is_held {
             return Ok(());
         }
--- a/crates/thymeshift_entry/src/organisations/identity.rs
+++ b/crates/thymeshift_entry/src/organisations/identity.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether the key still belongs to the organisation.
-    pub(crate) fn holds(&self, keys: &KeyRing) -> bool {
+    pub(crate) fn is_valid(&self, keys: &KeyRing) -> bool {
         keys.owner(&self.digest).is_some_and(|holder| holder.name == self.organisation.name)
     }
 }
