--- a/crates/thymeshift_entry/src/native.rs
+++ b/crates/thymeshift_entry/src/native.rs
@@ -53,7 +53,7 @@
 
     async fn changes(&mut self, wait: Duration) -> Result<Vec<(Document, Published)>, SourceError> {
         let after = self.configuration;
-        let Some(published) = ask(self.address, "configuration", after, wait).await? else {
+        let Some(published) = fetch_document(self.address, "configuration", after, wait).await? else {
             return Ok(Vec::new());
         };
         self.configuration = published.head().revision.as_u64();
@@ -62,7 +62,7 @@
 }
 
 /// Asks for the document called `name` if it is newer than `after`.
-pub(crate) async fn ask(
+pub(crate) async fn fetch_document(
     address: SocketAddr,
     name: &str,
     after: u64,
