--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -22,7 +22,7 @@
 use tokio::time::sleep;
 
 use crate::environment::SourceError;
-use crate::native::ask;
+use crate::native::fetch_document;
 use crate::shared::Shared;
 
 /// How long the platform may hold a call open.
@@ -99,7 +99,7 @@
         Document::Targets => "targets",
     };
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
-    let answered = ask(shared.settings().platform_address, place, after, wait).await;
+    let answered = fetch_document(shared.settings().platform_address, place, after, wait).await;
     let result = match &answered {
         Ok(Some(_)) => "changed",
         Ok(None) => "unchanged",
