--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -31,7 +31,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-use crate::caller::answer::AnswerBody;
+use crate::caller::answer::ResponseBody;
 use crate::caller::handler::handle;
 use crate::caller::head::Head;
 use crate::shared::Shared;
@@ -64,7 +64,7 @@
 
 /// A request that was begun early; dropped, it is cancelled.
 struct Begun {
-    answer: Option<JoinHandle<Response<AnswerBody>>>,
+    answer: Option<JoinHandle<Response<ResponseBody>>>,
     shared: Arc<Shared>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Begun {
-    async fn answered(mut self) -> Option<Response<AnswerBody>> {
+    async fn answered(mut self) -> Option<Response<ResponseBody>> {
         let answer = self.answer.as_mut()?.await;
         // It has ended, so that there is nothing to cancel.
         self.answer = None;
@@ -158,7 +158,7 @@
         shared: &Arc<Shared>,
         caller: SocketAddr,
         request: Request<hyper::body::Incoming>,
-    ) -> Option<Response<AnswerBody>> {
+    ) -> Option<Response<ResponseBody>> {
         let (parts, incoming) = request.into_parts();
         let begun = self.delivered(&parts);
         let is_safe = parts.method.is_safe();
--- a/crates/thymeshift_entry/src/caller/answer.rs
+++ b/crates/thymeshift_entry/src/caller/answer.rs
@@ -18,14 +18,14 @@
 use crate::target_client::TargetBody;
 
 /// Body of an answer.
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// The process's own.
     Own(Full<Bytes>),
     /// A target's, passed on as it arrives.
     Target(Box<TargetBody>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -58,7 +58,7 @@
 pub(crate) fn failure_answer<D: Dialect>(
     failure: &Failure,
     request_id: &HeaderValue,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let answer = D::failure(failure, request_id);
-    answer.map(|body| AnswerBody::Own(Full::new(Bytes::from(body))))
+    answer.map(|body| ResponseBody::Own(Full::new(Bytes::from(body))))
 }
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -37,7 +37,7 @@
 use thymeshift_wire::Dialect;
 use thymeshift_wire::headers;
 
-use crate::caller::answer::AnswerBody;
+use crate::caller::answer::ResponseBody;
 use crate::caller::answer::failure_answer;
 use crate::caller::fingerprint::fingerprint_of;
 use crate::caller::forward::Forward;
@@ -111,7 +111,7 @@
     shared: Arc<Shared>,
     caller: SocketAddr,
     request: Request<Option<Incoming>>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let _in_flight = InFlight::new(&shared);
     let request_id = request_id(request.headers());
     let accepted_at = BootClock.now();
@@ -137,7 +137,7 @@
     async fn answer<D: Dialect>(
         &mut self,
         request: Request<Option<Incoming>>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let Some(routing) = self.shared.routing() else {
             let failure = self.refused(Reason::NotReady, Step::Match);
             return Err(failure.with_retry_after(ELSEWHERE_RETRY_AFTER));
@@ -179,7 +179,7 @@
         let (mut parts, body) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
         D::clean_answer(&mut parts.headers);
-        Ok(Response::from_parts(parts, AnswerBody::Target(Box::new(body))))
+        Ok(Response::from_parts(parts, ResponseBody::Target(Box::new(body))))
     }
 
     /// Finds out who sent the request, and counts it towards the limit of its organisation. Nothing
@@ -258,7 +258,7 @@
     }
 
     /// Counts and logs what became of the request.
-    fn record(&mut self, answered: &Result<Response<AnswerBody>, Failure>) {
+    fn record(&mut self, answered: &Result<Response<ResponseBody>, Failure>) {
         self.is_recorded = true;
         let taken = BootClock.now().since(self.accepted_at);
         let request_id = self.request_id.to_str().unwrap_or_default();
