--- a/crates/thymeshift_entry/src/caller/answer.rs
+++ b/crates/thymeshift_entry/src/caller/answer.rs
@@ -55,7 +55,7 @@
 }
 
 /// The answer that tells a caller of a failure.
-pub(crate) fn failure_answer<D: Dialect>(
+pub(crate) fn failure_response<D: Dialect>(
     failure: &Failure,
     request_id: &HeaderValue,
 ) -> Response<ResponseBody> {
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -38,7 +38,7 @@
 use thymeshift_wire::headers;
 
 use crate::caller::answer::ResponseBody;
-use crate::caller::answer::failure_answer;
+use crate::caller::answer::failure_response;
 use crate::caller::fingerprint::fingerprint_of;
 use crate::caller::forward::Forward;
 use crate::caller::head::Head;
@@ -128,7 +128,7 @@
     let answered = progress.answer::<D>(request).await;
     progress.record(&answered);
     let mut response =
-        answered.unwrap_or_else(|failure| failure_answer::<D>(&failure, &request_id));
+        answered.unwrap_or_else(|failure| failure_response::<D>(&failure, &request_id));
     response.headers_mut().insert(headers::REQUEST_ID, request_id);
     response
 }
