--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -31,7 +31,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-use crate::caller::answer::ResponseBody;
+use crate::caller::response::ResponseBody;
 use crate::caller::handler::handle;
 use crate::caller::head::Head;
 use crate::shared::Shared;
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -37,8 +37,8 @@
 use thymeshift_wire::Dialect;
 use thymeshift_wire::headers;
 
-use crate::caller::answer::ResponseBody;
-use crate::caller::answer::failure_response;
+use crate::caller::response::ResponseBody;
+use crate::caller::response::failure_response;
 use crate::caller::fingerprint::fingerprint_of;
 use crate::caller::forward::Forward;
 use crate::caller::head::Head;
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -1,7 +1,7 @@
 //! From an accepted connection to the answer.
 
 mod ahead;
-mod answer;
+mod response;
 mod connection;
 mod departure;
 mod fingerprint;
