--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -45,7 +45,7 @@
 const AHEAD_IN_PROCESS_MAX: u64 = 128;
 
 /// The connection of a caller, read further than the request under way.
-pub(crate) struct Ahead {
+pub(crate) struct PipelinedConnection {
     stream: Arc<TcpStream>,
     state: Mutex<State>,
     /// Rings when bytes have arrived while a request is under way.
@@ -86,7 +86,7 @@
     }
 }
 
-impl Ahead {
+impl PipelinedConnection {
     pub(crate) fn new(stream: Arc<TcpStream>, header_bytes_max: usize) -> Arc<Self> {
         let state = State {
             pipeline: Pipeline::new(header_bytes_max + BYTES_AHEAD_MAX),
--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use crate::caller::ahead::Ahead;
+use crate::caller::ahead::PipelinedConnection;
 use crate::caller::departure::departed;
 use crate::caller::write_stall::WriteStall;
 use crate::shared::Shared;
@@ -45,7 +45,7 @@
     let write_limit = Duration::from_millis(limits.body_stall_timeout_ms);
     let has_begun = Arc::new(AtomicBool::new(false));
     let has_begun_here = has_begun.clone();
-    let ahead = Ahead::new(Arc::new(stream), limits.header_bytes_max as usize);
+    let ahead = PipelinedConnection::new(Arc::new(stream), limits.header_bytes_max as usize);
     let departure = Arc::new(Notify::new());
     let (ahead_here, departure_here) = (ahead.clone(), departure.clone());
     let service = service_fn(move |request: Request<Incoming>| {
--- a/crates/thymeshift_entry/src/caller/write_stall.rs
+++ b/crates/thymeshift_entry/src/caller/write_stall.rs
@@ -16,16 +16,16 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-use crate::caller::ahead::Ahead;
+use crate::caller::ahead::PipelinedConnection;
 use crate::target_client::Stall;
 
 pub(crate) struct WriteStall {
-    ahead: Arc<Ahead>,
+    ahead: Arc<PipelinedConnection>,
     stall: Stall,
 }
 
 impl WriteStall {
-    pub(crate) fn new(ahead: Arc<Ahead>, limit: Duration) -> Self {
+    pub(crate) fn new(ahead: Arc<PipelinedConnection>, limit: Duration) -> Self {
         Self { ahead, stall: Stall::new(limit) }
     }
 
