--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use crate::caller::ahead::PipelinedConnection;
+use crate::caller::pipelining::PipelinedConnection;
 use crate::caller::departure::departed;
 use crate::caller::write_stall::WriteStall;
 use crate::shared::Shared;
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -1,6 +1,6 @@
 //! From an accepted connection to the answer.
 
-mod ahead;
+mod pipelining;
 mod response;
 mod connection;
 mod departure;
--- a/crates/thymeshift_entry/src/caller/write_stall.rs
+++ b/crates/thymeshift_entry/src/caller/write_stall.rs
@@ -16,7 +16,7 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-use crate::caller::ahead::PipelinedConnection;
+use crate::caller::pipelining::PipelinedConnection;
 use crate::target_client::Stall;
 
 pub(crate) struct WriteStall {
