--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -26,7 +26,7 @@
 use tokio::time::sleep;
 
 use crate::caller::pipelining::PipelinedConnection;
-use crate::caller::departure::departed;
+use crate::caller::departure::caller_disconnected;
 use crate::caller::write_stall::WriteStall;
 use crate::shared::Shared;
 
@@ -70,7 +70,7 @@
     // Before the first request hyper only looks which protocol the caller speaks, and has
     // no time limit for that.
     let mut first_limit = pin!(sleep(head_limit));
-    let mut departed = pin!(departure.notified());
+    let mut caller_disconnected = pin!(departure.notified());
     let mut is_first_limited = true;
     let mut stage = Stage::Open;
     loop {
@@ -84,7 +84,7 @@
                 return;
             }
             // Dropping the connection cancels what is under way on it.
-            () = &mut departed => return,
+            () = &mut caller_disconnected => return,
             () = &mut closing, if stage == Stage::Open => stage = Stage::Ending,
             () = ahead.until_answered(), if stage == Stage::Ending => {}
             () = &mut first_limit, if is_first_limited => {
@@ -122,7 +122,7 @@
     let answered = tokio::select! {
         biased;
         answered = answer => answered,
-        () = departed(stream) => None,
+        () = caller_disconnected(stream) => None,
     };
     if let Some(answer) = answered {
         return answer;
--- a/crates/thymeshift_entry/src/caller/departure.rs
+++ b/crates/thymeshift_entry/src/caller/departure.rs
@@ -19,7 +19,7 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Returns once the caller has closed the connection.
-pub(crate) async fn departed(stream: &TcpStream) {
+pub(crate) async fn caller_disconnected(stream: &TcpStream) {
     sleep(FIRST_LOOK).await;
     while !has_departed(stream) {
         sleep(LOOK).await;
