--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -26,7 +26,7 @@
 use tokio::time::sleep;
 
 use crate::caller::pipelining::PipelinedConnection;
-use crate::caller::departure::caller_disconnected;
+use crate::caller::disconnect::caller_disconnected;
 use crate::caller::write_stall::WriteStall;
 use crate::shared::Shared;
 
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -3,7 +3,7 @@
 mod pipelining;
 mod response;
 mod connection;
-mod departure;
+mod disconnect;
 mod fingerprint;
 mod forward;
 mod handler;
