--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -30,7 +30,7 @@
 use thymeshift_wire::Dialect;
 use tokio::time::sleep;
 
-use crate::caller::suspicion::Suspicion;
+use crate::caller::suspicion::RequestQuarantine;
 use crate::organisations::Identity;
 use crate::organisations::request_priority;
 use crate::routing::KindRuntime;
@@ -61,7 +61,7 @@
     pub(crate) kind: Arc<KindRuntime>,
     pub(crate) service: Arc<ServiceRuntime>,
     pub(crate) request_id: HeaderValue,
-    pub(crate) suspicion: Suspicion,
+    pub(crate) suspicion: RequestQuarantine,
     /// Who sent the request; none if its kind needs no key.
     pub(crate) identity: Option<Identity>,
     /// Answers up to this length are complete before any of it goes to the caller.
--- a/crates/thymeshift_entry/src/caller/suspicion.rs
+++ b/crates/thymeshift_entry/src/caller/suspicion.rs
@@ -13,12 +13,12 @@
 use crate::shared::Shared;
 
 /// A request as the fleet knows it.
-pub(crate) struct Suspicion {
+pub(crate) struct RequestQuarantine {
     shared: Arc<Shared>,
     fingerprint: Fingerprint,
 }
 
-impl Suspicion {
+impl RequestQuarantine {
     pub(crate) fn new(shared: &Arc<Shared>, fingerprint: Fingerprint) -> Self {
         Self { shared: shared.clone(), fingerprint }
     }
