--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -30,7 +30,7 @@
 use thymeshift_wire::Dialect;
 use tokio::time::sleep;
 
-use crate::caller::suspicion::RequestQuarantine;
+use crate::caller::quarantine::RequestQuarantine;
 use crate::organisations::Identity;
 use crate::organisations::request_priority;
 use crate::routing::KindRuntime;
@@ -61,7 +61,7 @@
     pub(crate) kind: Arc<KindRuntime>,
     pub(crate) service: Arc<ServiceRuntime>,
     pub(crate) request_id: HeaderValue,
-    pub(crate) suspicion: RequestQuarantine,
+    pub(crate) quarantine: RequestQuarantine,
     /// Who sent the request; none if its kind needs no key.
     pub(crate) identity: Option<Identity>,
     /// Answers up to this length are complete before any of it goes to the caller.
@@ -154,7 +154,7 @@
         let request_id = self.request_id.to_str().unwrap_or_default();
         let left_ms = BootClock.now().until(self.deadline).as_millis() as u64;
         info!("attempt_failed", kv: {
-            request_id, fingerprint: = self.suspicion.fingerprint(),
+            request_id, fingerprint: = self.quarantine.fingerprint(),
             attempt, attempts_max = self.attempts_max, left_ms,
             outcome: = failure.outcome, reason: = failure.reason,
             step: = failure.step, peer: = failure.peer,
@@ -186,7 +186,7 @@
     }
 
     fn pass_quarantine(&self) -> Result<(), Failure> {
-        match self.suspicion.verdict() {
+        match self.quarantine.verdict() {
             Verdict::Free | Verdict::Suspected => Ok(()),
             Verdict::Refused(left) => {
                 Err(self.not_run(Reason::Quarantined, Step::Choose).with_retry_after(left))
@@ -264,7 +264,7 @@
     /// A target for a second attempt beside the first: at once or not at all.
     async fn hedge_grant(&self, attempts: u64, tried: Tried) -> Option<GrantGuard> {
         let is_allowed = self.kind.kind.repeat == Repeat::Safe && attempts < self.attempts_max;
-        if !is_allowed || self.suspicion.verdict() != Verdict::Free || !self.service.try_retry() {
+        if !is_allowed || self.quarantine.verdict() != Verdict::Free || !self.service.try_retry() {
             return None;
         }
         let at_once = Request { queue_max: 0, ..self.request(tried) };
@@ -294,7 +294,7 @@
             answer_buffer_bytes: self.answer_buffer_bytes,
         };
         let answered = Attempt::<D>::new(self.shared.clone(), grant).run(plan).await;
-        self.suspicion.note(&answered);
+        self.quarantine.note(&answered);
         answered
     }
 
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -44,7 +44,7 @@
 use crate::caller::head::Head;
 use crate::caller::hop::remove_hop_by_hop;
 use crate::caller::read_body::read_body;
-use crate::caller::suspicion::RequestQuarantine;
+use crate::caller::quarantine::RequestQuarantine;
 use crate::organisations::Identity;
 use crate::organisations::identify;
 use crate::routing::KindRuntime;
@@ -224,7 +224,7 @@
             dialect: PhantomData,
             service: kind.service_for(rand::rng().random()).clone(),
             request_id: self.request_id.clone(),
-            suspicion: RequestQuarantine::new(&self.shared, fingerprint),
+            quarantine: RequestQuarantine::new(&self.shared, fingerprint),
             identity: self.identity.clone(),
             answer_buffer_bytes: limits.answer_buffer_bytes,
             shared: self.shared.clone(),
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -11,7 +11,7 @@
 mod hop;
 mod listener;
 mod read_body;
-mod suspicion;
+mod quarantine;
 mod write_stall;
 
 pub(crate) use listener::run_listener;
