--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -42,7 +42,7 @@
 use crate::caller::fingerprint::fingerprint_of;
 use crate::caller::forward::Forward;
 use crate::caller::head::Head;
-use crate::caller::hop::remove_hop_by_hop;
+use crate::caller::hop_by_hop::remove_hop_by_hop;
 use crate::caller::read_body::read_body;
 use crate::caller::quarantine::RequestQuarantine;
 use crate::organisations::Identity;
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -8,7 +8,7 @@
 mod forward;
 mod handler;
 mod head;
-mod hop;
+mod hop_by_hop;
 mod listener;
 mod read_body;
 mod quarantine;
