--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -27,7 +27,7 @@
 
 use crate::caller::pipelining::PipelinedConnection;
 use crate::caller::disconnect::caller_disconnected;
-use crate::caller::write_stall::WriteStall;
+use crate::caller::write_stall::WriteTimeoutStream;
 use crate::shared::Shared;
 
 /// Requests one HTTP/2 connection may have open.
@@ -64,7 +64,7 @@
         }
     });
     let builder = builder(&limits, head_limit);
-    let stream = TokioIo::new(WriteStall::new(ahead.clone(), write_limit));
+    let stream = TokioIo::new(WriteTimeoutStream::new(ahead.clone(), write_limit));
     let mut connection = pin!(builder.serve_connection(stream, service));
     let mut closing = pin!(closing);
     // Before the first request hyper only looks which protocol the caller speaks, and has
--- a/crates/thymeshift_entry/src/caller/write_stall.rs
+++ b/crates/thymeshift_entry/src/caller/write_stall.rs
@@ -19,12 +19,12 @@
 use crate::caller::pipelining::PipelinedConnection;
 use crate::target_client::Stall;
 
-pub(crate) struct WriteStall {
+pub(crate) struct WriteTimeoutStream {
     ahead: Arc<PipelinedConnection>,
     stall: Stall,
 }
 
-impl WriteStall {
+impl WriteTimeoutStream {
     pub(crate) fn new(ahead: Arc<PipelinedConnection>, limit: Duration) -> Self {
         Self { ahead, stall: Stall::new(limit) }
     }
@@ -45,7 +45,7 @@
     }
 }
 
-impl AsyncRead for WriteStall {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -55,7 +55,7 @@
     }
 }
 
-impl WriteStall {
+impl WriteTimeoutStream {
     /// Writes once the socket takes something.
     fn poll_write_with(
         &mut self,
@@ -77,7 +77,7 @@
     }
 }
 
-impl AsyncWrite for WriteStall {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
