--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -27,7 +27,7 @@
 
 use crate::caller::pipelining::PipelinedConnection;
 use crate::caller::disconnect::caller_disconnected;
-use crate::caller::write_stall::WriteTimeoutStream;
+use crate::caller::write_timeout::WriteTimeoutStream;
 use crate::shared::Shared;
 
 /// Requests one HTTP/2 connection may have open.
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -12,6 +12,6 @@
 mod listener;
 mod read_body;
 mod quarantine;
-mod write_stall;
+mod write_timeout;
 
 pub(crate) use listener::run_listener;
