--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -82,7 +82,7 @@
 }
 
 /// What came of an attempt.
-pub(super) type Answered = Result<Response<TargetBody>, Box<AttemptFailure>>;
+pub(super) type AttemptResult = Result<Response<TargetBody>, Box<AttemptFailure>>;
 
 impl<D: Dialect> Forward<D> {
     /// Forwards the request until there is an answer or nothing more may be tried.
@@ -230,7 +230,7 @@
         body: RequestBody,
         attempts: &mut u64,
         tried: Tried,
-    ) -> Answered {
+    ) -> AttemptResult {
         let hedge_after = Duration::from_millis(self.kind.kind.hedge_after_ms);
         let copy = if hedge_after.is_zero() { None } else { body.try_copy() };
         let first_target = grant.target();
@@ -271,7 +271,7 @@
         self.service.obtain(&self.shared, at_once).await.ok()
     }
 
-    async fn send(&self, grant: GrantGuard, body: RequestBody, attempt: u64) -> Answered {
+    async fn send(&self, grant: GrantGuard, body: RequestBody, attempt: u64) -> AttemptResult {
         let freshness = match self.kind.kind.repeat {
             Repeat::Safe => Freshness::Any,
             Repeat::Unsafe => Freshness::New,
--- a/crates/thymeshift_entry/src/caller/quarantine.rs
+++ b/crates/thymeshift_entry/src/caller/quarantine.rs
@@ -7,7 +7,7 @@
 use thymeshift_types::Clock;
 use thymeshift_types::Fingerprint;
 
-use crate::caller::forward::Answered;
+use crate::caller::forward::AttemptResult;
 use crate::control_plane::note_answered;
 use crate::control_plane::note_crash;
 use crate::shared::Shared;
@@ -35,7 +35,7 @@
 
     /// An attempt has ended. A failure that the target states clears the request of nothing: the
     /// target may have broken it off at its deadline, before it did any harm.
-    pub(crate) fn note(&self, answered: &Answered) {
+    pub(crate) fn note(&self, answered: &AttemptResult) {
         match answered {
             Ok(response) if response.status().is_server_error() => {}
             Ok(_) => note_answered(&self.shared, self.fingerprint),
