--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -25,8 +25,8 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-use crate::caller::pipelining::PipelinedConnection;
 use crate::caller::disconnect::caller_disconnected;
+use crate::caller::pipelining::PipelinedConnection;
 use crate::caller::write_timeout::WriteTimeoutStream;
 use crate::shared::Shared;
 
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -37,14 +37,14 @@
 use thymeshift_wire::Dialect;
 use thymeshift_wire::headers;
 
-use crate::caller::response::ResponseBody;
-use crate::caller::response::failure_response;
 use crate::caller::fingerprint::fingerprint_of;
 use crate::caller::forward::Forward;
 use crate::caller::head::Head;
 use crate::caller::hop_by_hop::remove_hop_by_hop;
-use crate::caller::read_body::read_body;
 use crate::caller::quarantine::RequestQuarantine;
+use crate::caller::read_body::read_body;
+use crate::caller::response::ResponseBody;
+use crate::caller::response::failure_response;
 use crate::organisations::Identity;
 use crate::organisations::identify;
 use crate::routing::KindRuntime;
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -1,7 +1,5 @@
 //! From an accepted connection to the answer.
 
-mod pipelining;
-mod response;
 mod connection;
 mod disconnect;
 mod fingerprint;
@@ -10,8 +8,10 @@
 mod head;
 mod hop_by_hop;
 mod listener;
-mod read_body;
+mod pipelining;
 mod quarantine;
+mod read_body;
+mod response;
 mod write_timeout;
 
 pub(crate) use listener::run_listener;
--- a/crates/thymeshift_entry/src/caller/pipelining.rs
+++ b/crates/thymeshift_entry/src/caller/pipelining.rs
@@ -31,9 +31,9 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-use crate::caller::response::ResponseBody;
 use crate::caller::handler::handle;
 use crate::caller::head::Head;
+use crate::caller::response::ResponseBody;
 use crate::shared::Shared;
 
 /// Bytes of further requests taken from the socket at most; beyond it, the caller must wait.
--- a/crates/thymeshift_entry/src/native.rs
+++ b/crates/thymeshift_entry/src/native.rs
@@ -53,7 +53,8 @@
 
     async fn changes(&mut self, wait: Duration) -> Result<Vec<(Document, Published)>, SourceError> {
         let after = self.configuration;
-        let Some(published) = fetch_document(self.address, "configuration", after, wait).await? else {
+        let Some(published) = fetch_document(self.address, "configuration", after, wait).await?
+        else {
             return Ok(Vec::new());
         };
         self.configuration = published.head().revision.as_u64();
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -141,7 +141,14 @@
     count_panics();
     let socket = bind_datagrams(&mut settings)?;
     let boot = boot_now();
-    let shared = Shared::new(settings, settings_path, boot, socket, E::HAS_TARGET_DISCOVERY, start_metrics());
+    let shared = Shared::new(
+        settings,
+        settings_path,
+        boot,
+        socket,
+        E::HAS_TARGET_DISCOVERY,
+        start_metrics(),
+    );
     info!("started", kv: {
         vm: = shared.settings().vm, boot: = shared.boot, caller: = bound.caller,
         peer: = bound.peer, control: = bound.control, observe: = bound.observe
