--- a/crates/thymeshift_entry/src/caller/fingerprint.rs
+++ b/crates/thymeshift_entry/src/caller/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint of a caller's request.
+//! Computes the fingerprint of a caller's request.
 
 use blake3::Hasher;
 use http::HeaderName;
@@ -10,17 +10,19 @@
 
 use crate::target_client::RequestBody;
 
-/// Marks a body whose bytes are not known before it is passed on.
-const STREAMED: u8 = 1;
-const WHOLE: u8 = 0;
-/// Headers by which a caller says who it is. Its address does not: one caller moves between
-/// networks, and a balancer in front gives many the same.
+/// Hashed in place of a streamed body, whose bytes are not known before it is forwarded.
+const STREAMED_BODY: u8 = 1;
+/// Hashed before the bytes of a body that has been read completely.
+const WHOLE_BODY: u8 = 0;
+/// Headers that identify the caller. Its address is not used: a caller may change networks, and a
+/// proxy in front of this process gives many callers the same address.
 const CALLER_HEADERS: [HeaderName; 2] = [header::AUTHORIZATION, header::COOKIE];
 
-/// The fingerprint of a request: its method, host, path with query, who sends it as far as it
-/// says or by the digest of its key, and its body. Other headers are left out, because callers change some of them with each
-/// try. A body that is streamed is left out as well: such requests are told apart by their heads
-/// alone.
+/// Returns the fingerprint of a request: a hash of its method, host, path with query, caller
+/// headers, key digest and body.
+///
+/// Other headers are excluded because callers change some of them with each retry. A streamed body
+/// is excluded as well, so that such requests are distinguished by their heads alone.
 pub(crate) fn fingerprint_of(
     parts: &Parts,
     key: Option<KeyDigest>,
@@ -30,23 +32,23 @@
     let host = parts.headers.get(header::HOST).map(HeaderValue::as_bytes);
     let authority = parts.uri.authority().map(|authority| authority.as_str().as_bytes());
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-    add(&mut hasher, parts.method.as_str().as_bytes());
-    add(&mut hasher, host.or(authority).unwrap_or_default());
-    add(&mut hasher, path.as_bytes());
+    hash_field(&mut hasher, parts.method.as_str().as_bytes());
+    hash_field(&mut hasher, host.or(authority).unwrap_or_default());
+    hash_field(&mut hasher, path.as_bytes());
     for name in &CALLER_HEADERS {
         let value = parts.headers.get(name).map(HeaderValue::as_bytes);
-        add(&mut hasher, value.unwrap_or_default());
+        hash_field(&mut hasher, value.unwrap_or_default());
     }
     if let Some(key) = key {
-        add(&mut hasher, key.to_string().as_bytes());
+        hash_field(&mut hasher, key.to_string().as_bytes());
     }
     match body {
         RequestBody::Whole(bytes) => {
-            hasher.update(&[WHOLE]);
+            hasher.update(&[WHOLE_BODY]);
             hasher.update(bytes);
         }
         RequestBody::Streaming(_) => {
-            hasher.update(&[STREAMED]);
+            hasher.update(&[STREAMED_BODY]);
         }
     }
     let mut bytes = [0; 16];
@@ -54,8 +56,9 @@
     Fingerprint::from_bytes(bytes)
 }
 
-/// Adds a field with its length, so that the bytes of two fields cannot be shifted between them.
-fn add(hasher: &mut Hasher, field: &[u8]) {
+/// Hashes a field prefixed with its length, so that different splits of the same bytes into fields
+/// have different hashes.
+fn hash_field(hasher: &mut Hasher, field: &[u8]) {
     hasher.update(&(field.len() as u64).to_be_bytes());
     hasher.update(field);
 }
