--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller, HTTP/1.1 or cleartext HTTP/2.
+//! Serves one caller connection: HTTP/1.1 or cleartext HTTP/2.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -30,10 +30,10 @@
 use crate::caller::write_timeout::WriteTimeoutStream;
 use crate::shared::Shared;
 
-/// Requests one HTTP/2 connection may have open.
-const STREAMS_MAX: u32 = 256;
+/// Maximum number of concurrent streams on an HTTP/2 connection.
+const HTTP2_STREAMS_MAX: u32 = 256;
 
-/// Serves a connection until it closes; `closing` begins its graceful end.
+/// Serves a connection until it closes. Shuts it down gracefully once `closing` completes.
 pub(crate) async fn serve<D: Dialect>(
     shared: Arc<Shared>,
     stream: TcpStream,
@@ -41,38 +41,40 @@
     limits: Limits,
     closing: impl Future<Output = ()>,
 ) {
-    let head_limit = Duration::from_millis(limits.header_read_timeout_ms);
-    let write_limit = Duration::from_millis(limits.body_stall_timeout_ms);
-    let has_begun = Arc::new(AtomicBool::new(false));
-    let has_begun_here = has_begun.clone();
-    let ahead = PipelinedConnection::new(Arc::new(stream), limits.header_bytes_max as usize);
-    let departure = Arc::new(Notify::new());
-    let (ahead_here, departure_here) = (ahead.clone(), departure.clone());
+    let head_timeout = Duration::from_millis(limits.header_read_timeout_ms);
+    let write_timeout = Duration::from_millis(limits.body_stall_timeout_ms);
+    let request_flag = Arc::new(AtomicBool::new(false));
+    let has_received_request = request_flag.clone();
+    let pipelined = PipelinedConnection::new(Arc::new(stream), limits.header_bytes_max as usize);
+    let disconnect = Arc::new(Notify::new());
+    let (service_pipelined, service_disconnect) = (pipelined.clone(), disconnect.clone());
     let service = service_fn(move |request: Request<Incoming>| {
-        has_begun.store(true, Ordering::Relaxed);
-        let (shared, ahead, departure) =
-            (shared.clone(), ahead_here.clone(), departure_here.clone());
+        request_flag.store(true, Ordering::Relaxed);
+        let (shared, pipelined, disconnect) =
+            (shared.clone(), service_pipelined.clone(), service_disconnect.clone());
         async move {
             let version = request.version();
-            let answering = ahead.answer::<D>(&shared, caller, request);
-            let mut answer = unless_departed(ahead.stream(), &departure, answering).await;
-            if shared.is_stopping() && version < Version::HTTP_2 && !ahead.has_more() {
-                // Callers keep no connection to a process that is about to stop.
-                answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            let responding = pipelined.respond::<D>(&shared, caller, request);
+            let mut response =
+                unless_disconnected(pipelined.stream(), &disconnect, responding).await;
+            if shared.is_stopping() && version < Version::HTTP_2 && !pipelined.has_pipelined_bytes()
+            {
+                // Asks the caller to reconnect, as this process is about to stop.
+                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
-    let builder = builder(&limits, head_limit);
-    let stream = TokioIo::new(WriteTimeoutStream::new(ahead.clone(), write_limit));
+    let builder = builder(&limits, head_timeout);
+    let stream = TokioIo::new(WriteTimeoutStream::new(pipelined.clone(), write_timeout));
     let mut connection = pin!(builder.serve_connection(stream, service));
     let mut closing = pin!(closing);
-    // Before the first request hyper only looks which protocol the caller speaks, and has
-    // no time limit for that.
-    let mut first_limit = pin!(sleep(head_limit));
-    let mut caller_disconnected = pin!(departure.notified());
-    let mut is_first_limited = true;
-    let mut stage = Stage::Open;
+    // Until the first request, hyper only detects the protocol version, which it does without a
+    // timeout.
+    let mut first_request_timeout = pin!(sleep(head_timeout));
+    let mut disconnected = pin!(disconnect.notified());
+    let mut is_awaiting_first_request = true;
+    let mut stage = ShutdownStage::Open;
     loop {
         tokio::select! {
             biased;
@@ -83,67 +85,68 @@
                 }
                 return;
             }
-            // Dropping the connection cancels what is under way on it.
-            () = &mut caller_disconnected => return,
-            () = &mut closing, if stage == Stage::Open => stage = Stage::Ending,
-            () = ahead.until_answered(), if stage == Stage::Ending => {}
-            () = &mut first_limit, if is_first_limited => {
-                is_first_limited = false;
-                if !has_begun_here.load(Ordering::Relaxed) {
+            // Dropping the connection cancels the requests in progress on it.
+            () = &mut disconnected => return,
+            () = &mut closing, if stage == ShutdownStage::Open => stage = ShutdownStage::Draining,
+            () = pipelined.wait_until_answered(), if stage == ShutdownStage::Draining => {}
+            () = &mut first_request_timeout, if is_awaiting_first_request => {
+                is_awaiting_first_request = false;
+                if !has_received_request.load(Ordering::Relaxed) {
                     return;
                 }
             }
         }
-        // What the caller has sent already is answered first.
-        if stage == Stage::Ending && !ahead.has_more() {
-            stage = Stage::Shut;
+        // Requests that have already arrived are answered before the connection closes.
+        if stage == ShutdownStage::Draining && !pipelined.has_pipelined_bytes() {
+            stage = ShutdownStage::Closing;
             connection.as_mut().graceful_shutdown();
         }
     }
 }
 
-/// How far a connection is towards its planned end.
+/// Stage of the graceful shutdown of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum ShutdownStage {
+    /// No shutdown is requested.
     Open,
-    /// It is to end once what has arrived is answered.
-    Ending,
-    /// hyper ends it.
-    Shut,
+    /// The connection closes once all requests that have arrived are answered.
+    Draining,
+    /// hyper shuts the connection down.
+    Closing,
 }
 
-/// The answer, unless the caller leaves before it is there; then the connection is told, which
-/// drops this future.
-async fn unless_departed<T>(
+/// Returns the response. If the caller disconnects first, notifies `disconnect` and never returns:
+/// the connection's task then drops this future.
+async fn unless_disconnected<T>(
     stream: &TcpStream,
-    departure: &Notify,
-    answer: impl Future<Output = Option<T>>,
+    disconnect: &Notify,
+    responding: impl Future<Output = Option<T>>,
 ) -> T {
-    let answered = tokio::select! {
+    let response = tokio::select! {
         biased;
-        answered = answer => answered,
+        response = responding => response,
         () = caller_disconnected(stream) => None,
     };
-    if let Some(answer) = answered {
-        return answer;
+    if let Some(response) = response {
+        return response;
     }
-    departure.notify_one();
+    disconnect.notify_one();
     std::future::pending().await
 }
 
-fn builder(limits: &Limits, head_limit: Duration) -> auto::Builder<TokioExecutor> {
+fn builder(limits: &Limits, head_timeout: Duration) -> auto::Builder<TokioExecutor> {
     let head_bytes_max = limits.header_bytes_max as usize;
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(head_limit)
+        .header_read_timeout(head_timeout)
         .max_buf_size(head_bytes_max)
         .http2()
         .timer(TokioTimer::new())
-        .max_concurrent_streams(STREAMS_MAX)
+        .max_concurrent_streams(HTTP2_STREAMS_MAX)
         .max_header_list_size(head_bytes_max as u32)
-        .keep_alive_interval(head_limit)
-        .keep_alive_timeout(head_limit);
+        .keep_alive_interval(head_timeout)
+        .keep_alive_timeout(head_timeout);
     builder
 }
--- a/crates/thymeshift_entry/src/caller/pipelining.rs
+++ b/crates/thymeshift_entry/src/caller/pipelining.rs
@@ -1,8 +1,8 @@
-//! Beginning the work of requests that a caller has sent behind the one under way.
+//! Starts pipelined requests while an earlier request of the same connection is still in progress.
 //!
-//! Load pattern: callers that send several requests on a connection at once. One after the other,
-//! the last of eight requests of 100 ms was answered after 806 ms, with targets free all the time;
-//! begun together, within 300 ms (real processes on one machine).
+//! hyper serves the requests of an HTTP/1.1 connection one after the other. Of eight requests of
+//! 100 ms that a caller sent at once, the last was answered after 806 ms although targets were
+//! idle; with all eight started together, the last answer came within 300 ms.
 
 use std::collections::VecDeque;
 use std::io;
@@ -36,69 +36,73 @@
 use crate::caller::response::ResponseBody;
 use crate::shared::Shared;
 
-/// Bytes of further requests taken from the socket at most; beyond it, the caller must wait.
-const BYTES_AHEAD_MAX: usize = 16 * 1_024;
-/// Bytes taken from the socket at a time.
+/// Maximum number of bytes of pipelined requests that are read from the socket before hyper asks
+/// for them. Further bytes stay in the receive buffer of the socket.
+const READ_AHEAD_BYTES_MAX: usize = 16 * 1_024;
+/// Maximum number of bytes of one read from the socket.
 const READ_BYTES: usize = 4 * 1_024;
-/// Requests begun ahead in the whole process at most. Their answers are held until it is their
-/// turn: with 256 KiB each, 32 MiB of a VM that has 112 or more.
-const AHEAD_IN_PROCESS_MAX: u64 = 128;
+/// Maximum number of pipelined requests in progress in the whole process. Their responses are held
+/// in memory until the earlier responses are sent: with 256 KiB each, 32 MiB on a VM with at least
+/// 112 MiB.
+const PIPELINED_REQUESTS_MAX: u64 = 128;
 
-/// The connection of a caller, read further than the request under way.
+/// Caller connection whose pipelined requests are read while an earlier request is in progress.
 pub(crate) struct PipelinedConnection {
     stream: Arc<TcpStream>,
     state: Mutex<State>,
-    /// Rings when bytes have arrived while a request is under way.
-    arrived: Notify,
-    /// Rings when a request has been answered.
-    answered: Notify,
+    /// Notified when hyper has read bytes from the socket, which may hold pipelined requests.
+    bytes_arrived: Notify,
+    /// Notified when a request of the connection has been answered.
+    request_answered: Notify,
 }
 
 struct State {
     pipeline: Pipeline,
-    /// Bytes taken from the socket that hyper has not read.
-    taken: BytesMut,
-    is_at_end: bool,
-    begun: VecDeque<Begun>,
+    /// Bytes read from the socket that hyper has not read yet.
+    buffered: BytesMut,
+    is_eof: bool,
+    /// Pipelined requests that were started and that hyper has not read yet, oldest first.
+    started: VecDeque<StartedRequest>,
 }
 
-/// A request that was begun early; dropped, it is cancelled.
-struct Begun {
-    answer: Option<JoinHandle<Response<ResponseBody>>>,
+/// Pipelined request in progress; dropping it cancels the request.
+struct StartedRequest {
+    response: Option<JoinHandle<Response<ResponseBody>>>,
     shared: Arc<Shared>,
 }
 
-impl Drop for Begun {
+impl Drop for StartedRequest {
     fn drop(&mut self) {
         self.shared.metrics.pipelined_requests.fetch_sub(1, Ordering::Relaxed);
-        if let Some(answer) = &self.answer {
-            answer.abort();
+        if let Some(response) = &self.response {
+            response.abort();
         }
     }
 }
 
-impl Begun {
-    async fn answered(mut self) -> Option<Response<ResponseBody>> {
-        let answer = self.answer.as_mut()?.await;
-        // It has ended, so that there is nothing to cancel.
-        self.answer = None;
-        answer.inspect_err(|error| error!("request_ahead_lost", kv: { error: = error })).ok()
+impl StartedRequest {
+    /// Waits for the response; returns `None` if the request's task panicked or was cancelled.
+    async fn into_response(mut self) -> Option<Response<ResponseBody>> {
+        let response = self.response.as_mut()?.await;
+        // The task has ended, so `drop` has nothing to abort.
+        self.response = None;
+        response.inspect_err(|error| error!("request_ahead_lost", kv: { error: = error })).ok()
     }
 }
 
 impl PipelinedConnection {
     pub(crate) fn new(stream: Arc<TcpStream>, header_bytes_max: usize) -> Arc<Self> {
         let state = State {
-            pipeline: Pipeline::new(header_bytes_max + BYTES_AHEAD_MAX),
-            taken: BytesMut::new(),
-            is_at_end: false,
-            begun: VecDeque::new(),
+            pipeline: Pipeline::new(header_bytes_max + READ_AHEAD_BYTES_MAX),
+            buffered: BytesMut::new(),
+            is_eof: false,
+            started: VecDeque::new(),
         };
         Arc::new(Self {
             stream,
             state: Mutex::new(state),
-            arrived: Notify::new(),
-            answered: Notify::new(),
+            bytes_arrived: Notify::new(),
+            request_answered: Notify::new(),
         })
     }
 
@@ -106,25 +110,25 @@
         &self.stream
     }
 
-    /// Whether bytes of further requests are here: they are served before a planned stop ends the
-    /// connection.
-    pub(crate) fn has_more(&self) -> bool {
+    /// Returns whether bytes of further requests have arrived. These requests are served before a
+    /// planned stop closes the connection.
+    pub(crate) fn has_pipelined_bytes(&self) -> bool {
         self.state.lock().pipeline.has_more()
     }
 
-    /// Waits until a request has been answered.
-    pub(crate) async fn until_answered(&self) {
-        self.answered.notified().await;
+    /// Waits until a request of the connection has been answered.
+    pub(crate) async fn wait_until_answered(&self) {
+        self.request_answered.notified().await;
     }
 
-    /// hyper reads.
+    /// Reads for hyper: first the buffered bytes, then from the socket.
     pub(crate) fn poll_read(
         &self,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            if self.read_taken(buffer) {
+            if self.read_buffered(buffer) {
                 return Poll::Ready(Ok(()));
             }
             ready!(self.stream.poll_read_ready(context))?;
@@ -135,80 +139,87 @@
                     let bytes = &buffer.initialize_unfilled()[..length];
                     self.state.lock().pipeline.push_bytes(bytes);
                     buffer.advance(length);
-                    self.arrived.notify_one();
+                    self.bytes_arrived.notify_one();
                     return Poll::Ready(Ok(()));
                 }
             }
         }
     }
 
-    /// Hands on what was taken from the socket before. Returns whether that answers a read.
-    fn read_taken(&self, buffer: &mut ReadBuf<'_>) -> bool {
+    /// Copies buffered bytes into `buffer`. Returns whether the read is complete, which it also is
+    /// at the end of the stream.
+    fn read_buffered(&self, buffer: &mut ReadBuf<'_>) -> bool {
         let state = &mut *self.state.lock();
-        let length = state.taken.len().min(buffer.remaining());
-        buffer.put_slice(&state.taken[..length]);
-        state.taken.advance(length);
-        length > 0 || state.is_at_end
+        let length = state.buffered.len().min(buffer.remaining());
+        buffer.put_slice(&state.buffered[..length]);
+        state.buffered.advance(length);
+        length > 0 || state.is_eof
     }
 
-    /// The answer to a request that hyper has read. Meanwhile those behind it are begun, if it is
-    /// one of a method that may be repeated. None if the caller has left.
-    pub(crate) async fn answer<D: Dialect>(
+    /// Returns the response to a request that hyper has read, or `None` if the caller has closed the
+    /// connection. While a request with a safe method is in progress, the pipelined requests behind
+    /// it are started.
+    pub(crate) async fn respond<D: Dialect>(
         self: &Arc<Self>,
         shared: &Arc<Shared>,
         caller: SocketAddr,
         request: Request<hyper::body::Incoming>,
     ) -> Option<Response<ResponseBody>> {
         let (parts, incoming) = request.into_parts();
-        let begun = self.delivered(&parts);
+        let started = self.take_started(&parts);
         let is_safe = parts.method.is_safe();
         let request = Request::from_parts(parts, Some(incoming));
-        let answering = async {
-            let early = match begun {
-                Some(begun) => begun.answered().await,
+        let responding = async {
+            let early_response = match started {
+                Some(started) => started.into_response().await,
                 None => None,
             };
-            match early {
-                Some(answer) => answer,
+            match early_response {
+                Some(response) => response,
                 None => handle::<D>(shared.clone(), caller, request).await,
             }
         };
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
-            answer = answering => Some(answer),
-            () = self.read_on::<D>(shared, caller), if is_safe => None,
+            response = responding => Some(response),
+            () = self.start_pipelined_requests::<D>(shared, caller), if is_safe => None,
         };
-        self.answered.notify_one();
-        answer
+        self.request_answered.notify_one();
+        response
     }
 
-    /// The work on a request that was begun early.
-    fn delivered(&self, parts: &Parts) -> Option<Begun> {
+    /// Removes and returns the started request that hyper has now read. If hyper read a different
+    /// request than expected, cancels all started requests.
+    fn take_started(&self, parts: &Parts) -> Option<StartedRequest> {
         let state = &mut *self.state.lock();
         match state.pipeline.match_request(parts) {
             RequestMatch::NotYielded => None,
-            RequestMatch::Yielded => state.begun.pop_front(),
+            RequestMatch::Yielded => state.started.pop_front(),
             RequestMatch::Mismatch => {
-                state.begun.clear();
+                state.started.clear();
                 None
             }
         }
     }
 
-    /// Begins what may be begun, and takes further bytes from the socket. Returns once the caller
-    /// has left.
-    async fn read_on<D: Dialect>(self: &Arc<Self>, shared: &Arc<Shared>, caller: SocketAddr) {
+    /// Reads further bytes from the socket and starts the pipelined requests that may be started.
+    /// Returns when the caller has closed the connection.
+    async fn start_pipelined_requests<D: Dialect>(
+        self: &Arc<Self>,
+        shared: &Arc<Shared>,
+        caller: SocketAddr,
+    ) {
         loop {
-            while let Some(parts) = self.next(shared) {
-                self.begin::<D>(shared, caller, parts);
+            while let Some(parts) = self.next_startable(shared) {
+                self.start::<D>(shared, caller, parts);
             }
-            if !self.may_take() {
+            if !self.may_read_ahead() {
                 return std::future::pending().await;
             }
             tokio::select! {
-                () = self.arrived.notified() => {}
+                () = self.bytes_arrived.notified() => {}
                 _ = self.stream.readable() => {
-                    if self.take().is_err() {
+                    if self.read_ahead().is_err() {
                         return;
                     }
                 }
@@ -216,41 +227,44 @@
         }
     }
 
-    fn may_take(&self) -> bool {
+    /// Returns whether the buffer has capacity for another read and the pipeline is still parsed.
+    fn may_read_ahead(&self) -> bool {
         let state = self.state.lock();
-        !state.pipeline.is_stopped() && state.taken.len() + READ_BYTES <= BYTES_AHEAD_MAX
+        !state.pipeline.is_stopped() && state.buffered.len() + READ_BYTES <= READ_AHEAD_BYTES_MAX
     }
 
-    /// Takes what has arrived; an error means that the caller has left.
-    fn take(&self) -> io::Result<()> {
+    /// Reads the bytes that have arrived into the buffer; returns an error if the caller has closed
+    /// the connection.
+    fn read_ahead(&self) -> io::Result<()> {
         let mut bytes = [0; READ_BYTES];
         match self.stream.try_read(&mut bytes) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(error) => Err(error),
             Ok(0) => {
-                self.state.lock().is_at_end = true;
+                self.state.lock().is_eof = true;
                 Err(io::ErrorKind::UnexpectedEof.into())
             }
             Ok(length) => {
                 let state = &mut *self.state.lock();
                 state.pipeline.push_bytes(&bytes[..length]);
-                state.taken.extend_from_slice(&bytes[..length]);
+                state.buffered.extend_from_slice(&bytes[..length]);
                 Ok(())
             }
         }
     }
 
-    /// The next request that may be begun.
-    fn next(&self, shared: &Shared) -> Option<Parts> {
+    /// Returns the head of the next pipelined request that may be started: one of a safe kind, within
+    /// the limits on pipelined requests.
+    fn next_startable(&self, shared: &Shared) -> Option<Parts> {
         if shared.is_stopping() {
             return None;
         }
         let routing = shared.routing()?;
-        let ahead_max = routing.configuration.limits.requests_ahead_max;
+        let pipelined_max = routing.configuration.limits.requests_ahead_max;
         let state = &mut *self.state.lock();
-        let is_full = state.pipeline.pending_count() as u64 >= ahead_max
-            || shared.metrics.pipelined_requests.load(Ordering::Relaxed) >= AHEAD_IN_PROCESS_MAX;
-        if is_full {
+        let is_limit_reached = state.pipeline.pending_count() as u64 >= pipelined_max
+            || shared.metrics.pipelined_requests.load(Ordering::Relaxed) >= PIPELINED_REQUESTS_MAX;
+        if is_limit_reached {
             return None;
         }
         state.pipeline.next_request(|parts| {
@@ -259,12 +273,12 @@
         })
     }
 
-    fn begin<D: Dialect>(&self, shared: &Arc<Shared>, caller: SocketAddr, parts: Parts) {
+    fn start<D: Dialect>(&self, shared: &Arc<Shared>, caller: SocketAddr, parts: Parts) {
         counter!(metric::REQUESTS_AHEAD).increment(1);
         shared.metrics.pipelined_requests.fetch_add(1, Ordering::Relaxed);
         let request = Request::from_parts(parts, None);
-        let answer = tokio::spawn(handle::<D>(shared.clone(), caller, request));
-        let begun = Begun { answer: Some(answer), shared: shared.clone() };
-        self.state.lock().begun.push_back(begun);
+        let response = tokio::spawn(handle::<D>(shared.clone(), caller, request));
+        let started = StartedRequest { response: Some(response), shared: shared.clone() };
+        self.state.lock().started.push_back(started);
     }
 }
