--- a/crates/thymeshift_entry/src/caller/disconnect.rs
+++ b/crates/thymeshift_entry/src/caller/disconnect.rs
@@ -1,8 +1,8 @@
-//! Noticing that a caller has closed its connection while a request of it is under way.
+//! Detects that a caller has closed its connection while one of its requests is in progress.
 //!
-//! hyper looks for the end of a connection only as long as it has no unread bytes of it. A
-//! caller that sent further requests behind the first one, and leaves, would go unnoticed, and
-//! targets would work on for nobody.
+//! hyper checks for the end of a connection only while it holds no unread bytes of the connection.
+//! Without this check, a caller that sends pipelined requests and disconnects would stay
+//! undetected, and targets would continue work whose result nobody receives.
 
 use std::time::Duration;
 
@@ -12,28 +12,28 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Age of a request from which its caller is looked for: most are answered before, and a look
-/// costs a wake-up.
-const FIRST_LOOK: Duration = Duration::from_millis(200);
-/// Time between two further looks.
-const LOOK: Duration = Duration::from_millis(100);
+/// Age of a request at which the first check for a disconnected caller runs. Most requests are
+/// answered earlier, which saves the timer wake-up of a check.
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(200);
+/// Interval between later checks for a disconnected caller.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Returns once the caller has closed the connection.
 pub(crate) async fn caller_disconnected(stream: &TcpStream) {
-    sleep(FIRST_LOOK).await;
-    while !has_departed(stream) {
-        sleep(LOOK).await;
+    sleep(FIRST_CHECK_DELAY).await;
+    while !has_disconnected(stream) {
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn has_departed(stream: &TcpStream) -> bool {
+fn has_disconnected(stream: &TcpStream) -> bool {
     let is_at_end = match stream.peek(&mut [0]).now_or_never() {
-        // Nothing arrived.
+        // The socket is open and holds no bytes.
         None => false,
         Some(Ok(length)) => length == 0,
         Some(Err(_)) => true,
     };
-    // The end may be behind bytes that nobody has read yet.
+    // With unread bytes in the socket, `peek` does not show the end of the stream behind them.
     let ready = stream.ready(Interest::READABLE).now_or_never();
     let is_closed = ready.is_some_and(|ready| ready.is_ok_and(Ready::is_read_closed));
     is_at_end || is_closed
