--- a/crates/thymeshift_entry/src/caller/head.rs
+++ b/crates/thymeshift_entry/src/caller/head.rs
@@ -1,4 +1,4 @@
-//! A request's head as the rules of kinds see it.
+//! View of a request's head that the match rules of kinds are evaluated on.
 
 use http::HeaderMap;
 use http::header::HOST;
@@ -6,6 +6,7 @@
 use http::uri::Authority;
 use thymeshift_config::RequestHead;
 
+/// Head of a request with its host normalised.
 pub(crate) struct Head<'a> {
     parts: &'a Parts,
     host: Option<String>,
@@ -23,7 +24,7 @@
     headers.get(HOST).and_then(|value| value.to_str().ok())
 }
 
-/// The host without port, in lower case.
+/// Returns the host of an authority without port, in lower case.
 fn host_of(authority: &str) -> String {
     let is_port = |port: &str| port.bytes().all(|byte| byte.is_ascii_digit());
     let host = match authority.rsplit_once(':') {
--- a/crates/thymeshift_entry/src/caller/hop_by_hop.rs
+++ b/crates/thymeshift_entry/src/caller/hop_by_hop.rs
@@ -1,10 +1,10 @@
-//! Headers that belong to one connection and are not passed on (RFC 9110, 7.6.1).
+//! Removes hop-by-hop headers, which a proxy must not forward (RFC 9110, 7.6.1).
 
 use http::HeaderMap;
 use http::HeaderName;
 use http::header;
 
-/// Always removed, beside those that `Connection` lists.
+/// Hop-by-hop headers that are removed even if the `Connection` header does not list them.
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -14,10 +14,10 @@
     header::UPGRADE,
 ];
 
-/// Removes them.
+/// Removes all hop-by-hop headers, including those that the `Connection` header lists.
 pub(crate) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
-        for name in listed(headers) {
+        for name in connection_options(headers) {
             headers.remove(name);
         }
     }
@@ -26,12 +26,13 @@
     }
 }
 
-fn listed(headers: &HeaderMap) -> Vec<HeaderName> {
+/// Returns the header names listed in `Connection`, except framing headers.
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(','));
     let names = names.filter_map(|name| HeaderName::try_from(name.trim()).ok());
-    // Length and host say what the message is; no sender may take them away.
+    // `Content-Length` and `Host` define how the message is read, so a sender cannot remove them.
     let is_framing = |name: &HeaderName| *name == header::CONTENT_LENGTH || *name == header::HOST;
     names.filter(|name| !is_framing(name)).collect()
 }
--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! From an accepted connection to the answer.
+//! HTTP server for callers: from an accepted connection to the response.
 
 mod connection;
 mod disconnect;
