--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -294,7 +294,7 @@
             answer_buffer_bytes: self.answer_buffer_bytes,
         };
         let answered = Attempt::<D>::new(self.shared.clone(), grant).run(plan).await;
-        self.quarantine.note(&answered);
+        self.quarantine.record_attempt(&answered);
         answered
     }
 
--- a/crates/thymeshift_entry/src/caller/quarantine.rs
+++ b/crates/thymeshift_entry/src/caller/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is held against one request, and what its attempts show.
+//! Quarantine state of one request, and the reports of its attempts to the fleet.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::control_plane::note_crash;
 use crate::shared::Shared;
 
-/// A request as the fleet knows it.
+/// Handle to the quarantine state that the fleet keeps for one request.
 pub(crate) struct RequestQuarantine {
     shared: Arc<Shared>,
     fingerprint: Fingerprint,
@@ -23,20 +23,20 @@
         Self { shared: shared.clone(), fingerprint }
     }
 
-    /// The same for each arrival of the request.
+    /// Returns the fingerprint, which is the same each time a caller sends the request.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         self.fingerprint
     }
 
-    /// Whether the request may be sent to a target now.
+    /// Returns whether the request may be sent to a target now.
     pub(crate) fn verdict(&self) -> Verdict {
         self.shared.fleet.lock().verdict(self.fingerprint, BootClock.now())
     }
 
-    /// An attempt has ended. A failure that the target states clears the request of nothing: the
-    /// target may have broken it off at its deadline, before it did any harm.
-    pub(crate) fn note(&self, answered: &AttemptResult) {
-        match answered {
+    /// Reports the result of an attempt to the fleet. A 5xx response of the target does not clear the
+    /// request: the target may have aborted it at its deadline before the request could crash it.
+    pub(crate) fn record_attempt(&self, result: &AttemptResult) {
+        match result {
             Ok(response) if response.status().is_server_error() => {}
             Ok(_) => note_answered(&self.shared, self.fingerprint),
             Err(failed) => {
