--- a/crates/thymeshift_entry/src/caller/read_body.rs
+++ b/crates/thymeshift_entry/src/caller/read_body.rs
@@ -1,8 +1,8 @@
-//! Taking in a caller's body.
+//! Reads the body of a caller's request.
 //!
-//! A short body is read to its end before a target is chosen: a slow caller then holds
-//! no target's slot, the choice is made on fresher knowledge, and the request can be
-//! sent again if it provably did not run. A long one is passed on as it arrives.
+//! A short body is read completely before a target is chosen: a slow caller then holds no slot of
+//! a target, the choice uses fresher target state, and the request can be retried if it provably
+//! did not run. A long body is streamed to the target.
 
 use std::net::SocketAddr;
 
@@ -20,10 +20,11 @@
 use crate::target_client::BodyLimits;
 use crate::target_client::RequestBody;
 
-/// Longest body that is read before a target is chosen.
-const WHOLE_BYTES_MAX: u64 = 64 * 1_024;
+/// Maximum length in bytes of a body that is read completely before a target is chosen.
+const BUFFERED_BYTES_MAX: u64 = 64 * 1_024;
 
-/// Takes in the body of a request. Nothing has been sent to a target yet.
+/// Reads a short body completely, or prepares a long one for streaming. Errors report a request that
+/// did not run, because nothing has been sent to a target yet.
 pub(crate) async fn read_body(
     incoming: Option<Incoming>,
     limits: BodyLimits,
@@ -40,7 +41,7 @@
     if length > limits.bytes_max {
         return Err(refuse(Reason::BodyTooLarge));
     }
-    if length > WHOLE_BYTES_MAX {
+    if length > BUFFERED_BYTES_MAX {
         return Ok(RequestBody::streaming(incoming, limits));
     }
     match timeout(limits.stall, incoming.collect()).await {
--- a/crates/thymeshift_entry/src/caller/write_timeout.rs
+++ b/crates/thymeshift_entry/src/caller/write_timeout.rs
@@ -1,5 +1,5 @@
-//! A socket whose writes fail when its other side takes nothing for too long, so that a
-//! caller that does not read its answer does not hold a target's slot for ever.
+//! Socket whose writes fail when the caller accepts no bytes for too long, so that a caller that
+//! does not read its response does not occupy a slot of a target indefinitely.
 
 use std::io;
 use std::io::IoSlice;
@@ -19,24 +19,25 @@
 use crate::caller::pipelining::PipelinedConnection;
 use crate::target_client::Stall;
 
+/// Caller connection with a timeout on stalled writes.
 pub(crate) struct WriteTimeoutStream {
-    ahead: Arc<PipelinedConnection>,
+    connection: Arc<PipelinedConnection>,
     stall: Stall,
 }
 
 impl WriteTimeoutStream {
-    pub(crate) fn new(ahead: Arc<PipelinedConnection>, limit: Duration) -> Self {
-        Self { ahead, stall: Stall::new(limit) }
+    pub(crate) fn new(connection: Arc<PipelinedConnection>, limit: Duration) -> Self {
+        Self { connection, stall: Stall::new(limit) }
     }
 
-    fn watch<T>(
+    fn apply_timeout<T>(
         &mut self,
         context: &mut Context<'_>,
-        written: Poll<io::Result<T>>,
+        result: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
+        if result.is_ready() {
             self.stall.moved();
-            return written;
+            return result;
         }
         match self.stall.poll_stalled(context) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
@@ -51,29 +52,29 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.ahead.poll_read(context, buffer)
+        self.connection.poll_read(context, buffer)
     }
 }
 
 impl WriteTimeoutStream {
-    /// Writes once the socket takes something.
+    /// Calls `write` once the socket is writable, and applies the stall timeout.
     fn poll_write_with(
         &mut self,
         context: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        let written = loop {
-            match self.ahead.stream().poll_write_ready(context) {
+        let result = loop {
+            match self.connection.stream().poll_write_ready(context) {
                 Poll::Pending => break Poll::Pending,
                 Poll::Ready(Err(error)) => break Poll::Ready(Err(error)),
                 Poll::Ready(Ok(())) => {}
             }
-            match write(self.ahead.stream()) {
+            match write(self.connection.stream()) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                written => break Poll::Ready(written),
+                result => break Poll::Ready(result),
             }
         };
-        self.watch(context, written)
+        self.apply_timeout(context, result)
     }
 }
 
@@ -99,11 +100,11 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket holds nothing back.
+        // A TCP socket has no user-space buffer to flush.
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(shutdown(&**self.ahead.stream(), Shutdown::Write).map_err(io::Error::from))
+        Poll::Ready(shutdown(&**self.connection.stream(), Shutdown::Write).map_err(io::Error::from))
     }
 }
