--- a/crates/thymeshift_entry/src/caller/listener.rs
+++ b/crates/thymeshift_entry/src/caller/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting callers' connections, within a limit, until the process stops.
+//! Accepts caller connections, up to a limit, until the process stops.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,52 +20,55 @@
 use crate::caller::connection::serve;
 use crate::shared::Shared;
 
-/// Pause after a failed accept: mostly too many open files, which only time mends.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. The usual cause is too many open files, which resolves only when
+/// other connections close.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest time for which connections to a process without a configuration are not accepted.
-const START_WAIT: Duration = Duration::from_millis(400);
+/// Maximum time after the start during which a process without a configuration accepts no
+/// connections.
+const START_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// Accepts until `closing` turns true.
+/// Accepts connections until `closing` becomes true.
 pub(crate) async fn run_listener<D: Dialect>(
     shared: Arc<Shared>,
     listener: Arc<TcpListener>,
     closing: watch::Receiver<bool>,
 ) -> Result<(), TaskError> {
-    let mut until = closing.clone();
+    let mut stop = closing.clone();
     let mut phase = shared.phase.subscribe();
-    // Who connects to a process that has just started is served a moment later and need not
-    // come back; without a configuration in that time it is told so.
-    let _ = timeout(START_WAIT, phase.wait_for(|phase| *phase != Phase::Starting)).await;
+    // A caller that connects during the start waits in the accept queue instead of being refused.
+    // If the process has no configuration in time, the caller receives a `not_ready` refusal.
+    let _ = timeout(START_WAIT_MAX, phase.wait_for(|phase| *phase != Phase::Starting)).await;
     loop {
         let accepted = tokio::select! {
             biased;
-            _ = until.wait_for(|is_closing| *is_closing) => return Ok(()),
+            _ = stop.wait_for(|is_closing| *is_closing) => return Ok(()),
             accepted = listener.accept() => accepted,
         };
         let (stream, caller) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
                 warn!("accept_failed", kv: { error: = error });
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let limits = limits(&shared);
-        let Some(counted) = Counted::new(&shared, &limits) else {
+        let Some(guard) = ConnectionGuard::new(&shared, &limits) else {
             counter!(metric::CALLERS_TURNED_AWAY).increment(1);
             continue;
         };
-        if let Err(error) = prepare(&stream) {
+        if let Err(error) = configure(&stream) {
             warn!("accept_failed", kv: { error: = error });
             continue;
         }
         let shared = shared.clone();
         let mut closing = closing.clone();
         tokio::spawn(async move {
-            let _counted = counted;
+            let _guard = guard;
             let closing = async move {
-                // An error means that the process is gone, which is closing too.
+                // An error means that the sender was dropped with the process, which closes the
+                // connection as well.
                 let _ = closing.wait_for(|is_closing| *is_closing).await;
             };
             serve::<D>(shared, stream, caller, limits, closing).await;
@@ -73,7 +76,7 @@
     }
 }
 
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+fn configure(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)
 }
 
@@ -82,19 +85,19 @@
     routing.map_or_else(Limits::default, |routing| routing.configuration.limits.clone())
 }
 
-/// Counts a connection until it is dropped.
-struct Counted(Arc<Shared>);
+/// Counts a caller connection until it is dropped.
+struct ConnectionGuard(Arc<Shared>);
 
-impl Counted {
-    /// None if there are too many.
+impl ConnectionGuard {
+    /// Returns `None` if the maximum number of caller connections is open.
     fn new(shared: &Arc<Shared>, limits: &Limits) -> Option<Self> {
         let before = shared.metrics.caller_connections.fetch_add(1, Ordering::Relaxed);
-        let counted = Self(shared.clone());
-        (before < limits.caller_connections_max).then_some(counted)
+        let guard = Self(shared.clone());
+        (before < limits.caller_connections_max).then_some(guard)
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.metrics.caller_connections.fetch_sub(1, Ordering::Relaxed);
     }
