--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -1,4 +1,4 @@
-//! One request from its kind to its answer: choosing, waiting, attempts.
+//! Forwards a request whose kind is known: obtains a target, sends attempts, retries and hedges.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -44,17 +44,18 @@
 use crate::target_client::RequestBody;
 use crate::target_client::TargetBody;
 
-/// Choices that may turn out unusable before the first byte, for one request.
-const GIVEN_UP_MAX: u32 = 8;
+/// Maximum number of granted targets per request that turn out to be unusable before the first byte
+/// is sent.
+const UNUSABLE_GRANTS_MAX: u32 = 8;
 
-/// A caller whose request a target turned away may come back after this part of its objective,
-/// in the mean: the next target may take it, and then it still meets the objective.
+/// Divisor of a kind's objective that gives the mean retry delay of a request that a target refused.
+/// An eighth of the objective leaves time for another target to answer within it.
 const RETRY_AFTERS_PER_OBJECTIVE: u32 = 8;
 
-/// Time to obtain a target above which a request counts as having waited.
+/// Minimum time to obtain a target after which a request counts as having waited.
 const WAITED_MIN: Duration = Duration::from_millis(5);
 
-/// A request whose kind is known.
+/// Request of a known kind that is forwarded to a target.
 pub(crate) struct Forward<D> {
     pub(crate) dialect: PhantomData<D>,
     pub(crate) shared: Arc<Shared>,
@@ -62,41 +63,42 @@
     pub(crate) service: Arc<ServiceRuntime>,
     pub(crate) request_id: HeaderValue,
     pub(crate) quarantine: RequestQuarantine,
-    /// Who sent the request; none if its kind needs no key.
+    /// Organisation and key of the caller; `None` if the kind needs no key.
     pub(crate) identity: Option<Identity>,
-    /// Answers up to this length are complete before any of it goes to the caller.
+    /// Maximum length of a response that is buffered completely before its first byte is sent to the
+    /// caller.
     pub(crate) answer_buffer_bytes: u64,
     pub(crate) head: Parts,
     pub(crate) deadline: Timestamp,
-    /// Until when an answer is worth most to the caller.
+    /// Time by which a response has its full value to the caller.
     pub(crate) objective: Timestamp,
     pub(crate) attempts_max: u64,
     pub(crate) depth: u64,
     pub(crate) body_stall: Duration,
 }
 
-/// How an attempt ended that may have run, although another one followed.
-struct Begun {
+/// Result of an attempt that may have run and that was retried.
+struct EarlierAttempt {
     failure: Failure,
     answer: Option<Response<TargetBody>>,
 }
 
-/// What came of an attempt.
+/// Response of the target, or the failure of the attempt.
 pub(super) type AttemptResult = Result<Response<TargetBody>, Box<AttemptFailure>>;
 
 impl<D: Dialect> Forward<D> {
-    /// Forwards the request until there is an answer or nothing more may be tried.
+    /// Sends attempts until a target responds or no further attempt is permitted.
     pub(crate) async fn run(&self, body: RequestBody) -> Result<Response<TargetBody>, Failure> {
         self.service.count_received();
         let mut tried = Tried::default();
         let mut attempts = 0;
-        let mut given_up = 0;
+        let mut unusable_grants = 0;
         let mut body = body;
-        let mut begun = None;
+        let mut earlier = None;
         loop {
-            let grant = match self.grant_if_allowed(tried).await {
+            let grant = match self.permitted_grant(tried).await {
                 Ok(grant) => grant,
-                Err(refused) => return self.ended(refused, None, begun),
+                Err(refused) => return self.conclude(refused, None, earlier),
             };
             attempts += 1;
             let copy = body.try_copy();
@@ -108,45 +110,49 @@
                 tried.add(target);
             }
             if !failed.is_sent {
-                // Choose again without counting an attempt, or spending a retry.
+                // Nothing was sent: choose another target without counting an attempt or a retry.
                 attempts -= 1;
-                given_up += 1;
+                unusable_grants += 1;
                 match failed.body {
-                    Some(unused) if given_up < GIVEN_UP_MAX && self.has_time() => body = unused,
-                    _ => return self.ended(failed.failure, None, begun),
+                    Some(unused) if unusable_grants < UNUSABLE_GRANTS_MAX && self.has_time() => {
+                        body = unused
+                    }
+                    _ => return self.conclude(failed.failure, None, earlier),
                 }
                 continue;
             }
             let AttemptFailure { failure, body: unused, answer, .. } = *failed;
             self.log_attempt(&failure, attempts);
-            let Some(again) = unused.or(copy).filter(|_| self.may_retry(&failure, attempts)) else {
-                return self.ended(failure, answer, begun);
+            let Some(retry_body) = unused.or(copy).filter(|_| self.may_retry(&failure, attempts))
+            else {
+                return self.conclude(failure, answer, earlier);
             };
             if failure.outcome != Outcome::NotRun {
-                begun = Some(Begun { failure, answer });
+                earlier = Some(EarlierAttempt { failure, answer });
             }
             self.kind.metrics.retries.add_one();
-            body = again;
+            body = retry_body;
         }
     }
 
-    /// What the caller is told after the last attempt. If that one did not run, but an earlier
-    /// one may have, it is told of the earlier one.
-    fn ended(
+    /// Returns the result for the caller after the last attempt. If the last attempt did not run but
+    /// an earlier one may have, the result of the earlier attempt is returned.
+    fn conclude(
         &self,
         last: Failure,
         answer: Option<Response<TargetBody>>,
-        begun: Option<Begun>,
+        earlier: Option<EarlierAttempt>,
     ) -> Result<Response<TargetBody>, Failure> {
-        match begun {
-            Some(begun) if last.outcome == Outcome::NotRun => begun.answer.ok_or(begun.failure),
-            // The target's own words say more than ours.
+        match earlier {
+            Some(earlier) if last.outcome == Outcome::NotRun => {
+                earlier.answer.ok_or(earlier.failure)
+            }
+            // The target's own error response is more specific than a generated one.
             Some(_) | None => answer.ok_or_else(|| self.with_retry_after(last)),
         }
     }
 
-    /// One line for each attempt that brought no answer: whether there is another depends
-    /// on it.
+    /// Logs a failed attempt, with the facts that decide whether it is retried.
     fn log_attempt(&self, failure: &Failure, attempt: u64) {
         if !self.shared.allows_request_log_line() {
             return;
@@ -162,18 +168,18 @@
         });
     }
 
-    /// Waits for a target, unless the request is known to crash them or its key has been taken
-    /// away: it looks before the wait and again after it.
-    async fn grant_if_allowed(&self, tried: Tried) -> Result<GrantGuard, Failure> {
-        self.pass_quarantine()?;
+    /// Waits for a target unless the request is quarantined or its key was revoked. Quarantine is
+    /// checked before and after the wait, the key after it.
+    async fn permitted_grant(&self, tried: Tried) -> Result<GrantGuard, Failure> {
+        self.check_quarantine()?;
         let grant = self.grant(tried).await?;
-        self.pass_quarantine()?;
-        self.pass_identity()?;
+        self.check_quarantine()?;
+        self.check_identity()?;
         Ok(grant)
     }
 
-    /// Whether the caller's key still counts.
-    fn pass_identity(&self) -> Result<(), Failure> {
+    /// Fails if the caller's key no longer belongs to its organisation.
+    fn check_identity(&self) -> Result<(), Failure> {
         let Some(identity) = &self.identity else {
             return Ok(());
         };
@@ -185,7 +191,8 @@
         Err(Failure::new(Outcome::NotRun, Reason::UnknownKey, Step::Choose, peer))
     }
 
-    fn pass_quarantine(&self) -> Result<(), Failure> {
+    /// Fails while the request is quarantined because it crashed targets.
+    fn check_quarantine(&self) -> Result<(), Failure> {
         match self.quarantine.verdict() {
             Verdict::Free | Verdict::Suspected => Ok(()),
             Verdict::Refused(left) => {
@@ -194,11 +201,11 @@
         }
     }
 
-    /// Waits for a target.
+    /// Waits for a target, in the queue if none has a free slot.
     async fn grant(&self, tried: Tried) -> Result<GrantGuard, Failure> {
-        let begun = BootClock.now();
+        let started_at = BootClock.now();
         let obtained = self.service.obtain(&self.shared, self.request(tried)).await;
-        if BootClock.now().since(begun) > WAITED_MIN {
+        if BootClock.now().since(started_at) > WAITED_MIN {
             self.kind.metrics.waited.add_one();
         }
         obtained.map_err(|refusal| match refusal {
@@ -223,7 +230,8 @@
         }
     }
 
-    /// One attempt, and for kinds that hedge a second one beside it if it takes long.
+    /// Runs one attempt. For kinds with hedging, starts a second attempt in parallel if the first takes
+    /// longer than the hedge delay.
     async fn attempt(
         &self,
         grant: GrantGuard,
@@ -252,7 +260,7 @@
         *attempts += 1;
         self.kind.metrics.retries.add_one();
         let second = Box::pin(self.send(grant, copy, *attempts));
-        // The first good answer counts; dropping the other attempt cancels it.
+        // The first successful response wins; dropping the other attempt cancels it.
         let (failed, left) = match select(first, second).await {
             Either::Left((Err(failed), second)) => (failed, second),
             Either::Right((Err(failed), first)) => (failed, first),
@@ -261,14 +269,14 @@
         left.await.map_err(|last| if may_have_run(&last) { last } else { failed })
     }
 
-    /// A target for a second attempt beside the first: at once or not at all.
+    /// Obtains a target for a hedged attempt, without waiting in the queue.
     async fn hedge_grant(&self, attempts: u64, tried: Tried) -> Option<GrantGuard> {
         let is_allowed = self.kind.kind.repeat == Repeat::Safe && attempts < self.attempts_max;
         if !is_allowed || self.quarantine.verdict() != Verdict::Free || !self.service.try_retry() {
             return None;
         }
-        let at_once = Request { queue_max: 0, ..self.request(tried) };
-        self.service.obtain(&self.shared, at_once).await.ok()
+        let without_queue = Request { queue_max: 0, ..self.request(tried) };
+        self.service.obtain(&self.shared, without_queue).await.ok()
     }
 
     async fn send(&self, grant: GrantGuard, body: RequestBody, attempt: u64) -> AttemptResult {
@@ -298,18 +306,19 @@
         answered
     }
 
-    /// Another attempt needs: proof that none ran, or a kind that may run twice; a
-    /// number and a budget that allow it; and time.
+    /// Returns whether another attempt is permitted: the request did not run or its kind is safe to
+    /// repeat, attempts and retry budget remain, the deadline has not passed, and the request is
+    /// neither quarantined nor its key revoked.
     fn may_retry(&self, failure: &Failure, attempts: u64) -> bool {
-        let is_harmless =
+        let is_repeatable =
             failure.outcome == Outcome::NotRun || self.kind.kind.repeat == Repeat::Safe;
-        let is_callers_fault = matches!(failure.reason, Reason::CallerLost | Reason::BodyTooLarge);
-        is_harmless
-            && !is_callers_fault
+        let is_caller_failure = matches!(failure.reason, Reason::CallerLost | Reason::BodyTooLarge);
+        is_repeatable
+            && !is_caller_failure
             && attempts < self.attempts_max
             && self.has_time()
-            && self.pass_quarantine().is_ok()
-            && self.pass_identity().is_ok()
+            && self.check_quarantine().is_ok()
+            && self.check_identity().is_ok()
             && self.service.try_retry()
     }
 
@@ -327,10 +336,11 @@
         self.with_retry_after(failure)
     }
 
-    /// Every refusal says when to come back.
+    /// Adds a retry delay to a refusal that has none, spread by up to half of the delay in both
+    /// directions. A request with an unknown key gets no delay.
     fn with_retry_after(&self, failure: Failure) -> Failure {
-        let is_answerable = failure.reason != Reason::UnknownKey;
-        if failure.retry_after.is_some() || failure.outcome != Outcome::NotRun || !is_answerable {
+        let is_retryable = failure.reason != Reason::UnknownKey;
+        if failure.retry_after.is_some() || failure.outcome != Outcome::NotRun || !is_retryable {
             return failure;
         }
         let kind = &self.kind.kind;
@@ -342,13 +352,13 @@
     }
 }
 
-/// Whether a target may have begun with the request.
+/// Returns whether a target may have started to process the request.
 fn may_have_run(failed: &AttemptFailure) -> bool {
     failed.failure.outcome != Outcome::NotRun
 }
 
 fn attempt_id() -> HeaderValue {
     let id = rand::rng().random::<u64>();
-    // Hexadecimal digits always make a valid value.
+    // Hexadecimal digits are always a valid header value.
     HeaderValue::try_from(format!("{id:016x}")).unwrap_or_else(|_| HeaderValue::from_static("0"))
 }
