--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -1,4 +1,4 @@
-//! One request of a caller.
+//! Handles one request of a caller: checks and admits it, forwards it, and records the outcome.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -51,46 +51,49 @@
 use crate::shared::Shared;
 use crate::target_client::BodyLimits;
 
-/// Longest request id taken from a caller, in bytes.
+/// Maximum length in bytes of a request id that is accepted from a caller.
 const REQUEST_ID_BYTES_MAX: usize = 64;
-/// When a caller may come back to a process that is starting or stopping.
-const ELSEWHERE_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Retry delay of callers that are refused because this process has no configuration yet.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Callers that are told to come back do so spread over up to this times the time they are told.
-const RETRY_SPREAD_MAX: f64 = 2.0;
+/// Upper limit of the random factor on the retry delay of callers over their quota. The jitter
+/// spreads their retries over time.
+const RETRY_JITTER_MAX: f64 = 2.0;
 
-/// Counts a request as in flight until it is dropped.
-struct InFlight(Arc<Shared>);
+/// Counts a request as in flight until the guard is dropped.
+struct InFlightGuard(Arc<Shared>);
 
-impl InFlight {
+impl InFlightGuard {
     fn new(shared: &Arc<Shared>) -> Self {
         shared.metrics.requests_in_flight.fetch_add(1, Ordering::Relaxed);
         Self(shared.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.metrics.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A request on its way, as far as it is known.
-struct Progress {
+/// State of a request that is being handled, as far as it has been read.
+struct RequestProgress {
     shared: Arc<Shared>,
     caller: SocketAddr,
     accepted_at: Timestamp,
     kind: Option<Arc<KindRuntime>>,
     request_id: HeaderValue,
-    /// None until it is known, and for kinds that need no key.
+    /// Organisation and key of the caller; `None` before the key was checked and for kinds that need
+    /// no key.
     identity: Option<Identity>,
-    /// None until the request has been read.
+    /// Hash that identifies the request; `None` until the request has been read.
     fingerprint: Option<Fingerprint>,
+    /// Whether the outcome was counted and logged.
     is_recorded: bool,
 }
 
-impl Drop for Progress {
-    /// The caller left before there was an answer.
+impl Drop for RequestProgress {
+    /// Logs an abandoned request if the caller disconnected before the response.
     fn drop(&mut self) {
         if self.is_recorded || !self.shared.allows_request_log_line() {
             return;
@@ -106,16 +109,16 @@
     }
 }
 
-/// Answers a request; without a body if it is known to have none.
+/// Returns the response to a request. The body of `request` is `None` if it is known to be empty.
 pub(crate) async fn handle<D: Dialect>(
     shared: Arc<Shared>,
     caller: SocketAddr,
     request: Request<Option<Incoming>>,
 ) -> Response<ResponseBody> {
-    let _in_flight = InFlight::new(&shared);
+    let _in_flight = InFlightGuard::new(&shared);
     let request_id = request_id(request.headers());
     let accepted_at = BootClock.now();
-    let mut progress = Progress {
+    let mut progress = RequestProgress {
         shared,
         caller,
         accepted_at,
@@ -125,22 +128,22 @@
         fingerprint: None,
         is_recorded: false,
     };
-    let answered = progress.answer::<D>(request).await;
-    progress.record(&answered);
+    let result = progress.respond::<D>(request).await;
+    progress.record(&result);
     let mut response =
-        answered.unwrap_or_else(|failure| failure_response::<D>(&failure, &request_id));
+        result.unwrap_or_else(|failure| failure_response::<D>(&failure, &request_id));
     response.headers_mut().insert(headers::REQUEST_ID, request_id);
     response
 }
 
-impl Progress {
-    async fn answer<D: Dialect>(
+impl RequestProgress {
+    async fn respond<D: Dialect>(
         &mut self,
         request: Request<Option<Incoming>>,
     ) -> Result<Response<ResponseBody>, Failure> {
         let Some(routing) = self.shared.routing() else {
             let failure = self.refused(Reason::NotReady, Step::Match);
-            return Err(failure.with_retry_after(ELSEWHERE_RETRY_AFTER));
+            return Err(failure.with_retry_after(NOT_READY_RETRY_AFTER));
         };
         let limits = &routing.configuration.limits;
         let (mut parts, incoming) = request.into_parts();
@@ -159,7 +162,7 @@
         let kind = kind.ok_or_else(|| self.refused(Reason::UnknownKind, Step::Match))?.clone();
         kind.metrics.accepted.fetch_add(1, Ordering::Relaxed);
         self.kind = Some(kind.clone());
-        let identity = self.admitted::<D>(&mut parts, &routing.keys, &kind).await?;
+        let identity = self.admit::<D>(&mut parts, &routing.keys, &kind).await?;
         self.identity.clone_from(&identity);
         let body = read_body(incoming, body_limits(limits), self.caller).await?;
         let key = identity.as_ref().map(|identity| identity.digest);
@@ -182,9 +185,9 @@
         Ok(Response::from_parts(parts, ResponseBody::Target(Box::new(body))))
     }
 
-    /// Finds out who sent the request, and counts it towards the limit of its organisation. Nothing
-    /// further of it has been read.
-    async fn admitted<D: Dialect>(
+    /// Identifies the organisation that sent the request and counts the request towards its rate
+    /// limit. Runs before the body is read.
+    async fn admit<D: Dialect>(
         &self,
         parts: &mut Parts,
         keys: &KeyRing,
@@ -195,15 +198,16 @@
             self.refused(Reason::UnknownKey, Step::Match)
         })?;
         if let Some(identity) = &identity {
-            let admitted = self.shared.quotas.admit(&self.shared, &identity.organisation).await;
-            admitted.map_err(|after| {
-                let spread = after.mul_f64(rand::rng().random_range(1.0..RETRY_SPREAD_MAX));
-                self.refused(Reason::OverQuota, Step::Match).with_retry_after(spread)
+            let admission = self.shared.quotas.admit(&self.shared, &identity.organisation).await;
+            admission.map_err(|retry_after| {
+                let jittered = retry_after.mul_f64(rand::rng().random_range(1.0..RETRY_JITTER_MAX));
+                self.refused(Reason::OverQuota, Step::Match).with_retry_after(jittered)
             })?;
         }
         Ok(identity)
     }
 
+    /// Prepares forwarding with the deadline and attempt limit that remain for the request.
     fn forward<D: Dialect>(
         &self,
         kind: Arc<KindRuntime>,
@@ -212,14 +216,14 @@
         limits: &Limits,
         fingerprint: Fingerprint,
     ) -> Forward<D> {
-        let longest = Duration::from_millis(kind.kind.deadline_ms);
-        let timeout = context.timeout.map_or(longest, |asked| asked.min(longest));
+        let timeout_max = Duration::from_millis(kind.kind.deadline_ms);
+        let timeout = context.timeout.map_or(timeout_max, |requested| requested.min(timeout_max));
         let deadline = self.accepted_at + timeout;
-        let objective = objective_left(&kind, context.timeout)
+        let objective = remaining_objective(&kind, context.timeout)
             .map_or(deadline, |objective| deadline.min(self.accepted_at + objective));
         let attempts_max = kind.kind.attempts_max;
         let attempts_max =
-            context.attempts_left.map_or(attempts_max, |left| left.min(attempts_max));
+            context.attempts_left.map_or(attempts_max, |remaining| remaining.min(attempts_max));
         Forward {
             dialect: PhantomData,
             service: kind.service_for(rand::rng().random()).clone(),
@@ -228,7 +232,7 @@
             identity: self.identity.clone(),
             answer_buffer_bytes: limits.answer_buffer_bytes,
             shared: self.shared.clone(),
-            head: onward_head(parts, self.caller, &self.request_id),
+            head: forwarded_head(parts, self.caller, &self.request_id),
             deadline,
             objective,
             attempts_max: attempts_max.max(1),
@@ -238,7 +242,7 @@
         }
     }
 
-    /// A refusal before anything was sent.
+    /// Returns the failure of a request that is refused before anything was sent to a target.
     fn refused(&self, reason: Reason, step: Step) -> Failure {
         let peer = match reason {
             Reason::NotReady | Reason::Stopping => Peer::Entry,
@@ -247,31 +251,31 @@
         Failure::new(Outcome::NotRun, reason, step, peer)
     }
 
-    /// The organisation as it is logged; empty if it is not known or not asked for.
+    /// Returns the organisation name for log lines; empty if it is unknown or no key is needed.
     fn organisation(&self) -> &str {
         self.identity.as_ref().map_or("", |identity| identity.name().as_str())
     }
 
-    /// The fingerprint as it is logged; empty until the request has been read.
+    /// Returns the fingerprint for log lines; empty until the request has been read.
     fn fingerprint_text(&self) -> String {
         self.fingerprint.map_or_else(String::new, |fingerprint| fingerprint.to_string())
     }
 
-    /// Counts and logs what became of the request.
-    fn record(&mut self, answered: &Result<Response<ResponseBody>, Failure>) {
+    /// Counts and logs the outcome of the request.
+    fn record(&mut self, result: &Result<Response<ResponseBody>, Failure>) {
         self.is_recorded = true;
         let taken = BootClock.now().since(self.accepted_at);
         let request_id = self.request_id.to_str().unwrap_or_default();
         let kind = self.kind.as_ref().map_or("", |kind| kind.kind.name.as_str());
         if let Some(kind) = &self.kind {
             kind.metrics.duration_seconds.record(taken);
-            match answered {
+            match result {
                 Ok(_) => kind.metrics.answered.add_one(),
                 Err(failure) => kind.metrics.failure_counter(failure.outcome).add_one(),
             }
         }
         let taken_us = taken.as_micros() as u64;
-        match answered {
+        match result {
             Ok(response) => {
                 let status = response.status().as_u16();
                 debug!("request_answered", kv: { request_id, kind, status, taken_us });
@@ -287,14 +291,14 @@
     }
 }
 
-/// Time left in which an answer is worth most, if the kind states one: it counts from the
-/// caller's first attempt.
-fn objective_left(kind: &KindRuntime, caller_waits: Option<Duration>) -> Option<Duration> {
+/// Returns the time left of the kind's latency objective, or `None` if the kind has no objective.
+/// The objective counts from the caller's first attempt, whose age is estimated from its timeout.
+fn remaining_objective(kind: &KindRuntime, caller_timeout: Option<Duration>) -> Option<Duration> {
     let objective_ms = kind.kind.objective_ms;
     let objective = (objective_ms > 0).then(|| Duration::from_millis(objective_ms))?;
-    let tried_for =
-        caller_waits.map_or(Duration::ZERO, |told| kind.metrics.patience.lock().estimate(told));
-    Some(objective.saturating_sub(tried_for))
+    let elapsed = caller_timeout
+        .map_or(Duration::ZERO, |timeout| kind.metrics.patience.lock().estimate(timeout));
+    Some(objective.saturating_sub(elapsed))
 }
 
 fn body_limits(limits: &Limits) -> BodyLimits {
@@ -304,8 +308,8 @@
     }
 }
 
-/// RFC 9112, 3.2: an HTTP/1.1 request has one `Host`. Two could be read differently here
-/// and at the target.
+/// Returns whether the request has a valid number of `Host` headers: exactly one in HTTP/1.1 (RFC
+/// 9112, 3.2). This process and the target might use different ones of two headers.
 fn has_one_host(parts: &Parts) -> bool {
     match parts.headers.get_all(header::HOST).iter().count() {
         0 => parts.version != Version::HTTP_11,
@@ -314,7 +318,7 @@
     }
 }
 
-/// The caller's id if it is plain text of bounded length, else a new one.
+/// Returns the caller's request id if it is printable ASCII of bounded length, else a random one.
 fn request_id(map: &HeaderMap) -> HeaderValue {
     let given = map.get(headers::REQUEST_ID);
     let is_usable = |value: &&HeaderValue| {
@@ -329,10 +333,10 @@
     HeaderValue::try_from(format!("{id:016x}")).unwrap_or_else(|_| HeaderValue::from_static("0"))
 }
 
-/// The head as the target receives it.
-fn onward_head(mut parts: Parts, caller: SocketAddr, request_id: &HeaderValue) -> Parts {
+/// Returns the request head that is forwarded to the target.
+fn forwarded_head(mut parts: Parts, caller: SocketAddr, request_id: &HeaderValue) -> Parts {
     remove_hop_by_hop(&mut parts.headers);
-    // The process answers it itself when it reads the body.
+    // hyper sends `100 Continue` itself when the body is read.
     parts.headers.remove(header::EXPECT);
     if !parts.headers.contains_key(header::HOST)
         && let Some(authority) = parts.uri.authority()
@@ -345,7 +349,7 @@
     if let Ok(address) = HeaderValue::try_from(caller.ip().to_string()) {
         parts.headers.append("x-forwarded-for", address);
     }
-    // Targets get the path alone; a caller that sent a whole URI meant a proxy.
+    // Callers that address a proxy send an absolute URI; targets receive only path and query.
     if let Some(path) = parts.uri.path_and_query().cloned() {
         parts.uri = Uri::from(path);
     }
