--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -46,7 +46,7 @@
 
 /// Maximum number of granted targets per request that turn out to be unusable before the first byte
 /// is sent.
-const UNUSABLE_GRANTS_MAX: u32 = 8;
+const UNSENT_GRANTS_MAX: u32 = 8;
 
 /// Divisor of a kind's objective that gives the mean retry delay of a request that a target refused.
 /// An eighth of the objective leaves time for another target to answer within it.
@@ -92,7 +92,7 @@
         self.service.count_received();
         let mut tried = Tried::default();
         let mut attempts = 0;
-        let mut unusable_grants = 0;
+        let mut unsent = 0;
         let mut body = body;
         let mut earlier = None;
         loop {
@@ -112,11 +112,9 @@
             if !failed.is_sent {
                 // Nothing was sent: choose another target without counting an attempt or a retry.
                 attempts -= 1;
-                unusable_grants += 1;
+                unsent += 1;
                 match failed.body {
-                    Some(unused) if unusable_grants < UNUSABLE_GRANTS_MAX && self.has_time() => {
-                        body = unused
-                    }
+                    Some(unused) if unsent < UNSENT_GRANTS_MAX && self.has_time() => body = unused,
                     _ => return self.conclude(failed.failure, None, earlier),
                 }
                 continue;
