--- a/crates/thymeshift_entry/src/organisations/identity.rs
+++ b/crates/thymeshift_entry/src/organisations/identity.rs
@@ -1,4 +1,4 @@
-//! The organisation behind a request's key.
+//! Resolves a request's key to its organisation.
 
 use http::HeaderMap;
 use thymeshift_config::Kind;
@@ -8,21 +8,23 @@
 use thymeshift_types::OrganisationName;
 use thymeshift_wire::Dialect;
 
-/// Ranks of kinds within the rank of one organisation.
-const KIND_RANKS: u64 = 9;
+/// Number of kind priorities within one organisation rank.
+const PRIORITIES_PER_RANK: u64 = 9;
 
-/// Who sent a request.
+/// Organisation that sent a request, and the digest of the key that identifies it.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
     pub(crate) organisation: Organisation,
     pub(crate) digest: KeyDigest,
 }
 
-/// A request that needs a key and carries none that is known.
+/// Error of a request that needs a key and carries no key of any organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct UnknownKey;
 
-/// Takes the key out of a request. None if requests of its kind need none.
+/// Removes the key from the headers and returns the identity that belongs to it.
+///
+/// Returns `None` if no organisations are configured or the kind is public.
 pub(crate) fn identify<D: Dialect>(
     headers: &mut HeaderMap,
     keys: &KeyRing,
@@ -45,14 +47,15 @@
         &self.organisation.name
     }
 
-    /// Whether the key still belongs to the organisation.
+    /// Returns whether the key still belongs to the organisation in `keys`.
     pub(crate) fn is_valid(&self, keys: &KeyRing) -> bool {
         keys.owner(&self.digest).is_some_and(|holder| holder.name == self.organisation.name)
     }
 }
 
-/// The rank of a request: that of its organisation goes before that of its kind.
+/// Returns the queue priority of a request: ordered by the rank of its organisation, then by the
+/// priority of its kind.
 pub(crate) fn request_priority(identity: Option<&Identity>, kind: &Kind) -> u8 {
     let organisation = identity.map_or(1, |identity| identity.organisation.rank);
-    u8::try_from((organisation - 1) * KIND_RANKS + kind.priority).unwrap_or(u8::MAX)
+    u8::try_from((organisation - 1) * PRIORITIES_PER_RANK + kind.priority).unwrap_or(u8::MAX)
 }
--- a/crates/thymeshift_entry/src/organisations/mod.rs
+++ b/crates/thymeshift_entry/src/organisations/mod.rs
@@ -1,8 +1,8 @@
-//! Whose requests these are, and how many of them are admitted.
+//! Identifies the organisation of each request and enforces its rate limit.
 //!
-//! * [`identity`]: the organisation behind a request's key.
-//! * [`quota`]: its limit over all processes, counted by one of them.
-//! * [`pending_asks`]: datagrams to the counting process and back.
+//! * [`identity`]: resolves a request's key to its organisation.
+//! * [`quota`]: enforces the limit of an organisation over all processes; one process counts.
+//! * [`pending_asks`]: matches replies of the counting process to the asks sent to it.
 
 mod identity;
 mod pending_asks;
--- a/crates/thymeshift_entry/src/organisations/pending_asks.rs
+++ b/crates/thymeshift_entry/src/organisations/pending_asks.rs
@@ -1,4 +1,4 @@
-//! Questions to the process that counts an organisation's requests, and their answers.
+//! Matches the replies of a counter, the process that counts an organisation's requests, to asks.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicU64;
@@ -9,24 +9,25 @@
 use thymeshift_wire::QuotaGrant;
 use tokio::sync::oneshot;
 
-/// What came back.
+/// Reply to an ask for quota tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaReply {
+    /// Tokens granted by the counter.
     Counted(QuotaGrant),
-    /// Another process counts.
+    /// The replying process does not count for the organisation.
     NotCounter,
 }
 
-/// Questions that wait for an answer.
+/// Asks for quota tokens that wait for a reply, by number.
 #[derive(Default)]
 pub(super) struct PendingQuotaAsks {
     next_number: AtomicU64,
     pending: Mutex<HashMap<QuestionNumber, oneshot::Sender<QuotaReply>>>,
 }
 
-/// A question that is forgotten when it is dropped.
+/// Registered ask; dropping it removes the registration.
 pub(super) struct PendingQuotaAsk<'a> {
-    questions: &'a PendingQuotaAsks,
+    pending_asks: &'a PendingQuotaAsks,
     number: QuestionNumber,
     pub(super) reply: oneshot::Receiver<QuotaReply>,
 }
@@ -36,16 +37,17 @@
         QuestionNumber(self.next_number.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Waits for the answer to a question.
+    /// Registers an ask, so that its reply is delivered to the returned receiver.
     pub(super) fn register(&self, number: QuestionNumber) -> PendingQuotaAsk<'_> {
         let (sender, reply) = oneshot::channel();
         self.pending.lock().insert(number, sender);
-        PendingQuotaAsk { questions: self, number, reply }
+        PendingQuotaAsk { pending_asks: self, number, reply }
     }
 
+    /// Delivers a reply to the ask with this number, if one is registered.
     pub(super) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
         if let Some(sender) = self.pending.lock().remove(&number) {
-            // Nobody waits any more if this fails.
+            // A send fails only if the waiting request was cancelled.
             let _ = sender.send(reply);
         }
     }
@@ -53,6 +55,6 @@
 
 impl Drop for PendingQuotaAsk<'_> {
     fn drop(&mut self) {
-        self.questions.pending.lock().remove(&self.number);
+        self.pending_asks.pending.lock().remove(&self.number);
     }
 }
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -1,4 +1,4 @@
-//! The limits of organisations: tokens held here, and those that this process counts for all.
+//! Enforces rate limits of organisations: holds tokens, and grants tokens as a counter.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,45 +37,48 @@
 use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
-/// Waits for a counter's answer, after each of which but the last the question is sent again: a
-/// datagram may be lost. All of them together bear two ways between regions, and a VM that is busy.
-const ANSWER_WAITS: [Duration; 3] =
+/// Timeouts for a counter's reply. The ask is sent again after each timeout but the last, because
+/// datagrams may be lost. Their sum covers two one-way trips between regions and a busy VM.
+const REPLY_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(25), Duration::from_millis(25), Duration::from_millis(55)];
-/// Longest wait for the answer to a question of another request.
-const OTHERS_ANSWER_LIMIT: Duration = Duration::from_millis(200);
-/// Counters asked for one request.
-const COUNTERS_ASKED_MAX: usize = 2;
-/// Time after which the ranking of counters is worked out anew, unless members change.
-const ORDER_KEPT: Duration = Duration::from_secs(1);
+/// Maximum time that a request waits for the reply to another request's ask.
+const PENDING_ASK_WAIT_MAX: Duration = Duration::from_millis(200);
+/// Maximum number of counters that are asked for one request.
+const COUNTERS_PER_REQUEST_MAX: usize = 2;
+/// Time for which a ranking of counters is reused while the members do not change.
+const RANKING_TTL: Duration = Duration::from_secs(1);
 
-/// The organisations of which this process holds or counts tokens.
+/// Quota state of the organisations whose tokens this process holds or grants.
 #[derive(Default)]
 pub(crate) struct Quotas {
-    held: Mutex<HashMap<OrganisationName, Arc<Held>>>,
-    counted: Mutex<HashMap<OrganisationName, QuotaCounter<VmName>>>,
+    /// Tokens that this process holds to admit requests.
+    held: Mutex<HashMap<OrganisationName, Arc<HeldTokens>>>,
+    /// Counters of the organisations that this process counts for.
+    counters: Mutex<HashMap<OrganisationName, QuotaCounter<VmName>>>,
     rankings: Mutex<HashMap<OrganisationName, Ranking>>,
-    questions: PendingQuotaAsks,
+    pending_asks: PendingQuotaAsks,
 }
 
-/// Tokens of one organisation.
-struct Held {
+/// Tokens of one organisation that this process holds.
+struct HeldTokens {
     holder: Mutex<QuotaHolder>,
-    /// Rings when a counter has answered, or has not.
-    answered: Notify,
+    /// Notified when an ask has ended, with or without a reply of a counter.
+    ask_finished: Notify,
 }
 
-/// The order of an organisation's counters, while it is fresh.
+/// Cached ranking of the processes that may count for an organisation.
 #[derive(Clone)]
 struct Ranking {
-    order: RankedProcesses,
-    /// The part of the limit that this process may hand out, should it be asked.
+    ranked_processes: RankedProcesses,
+    /// Share of the rate limit that this process may grant as a counter.
     share: RateShare,
-    made_at: Timestamp,
-    changes: u64,
+    computed_at: Timestamp,
+    /// Change count of the members that the ranking was computed from.
+    member_changes: u64,
 }
 
 impl Quotas {
-    /// Admits a request of `organisation`, or tells after what time its caller may come back.
+    /// Admits a request of `organisation`, or returns the delay after which its caller may retry.
     pub(crate) async fn admit(
         &self,
         shared: &Shared,
@@ -87,9 +90,9 @@
         let held = self.held(shared, &organisation.name, limit);
         held.holder.lock().record_arrival(BootClock.now());
         loop {
-            let answered = held.answered.notified();
-            let passed = held.holder.lock().admit(BootClock.now());
-            match passed {
+            let ask_finished = held.ask_finished.notified();
+            let admission = held.holder.lock().admit(BootClock.now());
+            match admission {
                 Admission::Admitted => return Ok(()),
                 Admission::Refused(after) => {
                     let name = organisation.name.as_str().to_owned();
@@ -97,34 +100,40 @@
                     return Err(after);
                 }
                 Admission::AnswerPending => {
-                    // Should whoever asked have left, this request asks after the limit.
-                    let _ = timeout(OTHERS_ANSWER_LIMIT, answered).await;
+                    // If the asking request is cancelled, this request asks after the timeout.
+                    let _ = timeout(PENDING_ASK_WAIT_MAX, ask_finished).await;
                 }
                 Admission::Ask { wanted, arrived } => {
-                    let told = self.ask(shared, organisation, limit, wanted, arrived).await;
+                    let grant = self.ask(shared, organisation, limit, wanted, arrived).await;
                     let now = BootClock.now();
                     let mut holder = held.holder.lock();
-                    match told {
-                        Some(told) => holder.apply_grant(&counted(told), now),
+                    match grant {
+                        Some(grant) => holder.apply_grant(&token_grant(grant), now),
                         None => holder.start_fallback(now),
                     }
                     drop(holder);
-                    held.answered.notify_waiters();
+                    held.ask_finished.notify_waiters();
                 }
             }
         }
     }
 
-    /// A request that was admitted has provably not run.
+    /// Returns the token of an admitted request that provably did not run.
     pub(crate) fn return_token(&self, name: &OrganisationName) {
         if let Some(held) = self.held.lock().get(name) {
             held.holder.lock().return_token(BootClock.now());
         }
     }
 
-    /// A process asks this one, which counts unless another ranks before it.
-    pub(crate) fn handle_ask(&self, shared: &Shared, asker: &VmName, ask: &QuotaAsk) -> QuotaReply {
-        if !shared.is_serving() || !self.is_counted_here(shared, &ask.organisation) {
+    /// Handles an ask of the process on VM `holder_vm`. Grants tokens if this process is serving and ranked
+    /// first among the usable counters.
+    pub(crate) fn handle_ask(
+        &self,
+        shared: &Shared,
+        holder_vm: &VmName,
+        ask: &QuotaAsk,
+    ) -> QuotaReply {
+        if !shared.is_serving() || !self.is_counter(shared, &ask.organisation) {
             return QuotaReply::NotCounter;
         }
         let limit = shared.routing().and_then(|routing| {
@@ -132,24 +141,25 @@
             QuotaLimit::of(organisations.find(|known| known.name == ask.organisation)?)
         });
         match limit {
-            Some(limit) => QuotaReply::Counted(self.count(shared, asker, ask, limit)),
+            Some(limit) => QuotaReply::Counted(self.grant_locally(shared, holder_vm, ask, limit)),
             None => QuotaReply::NotCounter,
         }
     }
 
+    /// Delivers the reply of another process to the waiting ask.
     pub(crate) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
-        self.questions.deliver(number, reply);
+        self.pending_asks.deliver(number, reply);
     }
 
-    /// Forgets organisations that are gone.
+    /// Removes the state of organisations that the configuration no longer contains.
     pub(crate) fn retain_organisations(&self, organisations: &[Organisation]) {
         let is_known = |name: &OrganisationName| organisations.iter().any(|one| one.name == *name);
         self.held.lock().retain(|name, _| is_known(name));
-        self.counted.lock().retain(|name, _| is_known(name));
+        self.counters.lock().retain(|name, _| is_known(name));
         self.rankings.lock().retain(|name, _| is_known(name));
     }
 
-    /// An organisation as this process sees it.
+    /// Returns the state dump of an organisation with the tokens and demand seen by this process.
     pub(crate) fn dump(&self, organisation: &Organisation, now: Timestamp) -> OrganisationDump {
         let name = &organisation.name;
         let held = self.held.lock().get(name).cloned();
@@ -163,11 +173,12 @@
             key_digests: organisation.key_digests.clone(),
             tokens: held.as_ref().map_or(0, |holder| holder.tokens(now)),
             demand_per_s: held.as_ref().map_or(0.0, |holder| holder.demand_per_s(now)),
-            counted_per_s: self.counted.lock().get(name).map(QuotaCounter::demand_per_s),
+            counted_per_s: self.counters.lock().get(name).map(QuotaCounter::demand_per_s),
         }
     }
 
-    fn held(&self, shared: &Shared, name: &OrganisationName, limit: QuotaLimit) -> Arc<Held> {
+    /// Returns the held tokens of an organisation with the current limit applied.
+    fn held(&self, shared: &Shared, name: &OrganisationName, limit: QuotaLimit) -> Arc<HeldTokens> {
         let now = BootClock.now();
         let mut all = self.held.lock();
         if let Some(held) = all.get(name) {
@@ -176,12 +187,12 @@
         }
         let vms_max = shared.routing().map_or(1, |routing| routing.configuration.entry_vms_max);
         let holder = Mutex::new(QuotaHolder::new(limit, vms_max, now));
-        let held = Arc::new(Held { holder, answered: Notify::new() });
+        let held = Arc::new(HeldTokens { holder, ask_finished: Notify::new() });
         all.insert(name.clone(), held.clone());
         held
     }
 
-    /// Asks the counter of an organisation; none if no counter answers.
+    /// Asks the counters of an organisation in ranked order; returns `None` if no counter grants.
     async fn ask(
         &self,
         shared: &Shared,
@@ -191,28 +202,28 @@
         arrived: u32,
     ) -> Option<QuotaGrant> {
         let ask = QuotaAsk {
-            number: self.questions.next_number(),
+            number: self.pending_asks.next_number(),
             organisation: organisation.name.clone(),
             wanted,
             arrived,
         };
-        let order = self.order(shared, &organisation.name);
+        let ranked_processes = self.ranked_processes(shared, &organisation.name);
         let now = BootClock.now();
-        let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
+        let is_usable = |process: &&Option<AllocatorAddress>| match process {
+            Some(process) => !shared.allocation.is_skipped(&process.vm, now),
             None => !shared.is_stopping(),
         };
-        for place in order.iter().filter(is_usable).take(COUNTERS_ASKED_MAX) {
-            let Some(place) = place else {
-                return Some(self.count(shared, shared.allocation.vm(), &ask, limit));
+        for process in ranked_processes.iter().filter(is_usable).take(COUNTERS_PER_REQUEST_MAX) {
+            let Some(process) = process else {
+                return Some(self.grant_locally(shared, shared.allocation.vm(), &ask, limit));
             };
-            match self.question(shared, place.address, &ask).await {
-                Some(QuotaReply::Counted(told)) => return Some(told),
+            match self.ask_process(shared, process.address, &ask).await {
+                Some(QuotaReply::Counted(grant)) => return Some(grant),
                 Some(QuotaReply::NotCounter) => {}
                 None => {
-                    shared.allocation.skip_process(&place.vm, BootClock.now());
+                    shared.allocation.skip_process(&process.vm, BootClock.now());
                     info!("quota_unanswered", kv: {
-                        organisation: = organisation.name, counter: = place.vm
+                        organisation: = organisation.name, counter: = process.vm
                     });
                 }
             }
@@ -220,88 +231,92 @@
         None
     }
 
-    /// Asks one process; none if it does not answer.
-    async fn question(
+    /// Asks one process; returns `None` if it does not reply within the timeouts.
+    async fn ask_process(
         &self,
         shared: &Shared,
         address: SocketAddr,
         ask: &QuotaAsk,
     ) -> Option<QuotaReply> {
-        let mut question = self.questions.register(ask.number);
-        for limit in ANSWER_WAITS {
+        let mut pending = self.pending_asks.register(ask.number);
+        for reply_timeout in REPLY_TIMEOUTS {
             shared.allocation.send(address, Message::QuotaAsk(ask.clone()));
-            if let Ok(Ok(reply)) = timeout(limit, &mut question.reply).await {
+            if let Ok(Ok(reply)) = timeout(reply_timeout, &mut pending.reply).await {
                 return Some(reply);
             }
         }
         None
     }
 
-    fn count(
+    /// Grants tokens as the counter of the organisation.
+    fn grant_locally(
         &self,
         shared: &Shared,
-        asker: &VmName,
+        holder_vm: &VmName,
         ask: &QuotaAsk,
         limit: QuotaLimit,
     ) -> QuotaGrant {
         let now = BootClock.now();
         let share = self.ranking(shared, &ask.organisation).share;
-        let mut all = self.counted.lock();
+        let mut all = self.counters.lock();
         let new = || QuotaCounter::new(limit, now);
         let counter = all.entry(ask.organisation.clone()).or_insert_with(new);
         counter.set_limit(limit, now);
         counter.set_share(share.fraction(), now);
-        let question =
+        let request =
             TokenRequest { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
-        let answer = counter.grant_tokens(asker, question, now);
+        let grant = counter.grant_tokens(holder_vm, request, now);
         QuotaGrant {
-            tokens: answer.tokens,
-            retry_after_ms: answer.retry_after.as_millis() as u32,
-            own_rate_per_s: answer.own_rate_per_s,
+            tokens: grant.tokens,
+            retry_after_ms: grant.retry_after.as_millis() as u32,
+            own_rate_per_s: grant.own_rate_per_s,
         }
     }
 
-    /// Whether no process that answers ranks before this one.
-    fn is_counted_here(&self, shared: &Shared, name: &OrganisationName) -> bool {
+    /// Returns whether this process is ranked first among the processes that are not skipped.
+    fn is_counter(&self, shared: &Shared, name: &OrganisationName) -> bool {
         let now = BootClock.now();
-        let order = self.order(shared, name);
-        let mut usable = order.iter().filter(|place| match place {
-            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
+        let ranked_processes = self.ranked_processes(shared, name);
+        let mut usable = ranked_processes.iter().filter(|process| match process {
+            Some(process) => !shared.allocation.is_skipped(&process.vm, now),
             None => true,
         });
         usable.next().is_some_and(Option::is_none)
     }
 
-    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedProcesses {
-        self.ranking(shared, name).order
+    fn ranked_processes(&self, shared: &Shared, name: &OrganisationName) -> RankedProcesses {
+        self.ranking(shared, name).ranked_processes
     }
 
+    /// Returns the ranking of an organisation's counters, computed anew if it expired or members
+    /// changed.
     fn ranking(&self, shared: &Shared, name: &OrganisationName) -> Ranking {
         let now = BootClock.now();
-        let changes = shared.fleet.lock().members.changes();
-        let is_fresh =
-            |known: &&Ranking| known.changes == changes && now.since(known.made_at) < ORDER_KEPT;
+        let member_changes = shared.fleet.lock().members.changes();
+        let is_fresh = |known: &&Ranking| {
+            known.member_changes == member_changes && now.since(known.computed_at) < RANKING_TTL
+        };
         if let Some(known) = self.rankings.lock().get(name).filter(is_fresh) {
             return known.clone();
         }
         let task = counter_task(name);
-        let order = shared.ranked_contacts(&task, now).into();
+        let ranked_processes = shared.ranked_contacts(&task, now).into();
         let share = shared.rank_for(&task, now).rate_share();
-        let made = Ranking { order, share, made_at: now, changes };
-        self.rankings.lock().insert(name.clone(), made.clone());
-        made
+        let ranking = Ranking { ranked_processes, share, computed_at: now, member_changes };
+        self.rankings.lock().insert(name.clone(), ranking.clone());
+        ranking
     }
 }
 
-/// What processes are ranked for as counters of an organisation.
+/// Returns the task string that processes are ranked by as counters of an organisation.
 fn counter_task(name: &OrganisationName) -> String {
     format!("count {name}")
 }
 
-fn counted(told: QuotaGrant) -> TokenGrant {
+fn token_grant(grant: QuotaGrant) -> TokenGrant {
     TokenGrant {
-        tokens: told.tokens,
-        retry_after: Duration::from_millis(told.retry_after_ms.into()),
-        own_rate_per_s: told.own_rate_per_s,
+        tokens: grant.tokens,
+        retry_after: Duration::from_millis(grant.retry_after_ms.into()),
+        own_rate_per_s: grant.own_rate_per_s,
     }
 }
