--- a/crates/thymeshift_entry/src/pauses.rs
+++ b/crates/thymeshift_entry/src/pauses.rs
@@ -1,8 +1,7 @@
-//! Waits that end by the boot clock.
+//! Timeouts that follow the boot clock, which also runs while the VM is suspended.
 //!
-//! The runtime's timers stand still while a VM is suspended. Without more, a request that was under
-//! way then would be held for as long after the VM has woken as it had left before, although its
-//! deadline is over.
+//! The runtime's timers stop during a suspension. Without a check after the resume, a request that
+//! was in progress would be held for its full remaining time although its deadline has passed.
 
 use std::pin::pin;
 
@@ -11,17 +10,18 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Tells those that wait when the process notices that it did not run for a while.
+/// Wakes pending timeouts when the process detects that it was paused.
 #[derive(Debug, Default)]
 pub struct PauseNotifier(Notify);
 
 impl PauseNotifier {
-    /// The process did not run for a while: whoever waits looks at the clock again.
+    /// Makes all pending timeouts check the clock again after a pause of the process.
     pub fn notify(&self) {
         self.0.notify_waiters();
     }
 
-    /// The outcome of `work`, or none once `deadline` has passed. What is ready counts, also late.
+    /// Returns the output of `work`, or `None` once `deadline` has passed. Output that is ready when
+    /// the deadline is checked is returned even if the deadline has passed.
     pub async fn timeout_at<C: Clock, W: Future>(
         &self,
         clock: &C,
@@ -30,15 +30,15 @@
     ) -> Option<W::Output> {
         let mut work = pin!(work);
         loop {
-            let mut gap = pin!(self.0.notified());
-            // Before the look at the clock, so that no gap is missed in between.
-            gap.as_mut().enable();
+            let mut pause = pin!(self.0.notified());
+            // Registered before the clock is read, so that no pause is missed in between.
+            pause.as_mut().enable();
             let left = clock.now().until(deadline);
             tokio::select! {
                 biased;
                 outcome = &mut work => return Some(outcome),
                 () = sleep(left) => return None,
-                () = gap => {}
+                () = pause => {}
             }
         }
     }
