--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -1,17 +1,17 @@
 //! The entry process: listeners, proxying, platform and peer links, control port.
 //!
-//! The decisions are made in `thymeshift_dispatch` and `thymeshift_fleet`; this crate
-//! gives them sockets, clocks and random numbers.
+//! `thymeshift_dispatch` and `thymeshift_fleet` contain the decision logic without I/O; this crate
+//! provides sockets, clocks and random numbers.
 //!
-//! * [`caller`]: from an accepted connection to the answer.
-//! * [`target_client`]: connections to targets, one attempt of a request, probes.
-//! * [`service`]: obtaining a target, from an allocator or from the own dispatcher.
-//! * [`allocation_client`]: datagrams to other entry processes, and the leases held here.
+//! * [`caller`]: HTTP server for callers, from an accepted connection to the response.
+//! * [`target_client`]: connections to targets, attempts of requests, and probes.
+//! * [`service`]: obtains a target, from an allocator or from the local dispatcher.
+//! * [`allocation_client`]: datagrams to other entry processes, and the leases that this process holds.
 //! * [`control_plane`]: platform, peers, operators, readiness and metrics.
-//! * [`environment`]: what may be put in place of the product's own dialect and source.
-//! * [`pauses`]: waits that end by the boot clock.
-//! * [`organisations`]: whose requests these are, and how many are admitted.
-//! * [`process`]: the supervisor tree, start and planned stop.
+//! * [`environment`]: interfaces for the dialect and the configuration source.
+//! * [`pauses`]: timeouts that follow the boot clock.
+//! * [`organisations`]: identifies the organisation of a request and enforces its rate limit.
+//! * [`process`]: supervisor tree, start and planned stop of the entry process.
 
 mod allocation_client;
 mod caller;
--- a/crates/thymeshift_entry/src/reload.rs
+++ b/crates/thymeshift_entry/src/reload.rs
@@ -1,4 +1,4 @@
-//! Taking in a changed settings file: on SIGHUP, and when its text is seen to differ.
+//! Reloads the settings file on SIGHUP and when its text has changed.
 
 use std::fs;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 
 use crate::shared::Shared;
 
-/// Time between two looks at the file without a signal.
-const LOOK: Duration = Duration::from_secs(3);
+/// Interval between two checks of the settings file when no signal arrives.
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Reloads for ever. A file that cannot be read or does not pass the check changes nothing.
+/// Runs the reload loop. A settings file that is unreadable or invalid leaves the settings unchanged.
 pub(crate) async fn run_reload(shared: Arc<Shared>) -> Result<(), TaskError> {
     let mut hangups = signal(SignalKind::hangup())?;
     let Some(path) = shared.settings_path.clone() else {
-        // Settings that came from no file cannot change; the signal is taken and ignored.
+        // Settings that were not read from a file cannot be reloaded, so the signal is ignored.
         loop {
             hangups.recv().await;
             info!("reload_ignored", kv: { reason = "no settings file" });
@@ -29,17 +29,17 @@
     };
     let mut text = fs::read_to_string(&path).unwrap_or_default();
     loop {
-        let is_told = timeout(LOOK, hangups.recv()).await.is_ok();
+        let is_signalled = timeout(CHECK_INTERVAL, hangups.recv()).await.is_ok();
         let read = match fs::read_to_string(&path) {
             Ok(read) => read,
-            Err(error) if is_told => {
+            Err(error) if is_signalled => {
                 error!("reload_failed", kv: { path, error: = error });
                 continue;
             }
             Err(_) => continue,
         };
         if read == text {
-            if is_told {
+            if is_signalled {
                 info!("reloaded", kv: { path, change = "none" });
             }
             continue;
