--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The supervisor tree, start and planned stop.
+//! Supervisor tree, start and planned stop of the entry process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -53,64 +53,64 @@
 use crate::target_client::run_pace_probes;
 use crate::target_client::run_probes;
 
-/// Time between two looks at whether all work is done.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Longest time for telling peers of a planned stop.
-const GOODBYE_LIMIT: Duration = Duration::from_millis(200);
+/// Interval between two checks whether all caller connections are closed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time for notifying peers of a planned stop.
+const STOP_NOTICE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Connections that may wait to be accepted. One that finds no room is tried again by its
-/// caller's machine only after a second.
-const ACCEPT_QUEUE: u32 = 4_096;
+/// Backlog of connections that wait to be accepted. If it is full, the caller's TCP stack retries a
+/// connection only after a second.
+const ACCEPT_BACKLOG: u32 = 4_096;
 
-/// Addresses that the process listens on; port 0 in the settings becomes a free one.
+/// Addresses that the process listens on. Port 0 in the settings is replaced by the assigned port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BoundAddresses {
-    /// For callers.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// For peers.
+    /// Address for other entry processes.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub control: SocketAddr,
-    /// For readiness and metrics.
+    /// Address for readiness and metrics.
     pub observe: SocketAddr,
 }
 
-/// Why the process did not start.
+/// Error that prevents the start of the process.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// An address cannot be bound.
     #[display("listening for {purpose} on {address}: {source}")]
     Listen {
-        /// Which of the addresses.
+        /// Purpose of the address, such as `callers`.
         purpose: &'static str,
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals cannot be received.
+    /// Handlers for SIGTERM and SIGINT cannot be installed.
     #[display("receiving signals: {source}")]
     Signals {
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// How the process ended.
+/// Outcome of a process run.
 #[derive(Debug, Display, Error)]
 pub enum Exit {
-    /// As planned, with no request lost.
+    /// Planned stop; all caller connections closed in time.
     #[display("stopped")]
     #[error(ignore)]
     Stopped,
-    /// As planned, but the bound passed before all answers had been given.
-    #[display("stopped with {open} callers' connections still open after the bound")]
+    /// Planned stop; the stop bound passed before all responses were sent.
+    #[display("stopped with {open} caller connections still open after the stop bound")]
     #[error(ignore)]
     DrainTimedOut {
-        /// Connections that were cut off.
+        /// Number of caller connections that were aborted.
         open: u64,
     },
-    /// A task failed too often.
+    /// A task failed more often than its restart policy allows.
     #[display("{_0}")]
     Escalated(Escalation),
 }
@@ -122,15 +122,16 @@
     observe: Arc<TcpListener>,
 }
 
-/// Runs an entry process until it is told to stop. `on_bound` hears the addresses;
-/// `settings_path` is the file that the settings came from, which is read again when it
-/// changes.
+/// Runs an entry process until it receives a stop signal or a task fails too often.
+///
+/// `on_bound` is called with the bound addresses. `settings_path` is the file that the settings were
+/// read from; it is read again when it changes.
 pub async fn run<E: Environment>(
     mut settings: Settings,
     settings_path: Option<String>,
     on_bound: impl FnOnce(&BoundAddresses),
 ) -> Result<Exit, StartError> {
-    let mut stops = Stops::new()?;
+    let mut stop_signals = StopSignals::new()?;
     let listeners = Listeners::bind(&mut settings)?;
     let bound = BoundAddresses {
         caller: settings.caller_address,
@@ -138,9 +139,9 @@
         control: settings.control_address,
         observe: settings.observe_address,
     };
-    count_panics();
+    install_panic_hook();
     let socket = bind_datagrams(&mut settings)?;
-    let boot = boot_now();
+    let boot = boot_from_clock();
     let shared = Shared::new(
         settings,
         settings_path,
@@ -156,36 +157,38 @@
     on_bound(&bound);
     let (closing, is_closing) = watch::channel(false);
     let source = Arc::new(Mutex::new(E::Source::new(shared.settings().platform_address)));
-    let tree = tree::<E>(&shared, &source, &listeners, &is_closing);
+    let supervisor_tree = supervisor_tree::<E>(&shared, &source, &listeners, &is_closing);
     drop(listeners);
-    let mut running = tokio::spawn(tree.run());
+    let mut running = tokio::spawn(supervisor_tree.run());
     let serving = async {
         bootstrap::<E>(&shared, &source).await;
         set_phase(&shared, Phase::Serving);
         std::future::pending::<()>().await;
     };
     tokio::select! {
-        exit = escalated(&mut running) => return Ok(exit),
-        // Also while there is no configuration yet.
-        () = stops.next() => {}
+        exit = wait_for_escalation(&mut running) => return Ok(exit),
+        // A stop signal is also handled while the process has no configuration yet.
+        () = stop_signals.next() => {}
         () = serving => {}
     }
-    let exit = stop(&shared, &closing, &mut stops, &mut running).await;
+    let exit = stop(&shared, &closing, &mut stop_signals, &mut running).await;
     running.abort();
     Ok(exit)
 }
 
-async fn escalated(running: &mut tokio::task::JoinHandle<Result<(), Escalation>>) -> Exit {
+async fn wait_for_escalation(
+    running: &mut tokio::task::JoinHandle<Result<(), Escalation>>,
+) -> Exit {
     let escalation = match running.await {
         Ok(Err(escalation)) => escalation,
-        Ok(Ok(())) => ended("all tasks ended"),
-        Err(error) => ended(&error.to_string()),
+        Ok(Ok(())) => unexpected_end("all tasks ended"),
+        Err(error) => unexpected_end(&error.to_string()),
     };
     error!("giving_up", kv: { reason: = escalation });
     Exit::Escalated(escalation)
 }
 
-fn ended(last_reason: &str) -> Escalation {
+fn unexpected_end(last_reason: &str) -> Escalation {
     Escalation {
         path: "entry".to_owned(),
         end_count: 1,
@@ -194,13 +197,15 @@
     }
 }
 
-/// The planned stop. In order: readiness fails; callers are still accepted for a while,
-/// because the platform's balancer lags, and are asked to close; then no new connection;
-/// queued and running requests end; peers are told.
+/// Runs the planned stop.
+///
+/// First readiness fails. Callers are still accepted for a while, because the platform's load
+/// balancer reacts with a delay, and are asked to close their connections. Then the listener closes,
+/// queued and running requests are completed, and peers are notified.
 async fn stop(
     shared: &Arc<Shared>,
     closing: &watch::Sender<bool>,
-    stops: &mut Stops,
+    stop_signals: &mut StopSignals,
     running: &mut tokio::task::JoinHandle<Result<(), Escalation>>,
 ) -> Exit {
     set_phase(shared, Phase::Stopping);
@@ -208,13 +213,13 @@
     let bound = shared.settings().stop_wait();
     tokio::select! {
         () = sleep(lag) => {}
-        () = stops.next() => warn!("stop_lag_skipped"),
-        exit = escalated(running) => return exit,
+        () = stop_signals.next() => warn!("stop_lag_skipped"),
+        exit = wait_for_escalation(running) => return exit,
     }
     closing.send_replace(true);
     let is_drained = timeout(bound, drained(shared)).await.is_ok();
-    // The others find out anyway; the bound set by the operator does not wait for them.
-    let _ = timeout(GOODBYE_LIMIT, say_goodbye(shared)).await;
+    // Peers also detect the stop without this notice, so it does not extend the stop for long.
+    let _ = timeout(STOP_NOTICE_TIMEOUT, say_goodbye(shared)).await;
     if is_drained {
         info!("stopped");
         return Exit::Stopped;
@@ -224,11 +229,11 @@
     Exit::DrainTimedOut { open }
 }
 
-/// Waits until no caller is connected any more: an answer counts as given only when its
-/// last byte has left.
+/// Waits until all caller connections are closed: a response is complete only when its last byte has
+/// been sent.
 async fn drained(shared: &Shared) {
     while shared.metrics.caller_connections.load(Ordering::Relaxed) > 0 {
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
@@ -239,7 +244,7 @@
     shared.peer_exchange_due.notify_one();
 }
 
-fn tree<E: Environment>(
+fn supervisor_tree<E: Environment>(
     shared: &Arc<Shared>,
     source: &SharedSource<E>,
     listeners: &Listeners,
@@ -252,38 +257,38 @@
     let callers = Task::new("listener", RestartPolicy::on_failure(), move || {
         run_listener::<E::Dialect>(callers_shared.clone(), listener.clone(), is_closing.clone())
     });
-    // Where targets are granted, the allocator probes for the whole fleet.
+    // With datagrams, targets are granted by allocators, which probe for the whole fleet.
     let prober = if shared.allocation.socket().is_some() {
-        with_shared("pace_probes", shared, run_pace_probes::<E::Dialect>)
+        shared_task("pace_probes", shared, run_pace_probes::<E::Dialect>)
     } else {
-        with_shared("probes", shared, run_probes::<E::Dialect>)
+        shared_task("probes", shared, run_probes::<E::Dialect>)
     };
     let data = Supervisor::new("data", statuses.clone())
         .with_task(callers)
-        .with_task(with_shared("ticker", shared, run_ticker))
+        .with_task(shared_task("ticker", shared, run_ticker))
         .with_task(prober);
-    // Turns are taken by heartbeats of readers where there are datagrams, else by leases.
+    // The reader of the source is assigned by heartbeats if there are datagrams, else by leases.
     let reader = if shared.allocation.socket().is_some() {
         let (shared, source) = (shared.clone(), source.clone());
         Task::new("source", RestartPolicy::always(), move || {
             run_source::<E>(shared.clone(), source.clone())
         })
     } else {
-        with_shared("platform", shared, run_platform)
+        shared_task("platform", shared, run_platform)
     };
     let control = Supervisor::new("control", statuses.clone())
         .with_task(reader)
-        .with_task(with_shared("datagrams", shared, run_datagrams))
-        .with_task(with_shared("rooms", shared, run_rooms))
-        .with_task(with_shared("reload", shared, run_reload))
-        .with_task(with_shared("peer_link", shared, run_peer_link))
-        .with_task(with_listener("peer_server", shared, &listeners.peer, run_peer_server))
-        .with_task(with_listener("operators", shared, &listeners.control, run_operators))
-        .with_task(with_listener("observe", shared, &listeners.observe, run_observe));
+        .with_task(shared_task("datagrams", shared, run_datagrams))
+        .with_task(shared_task("rooms", shared, run_rooms))
+        .with_task(shared_task("reload", shared, run_reload))
+        .with_task(shared_task("peer_link", shared, run_peer_link))
+        .with_task(listener_task("peer_server", shared, &listeners.peer, run_peer_server))
+        .with_task(listener_task("operators", shared, &listeners.control, run_operators))
+        .with_task(listener_task("observe", shared, &listeners.observe, run_observe));
     Supervisor::new("entry", statuses).with_branch(data).with_branch(control)
 }
 
-fn with_shared<F>(name: &'static str, shared: &Arc<Shared>, run: fn(Arc<Shared>) -> F) -> Task
+fn shared_task<F>(name: &'static str, shared: &Arc<Shared>, run: fn(Arc<Shared>) -> F) -> Task
 where
     F: Future<Output = Result<(), thymeshift_supervisor::TaskError>> + Send + 'static,
 {
@@ -291,7 +296,7 @@
     Task::new(name, RestartPolicy::always(), move || run(shared.clone()))
 }
 
-fn with_listener<F>(
+fn listener_task<F>(
     name: &'static str,
     shared: &Arc<Shared>,
     listener: &Arc<TcpListener>,
@@ -305,7 +310,7 @@
 }
 
 impl Listeners {
-    /// Binds all addresses and writes the real ones back into the settings.
+    /// Binds all addresses and writes the bound addresses back into the settings.
     fn bind(settings: &mut Settings) -> Result<Self, StartError> {
         Ok(Self {
             caller: bind("callers", &mut settings.caller_address)?,
@@ -320,43 +325,44 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(ACCEPT_QUEUE)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 fn bind_datagrams(settings: &mut Settings) -> Result<Option<Arc<UdpSocket>>, StartError> {
     let Some(address) = settings.datagram_address else {
         return Ok(None);
     };
-    let refuse = |source| StartError::Listen { purpose: "datagrams", address, source };
-    let socket = std::net::UdpSocket::bind(address).map_err(refuse)?;
-    socket.set_nonblocking(true).map_err(refuse)?;
-    let socket = UdpSocket::from_std(socket).map_err(refuse)?;
-    settings.datagram_address = Some(socket.local_addr().map_err(refuse)?);
+    let to_start_error = |source| StartError::Listen { purpose: "datagrams", address, source };
+    let socket = std::net::UdpSocket::bind(address).map_err(to_start_error)?;
+    socket.set_nonblocking(true).map_err(to_start_error)?;
+    let socket = UdpSocket::from_std(socket).map_err(to_start_error)?;
+    settings.datagram_address = Some(socket.local_addr().map_err(to_start_error)?);
     Ok(Some(Arc::new(socket)))
 }
 
 fn bind(purpose: &'static str, address: &mut SocketAddr) -> Result<Arc<TcpListener>, StartError> {
-    let wanted = *address;
-    let refuse = |source| StartError::Listen { purpose, address: wanted, source };
-    let listener = listen(wanted).map_err(refuse)?;
-    *address = listener.local_addr().map_err(refuse)?;
+    let requested = *address;
+    let to_start_error = |source| StartError::Listen { purpose, address: requested, source };
+    let listener = listen(requested).map_err(to_start_error)?;
+    *address = listener.local_addr().map_err(to_start_error)?;
     Ok(Arc::new(listener))
 }
 
-/// SIGTERM and SIGINT.
-struct Stops {
+/// Streams of the signals that request a stop: SIGTERM and SIGINT.
+struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl Stops {
+impl StopSignals {
     fn new() -> Result<Self, StartError> {
-        let refuse = |source| StartError::Signals { source };
-        let terminate = signal(SignalKind::terminate()).map_err(refuse)?;
-        let interrupt = signal(SignalKind::interrupt()).map_err(refuse)?;
+        let to_start_error = |source| StartError::Signals { source };
+        let terminate = signal(SignalKind::terminate()).map_err(to_start_error)?;
+        let interrupt = signal(SignalKind::interrupt()).map_err(to_start_error)?;
         Ok(Self { terminate, interrupt })
     }
 
+    /// Waits for the next stop signal.
     async fn next(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -365,14 +371,15 @@
     }
 }
 
-/// The wall clock in milliseconds tells two starts apart, on a VM that keeps nothing.
-fn boot_now() -> Boot {
+/// Returns the boot number of this start: the wall clock in milliseconds. It distinguishes two starts
+/// without persistent storage on the VM.
+fn boot_from_clock() -> Boot {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Boot::new(since_epoch.unwrap_or_default().as_millis() as u64)
 }
 
-/// A panic ends only the task in which it arises; it is logged and counted here.
-fn count_panics() {
+/// Installs a hook that logs and counts panics. A panic ends only the task in which it occurs.
+fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         counter!(metric::PANICS).increment(1);
         error!("panicked", kv: { panic: = panic });
