--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -69,8 +69,7 @@
     let stream = TokioIo::new(WriteTimeoutStream::new(pipelined.clone(), write_timeout));
     let mut connection = pin!(builder.serve_connection(stream, service));
     let mut closing = pin!(closing);
-    // Until the first request, hyper only detects the protocol version, which it does without a
-    // timeout.
+    // Before the first request, hyper detects the protocol version and applies no timeout.
     let mut first_request_timeout = pin!(sleep(head_timeout));
     let mut disconnected = pin!(disconnect.notified());
     let mut is_awaiting_first_request = true;
@@ -107,16 +106,16 @@
 /// Stage of the graceful shutdown of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ShutdownStage {
-    /// No shutdown is requested.
+    /// The connection is not being shut down.
     Open,
     /// The connection closes once all requests that have arrived are answered.
     Draining,
-    /// hyper shuts the connection down.
+    /// hyper has started its graceful shutdown of the connection.
     Closing,
 }
 
-/// Returns the response. If the caller disconnects first, notifies `disconnect` and never returns:
-/// the connection's task then drops this future.
+/// Returns the response unless the caller disconnects before it is available.
+/// On a disconnect, notifies `disconnect` and never returns; the connection task drops this future.
 async fn unless_disconnected<T>(
     stream: &TcpStream,
     disconnect: &Notify,
--- a/crates/thymeshift_entry/src/caller/disconnect.rs
+++ b/crates/thymeshift_entry/src/caller/disconnect.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Age of a request at which the first check for a disconnected caller runs. Most requests are
-/// answered earlier, which saves the timer wake-up of a check.
+/// Age of a request at which the first check for a disconnected caller runs.
+/// Most requests are answered earlier and need no check, each of which costs a timer wake-up.
 const FIRST_CHECK_DELAY: Duration = Duration::from_millis(200);
 /// Interval between later checks for a disconnected caller.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/thymeshift_entry/src/caller/fingerprint.rs
+++ b/crates/thymeshift_entry/src/caller/fingerprint.rs
@@ -14,15 +14,16 @@
 const STREAMED_BODY: u8 = 1;
 /// Hashed before the bytes of a body that has been read completely.
 const WHOLE_BODY: u8 = 0;
-/// Headers that identify the caller. Its address is not used: a caller may change networks, and a
-/// proxy in front of this process gives many callers the same address.
+/// Headers that identify the caller.
+/// The caller's address is not used: a caller may change networks, and a load balancer in front of
+/// this process gives many callers the same address.
 const CALLER_HEADERS: [HeaderName; 2] = [header::AUTHORIZATION, header::COOKIE];
 
-/// Returns the fingerprint of a request: a hash of its method, host, path with query, caller
-/// headers, key digest and body.
+/// Returns the fingerprint of a request.
 ///
+/// Hashes method, host, path with query, the headers that identify the caller, key digest and body.
 /// Other headers are excluded because callers change some of them with each retry. A streamed body
-/// is excluded as well, so that such requests are distinguished by their heads alone.
+/// is excluded too, so requests with streamed bodies are distinguished by their heads alone.
 pub(crate) fn fingerprint_of(
     parts: &Parts,
     key: Option<KeyDigest>,
@@ -56,8 +57,8 @@
     Fingerprint::from_bytes(bytes)
 }
 
-/// Hashes a field prefixed with its length, so that different splits of the same bytes into fields
-/// have different hashes.
+/// Hashes a field with its length as prefix.
+/// Without the length, bytes moved from one field to the next would give the same hash.
 fn hash_field(hasher: &mut Hasher, field: &[u8]) {
     hasher.update(&(field.len() as u64).to_be_bytes());
     hasher.update(field);
--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -44,12 +44,11 @@
 use crate::target_client::RequestBody;
 use crate::target_client::TargetBody;
 
-/// Maximum number of granted targets per request that turn out to be unusable before the first byte
-/// is sent.
+/// Maximum number of grants per request that become unusable before anything is sent.
 const UNSENT_GRANTS_MAX: u32 = 8;
 
-/// Divisor of a kind's objective that gives the mean retry delay of a request that a target refused.
-/// An eighth of the objective leaves time for another target to answer within it.
+/// Divisor of a kind's latency objective that gives the mean retry delay of a refused request.
+/// An eighth of the objective leaves time for another target to answer within the objective.
 const RETRY_AFTERS_PER_OBJECTIVE: u32 = 8;
 
 /// Minimum time to obtain a target after which a request counts as having waited.
@@ -65,12 +64,11 @@
     pub(crate) quarantine: RequestQuarantine,
     /// Organisation and key of the caller; `None` if the kind needs no key.
     pub(crate) identity: Option<Identity>,
-    /// Maximum length of a response that is buffered completely before its first byte is sent to the
-    /// caller.
+    /// Maximum length of a response that is buffered completely before it is sent to the caller.
     pub(crate) answer_buffer_bytes: u64,
     pub(crate) head: Parts,
     pub(crate) deadline: Timestamp,
-    /// Time by which a response has its full value to the caller.
+    /// Deadline of the latency objective; a later response is worth less to the caller.
     pub(crate) objective: Timestamp,
     pub(crate) attempts_max: u64,
     pub(crate) depth: u64,
@@ -78,7 +76,7 @@
 }
 
 /// Result of an attempt that may have run and that was retried.
-struct EarlierAttempt {
+struct PriorAttempt {
     failure: Failure,
     answer: Option<Response<TargetBody>>,
 }
@@ -94,11 +92,11 @@
         let mut attempts = 0;
         let mut unsent = 0;
         let mut body = body;
-        let mut earlier = None;
+        let mut prior = None;
         loop {
             let grant = match self.permitted_grant(tried).await {
                 Ok(grant) => grant,
-                Err(refused) => return self.conclude(refused, None, earlier),
+                Err(refused) => return self.conclude(refused, None, prior),
             };
             attempts += 1;
             let copy = body.try_copy();
@@ -115,7 +113,7 @@
                 unsent += 1;
                 match failed.body {
                     Some(unused) if unsent < UNSENT_GRANTS_MAX && self.has_time() => body = unused,
-                    _ => return self.conclude(failed.failure, None, earlier),
+                    _ => return self.conclude(failed.failure, None, prior),
                 }
                 continue;
             }
@@ -123,28 +121,27 @@
             self.log_attempt(&failure, attempts);
             let Some(retry_body) = unused.or(copy).filter(|_| self.may_retry(&failure, attempts))
             else {
-                return self.conclude(failure, answer, earlier);
+                return self.conclude(failure, answer, prior);
             };
             if failure.outcome != Outcome::NotRun {
-                earlier = Some(EarlierAttempt { failure, answer });
+                prior = Some(PriorAttempt { failure, answer });
             }
             self.kind.metrics.retries.add_one();
             body = retry_body;
         }
     }
 
-    /// Returns the result for the caller after the last attempt. If the last attempt did not run but
-    /// an earlier one may have, the result of the earlier attempt is returned.
+    /// Returns the result for the caller after the last attempt.
+    ///
+    /// If the last attempt did not run but an earlier attempt may have, returns the earlier result.
     fn conclude(
         &self,
         last: Failure,
         answer: Option<Response<TargetBody>>,
-        earlier: Option<EarlierAttempt>,
+        prior: Option<PriorAttempt>,
     ) -> Result<Response<TargetBody>, Failure> {
-        match earlier {
-            Some(earlier) if last.outcome == Outcome::NotRun => {
-                earlier.answer.ok_or(earlier.failure)
-            }
+        match prior {
+            Some(prior) if last.outcome == Outcome::NotRun => prior.answer.ok_or(prior.failure),
             // The target's own error response is more specific than a generated one.
             Some(_) | None => answer.ok_or_else(|| self.with_retry_after(last)),
         }
@@ -166,8 +163,8 @@
         });
     }
 
-    /// Waits for a target unless the request is quarantined or its key was revoked. Quarantine is
-    /// checked before and after the wait, the key after it.
+    /// Waits for a target unless the request is quarantined or its key was revoked.
+    /// The quarantine is checked before and after the wait, the key only after the wait.
     async fn permitted_grant(&self, tried: Tried) -> Result<GrantGuard, Failure> {
         self.check_quarantine()?;
         let grant = self.grant(tried).await?;
@@ -228,8 +225,7 @@
         }
     }
 
-    /// Runs one attempt. For kinds with hedging, starts a second attempt in parallel if the first takes
-    /// longer than the hedge delay.
+    /// Runs one attempt, and for kinds with hedging a second, parallel one after the hedge delay.
     async fn attempt(
         &self,
         grant: GrantGuard,
@@ -304,9 +300,10 @@
         answered
     }
 
-    /// Returns whether another attempt is permitted: the request did not run or its kind is safe to
-    /// repeat, attempts and retry budget remain, the deadline has not passed, and the request is
-    /// neither quarantined nor its key revoked.
+    /// Returns whether another attempt is permitted.
+    ///
+    /// The request must not have run, or its kind must be safe to repeat. Attempts, retry budget
+    /// and time must remain, the request must not be quarantined, and the key must still be valid.
     fn may_retry(&self, failure: &Failure, attempts: u64) -> bool {
         let is_repeatable =
             failure.outcome == Outcome::NotRun || self.kind.kind.repeat == Repeat::Safe;
@@ -334,8 +331,8 @@
         self.with_retry_after(failure)
     }
 
-    /// Adds a retry delay to a refusal that has none, spread by up to half of the delay in both
-    /// directions. A request with an unknown key gets no delay.
+    /// Adds a retry delay with a jitter of 50 % to a refusal that has no retry delay.
+    /// A request with an unknown key gets no retry delay.
     fn with_retry_after(&self, failure: Failure) -> Failure {
         let is_retryable = failure.reason != Reason::UnknownKey;
         if failure.retry_after.is_some() || failure.outcome != Outcome::NotRun || !is_retryable {
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -56,8 +56,8 @@
 /// Retry delay of callers that are refused because this process has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Upper limit of the random factor on the retry delay of callers over their quota. The jitter
-/// spreads their retries over time.
+/// Upper limit of the random factor on the retry delay of callers over their quota.
+/// The jitter spreads the retries of these callers over time.
 const RETRY_JITTER_MAX: f64 = 2.0;
 
 /// Counts a request as in flight until the guard is dropped.
@@ -83,8 +83,7 @@
     accepted_at: Timestamp,
     kind: Option<Arc<KindRuntime>>,
     request_id: HeaderValue,
-    /// Organisation and key of the caller; `None` before the key was checked and for kinds that need
-    /// no key.
+    /// Organisation and key of the caller; `None` before the key check and for kinds without keys.
     identity: Option<Identity>,
     /// Hash that identifies the request; `None` until the request has been read.
     fingerprint: Option<Fingerprint>,
@@ -185,8 +184,8 @@
         Ok(Response::from_parts(parts, ResponseBody::Target(Box::new(body))))
     }
 
-    /// Identifies the organisation that sent the request and counts the request towards its rate
-    /// limit. Runs before the body is read.
+    /// Identifies the organisation that sent the request and applies its rate limit.
+    /// Only the head of the request has been read at this point.
     async fn admit<D: Dialect>(
         &self,
         parts: &mut Parts,
@@ -308,8 +307,8 @@
     }
 }
 
-/// Returns whether the request has a valid number of `Host` headers: exactly one in HTTP/1.1 (RFC
-/// 9112, 3.2). This process and the target might use different ones of two headers.
+/// Returns whether the number of `Host` headers is valid: exactly one in HTTP/1.1 (RFC 9112, 3.2).
+/// With two `Host` headers, this process and the target might use different ones.
 fn has_one_host(parts: &Parts) -> bool {
     match parts.headers.get_all(header::HOST).iter().count() {
         0 => parts.version != Version::HTTP_11,
--- a/crates/thymeshift_entry/src/caller/listener.rs
+++ b/crates/thymeshift_entry/src/caller/listener.rs
@@ -20,12 +20,11 @@
 use crate::caller::connection::serve;
 use crate::shared::Shared;
 
-/// Delay after a failed accept. The usual cause is too many open files, which resolves only when
-/// other connections close.
+/// Delay after a failed accept.
+/// The usual cause is too many open files, which resolves only as other connections close.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Maximum time after the start during which a process without a configuration accepts no
-/// connections.
+/// Maximum time for which a process without a configuration defers accepting connections.
 const START_WAIT_MAX: Duration = Duration::from_millis(400);
 
 /// Accepts connections until `closing` becomes true.
@@ -37,7 +36,7 @@
     let mut stop = closing.clone();
     let mut phase = shared.phase.subscribe();
     // A caller that connects during the start waits in the accept queue instead of being refused.
-    // If the process has no configuration in time, the caller receives a `not_ready` refusal.
+    // Without a configuration after `START_WAIT_MAX`, callers receive a `not_ready` refusal.
     let _ = timeout(START_WAIT_MAX, phase.wait_for(|phase| *phase != Phase::Starting)).await;
     loop {
         let accepted = tokio::select! {
@@ -67,8 +66,7 @@
         tokio::spawn(async move {
             let _guard = guard;
             let closing = async move {
-                // An error means that the sender was dropped with the process, which closes the
-                // connection as well.
+                // An error means that the process is ending, which also closes the connection.
                 let _ = closing.wait_for(|is_closing| *is_closing).await;
             };
             serve::<D>(shared, stream, caller, limits, closing).await;
--- a/crates/thymeshift_entry/src/caller/pipelining.rs
+++ b/crates/thymeshift_entry/src/caller/pipelining.rs
@@ -36,14 +36,14 @@
 use crate::caller::response::ResponseBody;
 use crate::shared::Shared;
 
-/// Maximum number of bytes of pipelined requests that are read from the socket before hyper asks
-/// for them. Further bytes stay in the receive buffer of the socket.
+/// Maximum number of bytes that are read from the socket before hyper asks for them.
+/// Further bytes of pipelined requests stay in the receive buffer of the socket.
 const READ_AHEAD_BYTES_MAX: usize = 16 * 1_024;
 /// Maximum number of bytes of one read from the socket.
 const READ_BYTES: usize = 4 * 1_024;
-/// Maximum number of pipelined requests in progress in the whole process. Their responses are held
-/// in memory until the earlier responses are sent: with 256 KiB each, 32 MiB on a VM with at least
-/// 112 MiB.
+/// Maximum number of pipelined requests in progress in the whole process.
+/// Their responses stay in memory until earlier responses of the connection are sent: at 256 KiB
+/// each, 128 responses need 32 MiB, on a VM that has at least 112 MiB.
 const PIPELINED_REQUESTS_MAX: u64 = 128;
 
 /// Caller connection whose pipelined requests are read while an earlier request is in progress.
@@ -110,8 +110,8 @@
         &self.stream
     }
 
-    /// Returns whether bytes of further requests have arrived. These requests are served before a
-    /// planned stop closes the connection.
+    /// Returns whether bytes of further requests have arrived.
+    /// These requests are served before a planned stop closes the connection.
     pub(crate) fn has_pipelined_bytes(&self) -> bool {
         self.state.lock().pipeline.has_more()
     }
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Copies buffered bytes into `buffer`. Returns whether the read is complete, which it also is
-    /// at the end of the stream.
+    /// Copies buffered bytes into `buffer`.
+    /// Returns whether the read is complete: bytes were copied, or the stream has ended.
     fn read_buffered(&self, buffer: &mut ReadBuf<'_>) -> bool {
         let state = &mut *self.state.lock();
         let length = state.buffered.len().min(buffer.remaining());
@@ -156,9 +156,8 @@
         length > 0 || state.is_eof
     }
 
-    /// Returns the response to a request that hyper has read, or `None` if the caller has closed the
-    /// connection. While a request with a safe method is in progress, the pipelined requests behind
-    /// it are started.
+    /// Returns the response to a request that hyper has read, or `None` if the caller disconnected.
+    /// While a request with a safe method is in progress, starts the pipelined requests behind it.
     pub(crate) async fn respond<D: Dialect>(
         self: &Arc<Self>,
         shared: &Arc<Shared>,
@@ -188,8 +187,8 @@
         response
     }
 
-    /// Removes and returns the started request that hyper has now read. If hyper read a different
-    /// request than expected, cancels all started requests.
+    /// Removes and returns the started request that hyper has now read.
+    /// Cancels all started requests if hyper read a different request than expected.
     fn take_started(&self, parts: &Parts) -> Option<StartedRequest> {
         let state = &mut *self.state.lock();
         match state.pipeline.match_request(parts) {
@@ -203,7 +202,7 @@
     }
 
     /// Reads further bytes from the socket and starts the pipelined requests that may be started.
-    /// Returns when the caller has closed the connection.
+    /// Returns only when the caller has closed the connection.
     async fn start_pipelined_requests<D: Dialect>(
         self: &Arc<Self>,
         shared: &Arc<Shared>,
@@ -233,8 +232,8 @@
         !state.pipeline.is_stopped() && state.buffered.len() + READ_BYTES <= READ_AHEAD_BYTES_MAX
     }
 
-    /// Reads the bytes that have arrived into the buffer; returns an error if the caller has closed
-    /// the connection.
+    /// Reads the bytes that have arrived into the buffer.
+    /// Returns an error if the caller has closed the connection.
     fn read_ahead(&self) -> io::Result<()> {
         let mut bytes = [0; READ_BYTES];
         match self.stream.try_read(&mut bytes) {
@@ -253,8 +252,8 @@
         }
     }
 
-    /// Returns the head of the next pipelined request that may be started: one of a safe kind, within
-    /// the limits on pipelined requests.
+    /// Returns the head of the next pipelined request that may be started.
+    /// Its method and kind must be safe to repeat, and no limit on pipelined requests is reached.
     fn next_startable(&self, shared: &Shared) -> Option<Parts> {
         if shared.is_stopping() {
             return None;
--- a/crates/thymeshift_entry/src/caller/quarantine.rs
+++ b/crates/thymeshift_entry/src/caller/quarantine.rs
@@ -33,8 +33,9 @@
         self.shared.fleet.lock().verdict(self.fingerprint, BootClock.now())
     }
 
-    /// Reports the result of an attempt to the fleet. A 5xx response of the target does not clear the
-    /// request: the target may have aborted it at its deadline before the request could crash it.
+    /// Reports the result of an attempt to the fleet.
+    /// A 5xx response of a target does not clear the request: the target may have aborted the
+    /// request at its deadline, before the request could crash the target.
     pub(crate) fn record_attempt(&self, result: &AttemptResult) {
         match result {
             Ok(response) if response.status().is_server_error() => {}
--- a/crates/thymeshift_entry/src/caller/read_body.rs
+++ b/crates/thymeshift_entry/src/caller/read_body.rs
@@ -1,8 +1,8 @@
 //! Reads the body of a caller's request.
 //!
-//! A short body is read completely before a target is chosen: a slow caller then holds no slot of
-//! a target, the choice uses fresher target state, and the request can be retried if it provably
-//! did not run. A long body is streamed to the target.
+//! A short body is read completely before a target is chosen. A slow caller then holds no slot of a
+//! target, the choice uses fresher target state, and a request that provably did not run can be
+//! retried with the buffered body. A long body is streamed to the target.
 
 use std::net::SocketAddr;
 
@@ -23,8 +23,11 @@
 /// Maximum length in bytes of a body that is read completely before a target is chosen.
 const BUFFERED_BYTES_MAX: u64 = 64 * 1_024;
 
-/// Reads a short body completely, or prepares a long one for streaming. Errors report a request that
-/// did not run, because nothing has been sent to a target yet.
+/// Reads a short body completely, or prepares a long body for streaming.
+///
+/// # Errors
+///
+/// A failure reports a request that did not run, because no target has received any of it.
 pub(crate) async fn read_body(
     incoming: Option<Incoming>,
     limits: BodyLimits,
--- a/crates/thymeshift_entry/src/environment.rs
+++ b/crates/thymeshift_entry/src/environment.rs
@@ -24,19 +24,19 @@
     type Source: Source;
     /// Whether the source never returns stale data.
     const SOURCE_IS_CURRENT: bool;
-    /// Whether targets are discovered separately from the configuration. A process then serves only
-    /// once it has received both.
+    /// Whether targets are discovered separately from the configuration.
+    /// If so, a process serves only once it has received both configuration and targets.
     const HAS_TARGET_DISCOVERY: bool;
 }
 
-/// The only source reader of the process, shared by the start and the task that polls the source, so
-/// that pages read at the start are not read again.
+/// The process's only reader of the source.
+/// The start and the polling task share the reader, so pages read at the start are not read again.
 pub(crate) type SharedSource<E> = Arc<Mutex<<E as Environment>::Source>>;
 
 /// Reader of the service that publishes configuration and targets.
 ///
-/// A reader makes one call at a time. A call that is dropped before it completes must not advance the
-/// reader's position.
+/// A reader makes one call at a time. A call that is dropped before it completes must not change
+/// which documents the reader has returned.
 pub trait Source: Send + 'static {
     /// Creates a reader of the source at `address` that has read nothing yet.
     fn new(address: SocketAddr) -> Self;
@@ -44,8 +44,8 @@
     /// Returns the address of the source.
     fn address(&self) -> SocketAddr;
 
-    /// Reads the first page of the published data. Called before the first call of `changes`, which
-    /// continues after that page.
+    /// Reads the first page of the published data, before the first call of `changes`.
+    /// The first call of `changes` continues after this page.
     fn read_first_page(&mut self) -> impl Future<Output = Result<FirstPage, SourceError>> + Send {
         std::future::ready(Ok(FirstPage::Complete))
     }
@@ -53,8 +53,8 @@
     /// Discards the page read by `read_first_page` if no call has used it, as it becomes stale.
     fn discard_first_page(&mut self) {}
 
-    /// Returns the documents that changed since the last answered call; the first call returns all
-    /// documents. The source may hold the call for up to `wait` until a document changes.
+    /// Returns the documents that changed since the last answered call; the first call returns all.
+    /// The source may hold the call for up to `wait` until a document changes.
     fn changes(
         &mut self,
         wait: Duration,
@@ -66,7 +66,7 @@
 pub enum FirstPage {
     /// The page holds all published data, or the source does not return pages.
     Complete,
-    /// Further pages follow.
+    /// Further pages follow the first page.
     Partial,
 }
 
@@ -92,7 +92,7 @@
     Unreadable {
         /// Part of the answer that is invalid.
         place: String,
-        /// Description of the error.
+        /// Reason why the part cannot be parsed.
         mistake: String,
     },
 }
--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -6,7 +6,7 @@
 //! * [`caller`]: HTTP server for callers, from an accepted connection to the response.
 //! * [`target_client`]: connections to targets, attempts of requests, and probes.
 //! * [`service`]: obtains a target, from an allocator or from the local dispatcher.
-//! * [`allocation_client`]: datagrams to other entry processes, and the leases that this process holds.
+//! * [`allocation_client`]: datagrams to other entry processes, and leases held by this process.
 //! * [`control_plane`]: platform, peers, operators, readiness and metrics.
 //! * [`environment`]: interfaces for the dialect and the configuration source.
 //! * [`pauses`]: timeouts that follow the boot clock.
--- a/crates/thymeshift_entry/src/native.rs
+++ b/crates/thymeshift_entry/src/native.rs
@@ -1,7 +1,7 @@
 //! Native environment: thymeshift's own headers and its configuration service.
 //!
-//! The platform serves `GET /v1/configuration?after=R&wait_ms=W`, and likewise `/v1/targets`. It
-//! answers `200` with the document and its revision in `thymeshift-revision`, or `204` if no
+//! The platform serves `GET /v1/configuration?after=R&wait_ms=W`, and likewise `/v1/targets`.
+//! The answer is `200` with the document and its revision in `thymeshift-revision`, or `204` if no
 //! revision newer than `R` is published within `W` milliseconds.
 
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 /// Maximum time that an answer may take beyond the requested wait.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum size in bytes of a response: a document of 1 MiB and 1 KiB for its envelope.
+/// Maximum size in bytes of a response: a document of 1 MiB and 1 KiB of overhead.
 const RESPONSE_BYTES_MAX: usize = 1_024 * 1_024 + 1_024;
 
 /// Environment with the native dialect and configuration service.
--- a/crates/thymeshift_entry/src/organisations/identity.rs
+++ b/crates/thymeshift_entry/src/organisations/identity.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the queue priority of a request: ordered by the rank of its organisation, then by the
-/// priority of its kind.
+/// Returns the queue priority of a request.
+/// The rank of the organisation takes precedence over the priority of the kind.
 pub(crate) fn request_priority(identity: Option<&Identity>, kind: &Kind) -> u8 {
     let organisation = identity.map_or(1, |identity| identity.organisation.rank);
     u8::try_from((organisation - 1) * PRIORITIES_PER_RANK + kind.priority).unwrap_or(u8::MAX)
--- a/crates/thymeshift_entry/src/organisations/pending_asks.rs
+++ b/crates/thymeshift_entry/src/organisations/pending_asks.rs
@@ -18,7 +18,7 @@
     NotCounter,
 }
 
-/// Asks for quota tokens that wait for a reply, by number.
+/// Outstanding asks for quota tokens, by ask number.
 #[derive(Default)]
 pub(super) struct PendingQuotaAsks {
     next_number: AtomicU64,
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -37,8 +37,9 @@
 use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
-/// Timeouts for a counter's reply. The ask is sent again after each timeout but the last, because
-/// datagrams may be lost. Their sum covers two one-way trips between regions and a busy VM.
+/// Timeouts for a counter's reply.
+/// The ask is sent again after each timeout but the last, because datagrams may be lost. The sum of
+/// the timeouts covers two one-way trips between regions and a busy VM.
 const REPLY_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(25), Duration::from_millis(25), Duration::from_millis(55)];
 /// Maximum time that a request waits for the reply to another request's ask.
@@ -100,7 +101,7 @@
                     return Err(after);
                 }
                 Admission::AnswerPending => {
-                    // If the asking request is cancelled, this request asks after the timeout.
+                    // If the request that asked is cancelled, this request asks after the timeout.
                     let _ = timeout(PENDING_ASK_WAIT_MAX, ask_finished).await;
                 }
                 Admission::Ask { wanted, arrived } => {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Handles an ask of the process on VM `holder_vm`. Grants tokens if this process is serving and ranked
-    /// first among the usable counters.
+    /// Handles an ask of the process on VM `holder_vm`.
+    /// Grants tokens if this process is serving and ranked first among the usable counters.
     pub(crate) fn handle_ask(
         &self,
         shared: &Shared,
@@ -288,8 +289,8 @@
         self.ranking(shared, name).ranked_processes
     }
 
-    /// Returns the ranking of an organisation's counters, computed anew if it expired or members
-    /// changed.
+    /// Returns the ranking of an organisation's counters.
+    /// The cached ranking is replaced after `RANKING_TTL` and when members have changed.
     fn ranking(&self, shared: &Shared, name: &OrganisationName) -> Ranking {
         let now = BootClock.now();
         let member_changes = shared.fleet.lock().members.changes();
--- a/crates/thymeshift_entry/src/pauses.rs
+++ b/crates/thymeshift_entry/src/pauses.rs
@@ -20,8 +20,8 @@
         self.0.notify_waiters();
     }
 
-    /// Returns the output of `work`, or `None` once `deadline` has passed. Output that is ready when
-    /// the deadline is checked is returned even if the deadline has passed.
+    /// Returns the output of `work`, or `None` once `deadline` has passed.
+    /// Output that is already available is returned even if the deadline has passed.
     pub async fn timeout_at<C: Clock, W: Future>(
         &self,
         clock: &C,
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -58,20 +58,20 @@
 /// Maximum time for notifying peers of a planned stop.
 const STOP_NOTICE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Backlog of connections that wait to be accepted. If it is full, the caller's TCP stack retries a
-/// connection only after a second.
+/// Maximum number of connections that wait to be accepted.
+/// If the backlog is full, the TCP stack of a caller retries the connection only after a second.
 const ACCEPT_BACKLOG: u32 = 4_096;
 
 /// Addresses that the process listens on. Port 0 in the settings is replaced by the assigned port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BoundAddresses {
-    /// Address for callers.
+    /// Listen address for callers.
     pub caller: SocketAddr,
-    /// Address for other entry processes.
+    /// Listen address for other entry processes.
     pub peer: SocketAddr,
-    /// Address for operators.
+    /// Listen address for operators.
     pub control: SocketAddr,
-    /// Address for readiness and metrics.
+    /// Listen address for readiness and metrics.
     pub observe: SocketAddr,
 }
 
@@ -85,13 +85,13 @@
         purpose: &'static str,
         /// Address from the settings.
         address: SocketAddr,
-        /// Error of the operating system.
+        /// I/O error of binding or listening.
         source: io::Error,
     },
     /// Handlers for SIGTERM and SIGINT cannot be installed.
     #[display("receiving signals: {source}")]
     Signals {
-        /// Error of the operating system.
+        /// I/O error of the signal registration.
         source: io::Error,
     },
 }
@@ -124,8 +124,8 @@
 
 /// Runs an entry process until it receives a stop signal or a task fails too often.
 ///
-/// `on_bound` is called with the bound addresses. `settings_path` is the file that the settings were
-/// read from; it is read again when it changes.
+/// `on_bound` is called with the bound addresses. `settings_path` is the file that holds the
+/// settings; changes of this file are applied while the process runs.
 pub async fn run<E: Environment>(
     mut settings: Settings,
     settings_path: Option<String>,
@@ -200,8 +200,8 @@
 /// Runs the planned stop.
 ///
 /// First readiness fails. Callers are still accepted for a while, because the platform's load
-/// balancer reacts with a delay, and are asked to close their connections. Then the listener closes,
-/// queued and running requests are completed, and peers are notified.
+/// balancer reacts with a delay, and are asked to close their connections. Then no new connections
+/// are accepted, queued and running requests complete, and peers are notified.
 async fn stop(
     shared: &Arc<Shared>,
     closing: &watch::Sender<bool>,
@@ -218,7 +218,7 @@
     }
     closing.send_replace(true);
     let is_drained = timeout(bound, drained(shared)).await.is_ok();
-    // Peers also detect the stop without this notice, so it does not extend the stop for long.
+    // Peers detect the stop without this notice too, so the stop bound does not wait for it.
     let _ = timeout(STOP_NOTICE_TIMEOUT, say_goodbye(shared)).await;
     if is_drained {
         info!("stopped");
@@ -229,8 +229,8 @@
     Exit::DrainTimedOut { open }
 }
 
-/// Waits until all caller connections are closed: a response is complete only when its last byte has
-/// been sent.
+/// Waits until all caller connections are closed.
+/// A response counts as delivered only when its last byte has been sent.
 async fn drained(shared: &Shared) {
     while shared.metrics.caller_connections.load(Ordering::Relaxed) > 0 {
         sleep(DRAIN_CHECK_INTERVAL).await;
@@ -371,8 +371,8 @@
     }
 }
 
-/// Returns the boot number of this start: the wall clock in milliseconds. It distinguishes two starts
-/// without persistent storage on the VM.
+/// Returns the boot number of this start: the wall clock in milliseconds.
+/// The number distinguishes two starts of a process on a VM without persistent storage.
 fn boot_from_clock() -> Boot {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Boot::new(since_epoch.unwrap_or_default().as_millis() as u64)
--- a/crates/thymeshift_entry/src/reload.rs
+++ b/crates/thymeshift_entry/src/reload.rs
@@ -17,7 +17,7 @@
 /// Interval between two checks of the settings file when no signal arrives.
 const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Runs the reload loop. A settings file that is unreadable or invalid leaves the settings unchanged.
+/// Runs the reload loop. An unreadable or invalid settings file leaves the settings unchanged.
 pub(crate) async fn run_reload(shared: Arc<Shared>) -> Result<(), TaskError> {
     let mut hangups = signal(SignalKind::hangup())?;
     let Some(path) = shared.settings_path.clone() else {
--- a/crates/thymeshift_entry/tests/pauses.rs
+++ b/crates/thymeshift_entry/tests/pauses.rs
@@ -21,7 +21,7 @@
 /// Time between the resume of the VM and the detection of the pause by the process.
 const DETECTION_DELAY: Duration = Duration::from_millis(100);
 
-/// Lets both clocks run for `ran`, suspends for `suspended`, and reports the pause after the resume.
+/// Lets both clocks run for `ran`, suspends for `suspended`, resumes, and reports the pause.
 async fn suspend(
     clock: &ManualClock,
     notifier: &PauseNotifier,
