--- a/crates/thymeshift_entry/tests/pauses.rs
+++ b/crates/thymeshift_entry/tests/pauses.rs
@@ -52,13 +52,13 @@
     for Case { suspended_s, expected_wait } in cases {
         let clock = ManualClock::new(START);
         let notifier = Arc::new(PauseNotifier::default());
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let (outcome, ()) = tokio::join!(
             notifier.timeout_at(&clock, START + REMAINING, pending::<()>()),
             suspend(&clock, &notifier, ran, Duration::from_secs(suspended_s)),
         );
         assert_eq!(outcome, None, "suspended for {suspended_s} s");
-        let waited = begun.elapsed();
+        let waited = started_at.elapsed();
         let deviation = waited.abs_diff(expected_wait);
         assert!(
             deviation < Duration::from_millis(5),
@@ -83,10 +83,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn many_gaps_in_a_row_end_no_wait_early() {
+async fn many_pauses_in_a_row_end_no_wait_early() {
     let clock = ManualClock::new(START);
     let notifier = PauseNotifier::default();
-    let noticing = async {
+    let pausing = async {
         for _ in 0..20 {
             sleep(Duration::from_millis(100)).await;
             clock.advance(Duration::from_millis(100));
@@ -97,6 +97,6 @@
     let waiting = notifier.timeout_at(&clock, START + REMAINING, pending::<()>());
     tokio::select! {
         _ = waiting => panic!("the wait ended with half of its time left"),
-        at = noticing => assert_eq!(at, START + Duration::from_secs(2)),
+        at = pausing => assert_eq!(at, START + Duration::from_secs(2)),
     }
 }
