--- a/crates/thymeshift_types/src/capacity.rs
+++ b/crates/thymeshift_types/src/capacity.rs
@@ -1,37 +1,37 @@
-//! How much processing power a VM has.
+//! Processing power of a VM.
 
 use derive_more::Display;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Thousandths in one processor.
-const MILLI: f64 = 1_000.0;
-/// Bounds, in thousandths of a processor.
-const LEAST_MILLI: f64 = 1.0;
-const MOST_MILLI: f64 = 1_000_000.0;
+/// Thousandths of a processor (millicores) per processor.
+const MILLICORES_PER_PROCESSOR: f64 = 1_000.0;
+/// Smallest and largest valid capacity, in thousandths of a processor (millicores).
+const MILLICORES_MIN: f64 = 1.0;
+const MILLICORES_MAX: f64 = 1_000_000.0;
 
-/// Processing power, in thousandths of a processor; at least 1.
+/// Processing power in thousandths of a processor (millicores); at least 1.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 pub struct Capacity(u32);
 
 impl Capacity {
-    /// That of `processors`, if it lies between a thousandth and a thousand.
+    /// Returns the capacity of `processors`, or `None` outside 0.001 to 1000 processors.
     pub fn from_processors(processors: f64) -> Option<Self> {
-        let milli = (processors * MILLI).round();
-        (LEAST_MILLI..=MOST_MILLI).contains(&milli).then_some(Self(milli as u32))
+        let millicores = (processors * MILLICORES_PER_PROCESSOR).round();
+        (MILLICORES_MIN..=MILLICORES_MAX).contains(&millicores).then_some(Self(millicores as u32))
     }
 
-    /// In processors.
+    /// Returns the capacity in processors.
     pub fn processors(self) -> f64 {
-        f64::from(self.0) / MILLI
+        f64::from(self.0) / MILLICORES_PER_PROCESSOR
     }
 }
 
 impl Default for Capacity {
-    /// One processor.
+    /// Returns the capacity of one processor.
     fn default() -> Self {
-        Self(MILLI as u32)
+        Self(MILLICORES_PER_PROCESSOR as u32)
     }
 }
--- a/crates/thymeshift_types/src/clock.rs
+++ b/crates/thymeshift_types/src/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time that keeps counting while a VM is suspended.
+//! Monotonic clocks that keep counting while a VM is suspended.
 
 use std::ops::Add;
 use std::sync::Arc;
@@ -10,41 +10,41 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A moment on one machine's boot clock, in whole microseconds.
+/// Instant on the boot clock of one machine, in whole microseconds.
 ///
-/// Timestamps of two machines cannot be compared; send ages between machines instead.
+/// Timestamps of two machines are not comparable; messages between machines carry ages instead.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The moment `micros` microseconds after the clock's start.
+    /// Returns the instant `micros` microseconds after the start of the clock.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// The moment `millis` milliseconds after the clock's start.
+    /// Returns the instant `millis` milliseconds after the start of the clock.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the clock's start.
+    /// Returns the microseconds since the start of the clock.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Time passed since `earlier`, zero if `earlier` lies in the future.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Time left until `later`, zero if `later` has passed.
+    /// Returns the time left until `later`, or zero if `later` is earlier than `self`.
     pub const fn until(self, later: Self) -> Duration {
         later.since(self)
     }
 
-    /// This moment moved back by `duration`, stopping at the clock's start.
+    /// Returns the instant `duration` before `self`, saturating at the start of the clock.
     pub const fn minus(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
@@ -59,16 +59,16 @@
     }
 }
 
-/// A source of the current [`Timestamp`].
+/// Source of the current [`Timestamp`].
 pub trait Clock {
-    /// The current moment.
+    /// Returns the current time.
     fn now(&self) -> Timestamp;
 }
 
-/// The machine's boot clock (`CLOCK_BOOTTIME`).
+/// Boot clock of the machine (`CLOCK_BOOTTIME`).
 ///
-/// `std::time::Instant` stops while a VM is suspended, so a deadline kept with it would
-/// still look open after a long suspension. The boot clock goes on.
+/// `std::time::Instant` stops while a VM is suspended, so a deadline based on it would not have
+/// expired after a long suspension. The boot clock also counts the suspended time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BootClock;
 
@@ -81,17 +81,17 @@
     }
 }
 
-/// A clock moved by hand, for tests and for driving decisions directly.
+/// Clock that only advances on request, for tests and simulations.
 #[derive(Debug, Clone, Default)]
 pub struct ManualClock(Arc<AtomicU64>);
 
 impl ManualClock {
-    /// A clock that stands at `start`.
+    /// Creates a clock whose current time is `start`.
     pub fn new(start: Timestamp) -> Self {
         Self(Arc::new(AtomicU64::new(start.as_micros())))
     }
 
-    /// Moves the clock forward by `duration`.
+    /// Advances the clock by `duration`.
     pub fn advance(&self, duration: Duration) {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         self.0.fetch_add(micros, Ordering::Relaxed);
--- a/crates/thymeshift_types/src/failure.rs
+++ b/crates/thymeshift_types/src/failure.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when its request did not get a complete answer.
+//! Failures reported to a caller whose request did not get a complete response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,68 +11,68 @@
 use crate::ServiceName;
 use crate::TargetName;
 
-/// What is known about a request that failed.
+/// Whether a failed request was executed by a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No target started it: safe to send again, also for kinds unsafe to repeat.
+    /// No target started the request, so that even non-idempotent requests can be retried.
     #[display("not_run")]
     NotRun,
-    /// A target may have run it.
+    /// A target may have executed the request.
     #[display("unknown")]
     Unknown,
-    /// A target ran it and failed.
+    /// A target executed the request and failed.
     #[display("failed")]
     Failed,
 }
 
-/// The step of a request at which a failure arose, in the order of the path.
+/// Processing step at which a request failed, in the order of the request path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// Taking a connection from a caller.
+    /// Accepting a connection from a caller.
     #[display("accept")]
     Accept,
-    /// Reading the caller's request head.
+    /// Reading the request head from the caller.
     #[display("read_head")]
     ReadHead,
-    /// Finding the request's kind.
+    /// Matching the request to a configured kind.
     #[display("match")]
     Match,
-    /// Waiting for a target.
+    /// Waiting in the queue for a target with a free slot.
     #[display("queue")]
     Queue,
-    /// Choosing a target.
+    /// Selecting a target.
     #[display("choose")]
     Choose,
     /// Opening a connection to the target.
     #[display("connect")]
     Connect,
-    /// Sending the request, head and body.
+    /// Sending the request head and body to the target.
     #[display("send")]
     Send,
-    /// Reading the caller's request body.
+    /// Reading the request body from the caller.
     #[display("read_body")]
     ReadBody,
-    /// Waiting for the head of the target's answer.
+    /// Waiting for the response head of the target.
     #[display("wait")]
     Wait,
-    /// Passing the body of the answer on.
+    /// Forwarding the response body to the caller.
     #[display("answer_body")]
     AnswerBody,
 }
 
-/// The other side at the step of a failure.
+/// Peer involved in the step at which a request failed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Peer {
-    /// The caller.
+    /// The caller, by its socket address.
     #[display("caller {_0}")]
     Caller(SocketAddr),
-    /// A service as a whole: no single target was chosen.
+    /// A whole service, if no target had been selected.
     #[display("service {_0}")]
     Service(ServiceName),
-    /// One target.
+    /// One target of a service.
     #[display("target {_0}/{_1}")]
     Target(ServiceName, TargetName),
     /// The entry process itself.
@@ -80,99 +80,98 @@
     Entry,
 }
 
-/// Why a request was refused or failed.
+/// Reason why a request was rejected or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
     /// No configured kind matches the request.
     #[display("unknown_kind")]
     UnknownKind,
-    /// A header the caller sent for the balancer is malformed.
+    /// A request header addressed to the load balancer is malformed.
     #[display("bad_header")]
     BadHeader,
-    /// The request's body is larger than allowed.
+    /// The request body exceeds the configured limit.
     #[display("body_too_large")]
     BodyTooLarge,
-    /// The call was passed on more often than the configuration allows.
+    /// The request was forwarded through more hops than the configuration allows.
     #[display("too_deep")]
     TooDeep,
-    /// The process has no configuration yet.
+    /// The process has not loaded a configuration yet.
     #[display("not_ready")]
     NotReady,
-    /// The process is stopping and its bound has passed.
+    /// The process is shutting down and its shutdown deadline has passed.
     #[display("stopping")]
     Stopping,
-    /// The kind's queue is full.
+    /// The queue of the request kind is full.
     #[display("queue_full")]
     QueueFull,
-    /// The deadline could not be met by waiting.
+    /// The expected queueing time exceeds the deadline of the request.
     #[display("deadline_unreachable")]
     DeadlineUnreachable,
-    /// All targets have asked this process to send nothing for a while.
+    /// All targets have asked this process to back off.
     #[display("backing_off")]
     BackingOff,
-    /// All targets are in need and take only so many requests a second.
+    /// All targets have stated a rate limit that leaves no capacity for this request.
     #[display("rate_limited")]
     RateLimited,
-    /// The deadline passed.
+    /// The deadline of the request has passed.
     #[display("deadline")]
     Deadline,
-    /// The service has no target that may receive work.
+    /// The service has no target that accepts requests.
     #[display("no_target")]
     NoTarget,
-    /// The target refused the connection, or it could not be opened in time.
+    /// The target refused the connection, or connecting timed out.
     #[display("connect_failed")]
     ConnectFailed,
-    /// The target shed the request and its contract says that it did not run.
+    /// The target shed the request, and its contract guarantees that shed requests do not run.
     #[display("shed")]
     Shed,
-    /// The connection to the target broke after a byte may have been read.
+    /// The connection to the target broke after the target may have read part of the request.
     #[display("connection_lost")]
     ConnectionLost,
-    /// The target's answer belongs to another attempt.
+    /// The response of the target belongs to another attempt.
     #[display("wrong_answer")]
     WrongAnswer,
-    /// The target ran the request and says that it failed.
+    /// The target executed the request and reported a failure.
     #[display("target_failed")]
     TargetFailed,
-    /// The caller's body broke off.
+    /// The caller disconnected before the end of the request body.
     #[display("caller_lost")]
     CallerLost,
-    /// The request carries no key, or one that belongs to no organisation.
+    /// The request has no API key, or a key that belongs to no organisation.
     #[display("unknown_key")]
     UnknownKey,
-    /// The organisation has used up its limit of requests.
+    /// The organisation has exhausted its request quota.
     #[display("over_quota")]
     OverQuota,
-    /// Targets crashed while they ran the same request before.
+    /// Earlier executions of the same request crashed targets.
     #[display("quarantined")]
     Quarantined,
 }
 
-/// A request that got no complete answer: what is known, where it arose, and when the
-/// caller may come back.
+/// Failure of a request: its outcome, reason, step and peer, and when the caller may retry.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error, Serialize, Deserialize)]
 #[display("{outcome}: {reason} at {step} with {peer}")]
 pub struct Failure {
-    /// What is known about the request.
+    /// Whether a target executed the request.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason of the failure.
     pub reason: Reason,
-    /// Where on the path.
+    /// Processing step that failed.
     pub step: Step,
-    /// With whom.
+    /// Peer of the failed step.
     pub peer: Peer,
-    /// When to come back, if coming back makes sense.
+    /// Time after which the caller may retry; `None` if no retry time is known.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure without a time to come back.
+    /// Creates a failure without a retry time.
     pub fn new(outcome: Outcome, reason: Reason, step: Step, peer: Peer) -> Self {
         Self { outcome, reason, step, peer, retry_after: None }
     }
 
-    /// The same failure, telling the caller to come back after `retry_after`.
+    /// Returns the failure with `retry_after` as its retry time.
     #[must_use]
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
--- a/crates/thymeshift_types/src/hash.rs
+++ b/crates/thymeshift_types/src/hash.rs
@@ -1,8 +1,8 @@
-//! Hashes of 128 bits that are written as hexadecimal digits.
+//! 128-bit hash types with a hexadecimal text form.
 
-/// Makes a type of hash with the error for texts that are none.
+/// Defines a 128-bit hash type and the parse error for its hexadecimal text form.
 macro_rules! hash_type {
-    ($(#[$doc:meta])* $name:ident, $error:ident, $mistake:literal) => {
+    ($(#[$doc:meta])* $name:ident, $error:ident, $message:literal) => {
         $(#[$doc])*
         #[derive(
             Debug,
@@ -21,9 +21,9 @@
         #[display("{_0:032x}")]
         pub struct $name(u128);
 
-        #[doc = concat!("A text that is no [`", stringify!($name), "`].")]
+        #[doc = concat!("Error for a string that is not a valid [`", stringify!($name), "`].")]
         #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-        #[display($mistake)]
+        #[display($message)]
         pub struct $error;
 
         impl std::str::FromStr for $name {
--- a/crates/thymeshift_types/src/key_digest.rs
+++ b/crates/thymeshift_types/src/key_digest.rs
@@ -1,19 +1,20 @@
-//! Telling keys apart without holding them.
+//! Digests that identify API keys without storing the keys.
 
 use crate::hash::hash_type;
 
-/// Sets digests of keys apart from other hashes of the same bytes.
+/// Key derivation context that separates key digests from other hashes of the same bytes.
 const DIGEST_CONTEXT: &str = "thymeshift key of an organisation";
 
 hash_type! {
-    /// What the product keeps of a key: a 128-bit hash. The key itself is in no document, log line or
-    /// dump. Keys must be random; a short one could be found by trying.
+    /// 128-bit hash of an API key. The key itself is not in any document, log line or state dump.
+    ///
+    /// Keys must be random, because a short key could be found by brute force.
     KeyDigest, KeyDigestError, "a digest of a key is written as 32 hexadecimal digits"
 }
 
 impl KeyDigest {
-    /// The digest of a key, or none if it is none: a key is of visible ASCII characters, so that
-    /// it fits into a header.
+    /// Computes the digest of `key`, or returns `None` if `key` is empty or has characters other
+    /// than visible ASCII: keys must be valid HTTP header values.
     pub fn of(key: &[u8]) -> Option<Self> {
         let is_key = !key.is_empty() && key.iter().all(u8::is_ascii_graphic);
         if !is_key {
--- a/crates/thymeshift_types/src/leaving.rs
+++ b/crates/thymeshift_types/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Incarnations of targets and the marks that say one of them is leaving.
+//! Incarnations of targets, and the marks that declare an incarnation as leaving.
 
 use derive_more::Display;
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 use crate::ServiceName;
 use crate::TargetName;
 
-/// A number that a target raises each time it starts anew on the same address.
+/// Number that a target increases each time it restarts at the same address.
 #[derive(
     Debug,
     Clone,
@@ -25,25 +25,26 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// The incarnation with this number.
+    /// Creates the incarnation with this number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The incarnation's number.
+    /// Returns the incarnation number.
     pub const fn as_u64(self) -> u64 {
         self.0
     }
 }
 
-/// A statement that one incarnation of a target is leaving. It is never taken back;
-/// only a larger incarnation serves again.
+/// Mark that one incarnation of a target is leaving.
+///
+/// The mark is permanent: the target receives requests again only with a larger incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeavingMark {
-    /// The target's service.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// The target.
+    /// Name of the leaving target.
     pub target: TargetName,
-    /// The incarnation that is leaving. Smaller ones are gone as well.
+    /// Incarnation that is leaving. Smaller incarnations are leaving too.
     pub incarnation: Incarnation,
 }
--- a/crates/thymeshift_types/src/lib.rs
+++ b/crates/thymeshift_types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Names, times, revisions and outcomes shared by all thymeshift crates.
+//! Names, times, revisions and request outcomes shared by all thymeshift crates.
 //!
-//! Everything here is plain data: no I/O and no global state. Clocks are passed in as
-//! [`Clock`] so that every decision can be tested at a chosen moment.
+//! The types are plain data without I/O or global state. Callers pass clocks in as [`Clock`], so
+//! that tests can run every decision at a fixed time.
 
 mod capacity;
 mod clock;
--- a/crates/thymeshift_types/src/name.rs
+++ b/crates/thymeshift_types/src/name.rs
@@ -1,7 +1,7 @@
-//! Shared immutable names.
+//! Immutable, reference-counted names.
 //!
-//! Each kind of name is its own type, so that a service's name cannot be passed where a
-//! target's is meant. Cloning one copies a pointer.
+//! Each kind of name is a type of its own, so that the compiler rejects a service name where a
+//! target name is expected. Cloning a name copies a pointer.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -12,30 +12,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Longest name allowed, in bytes.
+/// Maximum length of a name, in bytes.
 pub(crate) const NAME_BYTES_MAX: usize = 63;
 
-/// Why a text is not a name.
+/// Error for a string that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum NameError {
-    /// The text is empty.
+    /// The string is empty.
     #[display("a name must not be empty")]
     Empty,
-    /// The text is longer than 63 bytes.
+    /// The string is longer than 63 bytes.
     #[display("a name has at most {NAME_BYTES_MAX} characters, this one has {length}")]
     TooLong {
-        /// Length found, in bytes.
+        /// Length of the rejected string, in bytes.
         length: usize,
     },
-    /// The text holds a character that names may not hold.
+    /// The string contains a character that names must not contain.
     #[display("a name holds only a-z, 0-9, '-', '_' and '.', not '{character}'")]
     BadCharacter {
-        /// The first such character.
+        /// First invalid character of the string.
         character: char,
     },
 }
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
@@ -59,13 +59,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes it a name.
+            /// Validates `text` and returns it as a name.
             pub fn new(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -94,15 +94,15 @@
 }
 
 name_type! {
-    /// Name of a service: a group of targets that do the same work.
+    /// Name of a service: a group of interchangeable targets.
     ServiceName
 }
 name_type! {
-    /// Name of a target: one server that does the work of a service.
+    /// Name of a target: one backend server of a service.
     TargetName
 }
 name_type! {
-    /// Name of a request kind: requests that share priority, deadline and retry rule.
+    /// Name of a request kind: requests with the same priority, deadline and retry policy.
     KindName
 }
 name_type! {
@@ -114,6 +114,6 @@
     DataHallName
 }
 name_type! {
-    /// Name of an organisation: a customer with keys and a limit of its own.
+    /// Name of an organisation: a customer with its own API keys and request quota.
     OrganisationName
 }
--- a/crates/thymeshift_types/src/revision.rs
+++ b/crates/thymeshift_types/src/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions of what the platform publishes, and digests of the published bytes.
+//! Revisions of documents that the platform publishes, and digests of their content.
 
 use std::str::FromStr;
 
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The platform's revision number of a published document. Larger is newer.
+/// Revision number that the platform assigns to a published document. Larger is newer.
 #[derive(
     Debug,
     Clone,
@@ -26,21 +26,21 @@
 pub struct Revision(u64);
 
 impl Revision {
-    /// The revision with this number.
+    /// Creates the revision with this number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The revision's number.
+    /// Returns the revision number.
     pub const fn as_u64(self) -> u64 {
         self.0
     }
 }
 
-/// A 128-bit digest of published bytes; the same on every VM and version.
+/// 128-bit digest of published bytes, identical on every VM and in every version.
 ///
-/// It detects accidents (two contents under one revision, a damaged difference), not
-/// forgery.
+/// The digest detects accidents, such as two contents with one revision or a corrupted diff. It is
+/// not cryptographic and does not detect forgery.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -49,13 +49,13 @@
 pub struct Digest(u128);
 
 impl Digest {
-    /// Digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(xxh3_128(bytes))
     }
 }
 
-/// A text that is not a digest.
+/// Error for a string that is not 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("a digest is written as 32 hexadecimal digits")]
 pub struct DigestError;
