--- a/crates/thymeshift_allocation/src/headroom.rs
+++ b/crates/thymeshift_allocation/src/headroom.rs
@@ -1,8 +1,10 @@
-//! What an allocator knows of the other groups of its service.
+//! Headroom of the other groups of a service, as reported by their allocators.
 //!
-//! Allocators tell each other now and then how many more requests their targets would take.
-//! A group without room sends requests to one that has some, drawn by room, and counts down
-//! what it was told, so that it does not send more than was offered before it hears anew.
+//! Allocators periodically send each other the headroom of their group: the number of further
+//! requests that its targets can take. A group without headroom redirects requests to another
+//! group, picked at random in proportion to the reported headroom. Each redirected request is
+//! subtracted from the report, so that the allocator does not send a group more requests than the
+//! group offered until its next report arrives.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,53 +14,57 @@
 
 use crate::Group;
 
-/// Time after which what a group told is worth nothing.
-const WORTH: Duration = Duration::from_millis(1_200);
+/// Age at which a headroom report is ignored.
+const REPORT_TTL: Duration = Duration::from_millis(1_200);
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
-    room: u32,
-    at: Timestamp,
+struct HeadroomReport {
+    /// Further requests that the group can take.
+    headroom: u32,
+    received_at: Timestamp,
 }
 
-/// The room that other groups told of.
+/// Last headroom report of each group of a service.
 #[derive(Debug, Clone, Default)]
 pub struct GroupHeadroom {
-    told: BTreeMap<Group, Told>,
+    reports: BTreeMap<Group, HeadroomReport>,
 }
 
 impl GroupHeadroom {
-    /// A group told its room.
-    pub fn record(&mut self, group: Group, room: u32, now: Timestamp) {
-        self.told.insert(group, Told { room, at: now });
+    /// Records the headroom that a group has reported, in requests.
+    pub fn record(&mut self, group: Group, headroom: u32, now: Timestamp) {
+        self.reports.insert(group, HeadroomReport { headroom, received_at: now });
     }
 
-    /// Whether another group than `own` has room.
+    /// Whether a group other than `own` has headroom.
     pub fn is_available_outside(&self, own: &Group, now: Timestamp) -> bool {
-        self.told
-            .iter()
-            .any(|(group, told)| group != own && told.room > 0 && now.since(told.at) < WORTH)
+        self.reports.iter().any(|(group, report)| {
+            group != own && report.headroom > 0 && now.since(report.received_at) < REPORT_TTL
+        })
     }
 
-    /// Takes a place in another group than `own`, drawn by room.
+    /// Reserves headroom for one request in a group other than `own`, picked at random in
+    /// proportion to headroom. Returns `None` if no other group has headroom.
     pub fn reserve<R: Rng>(&mut self, own: &Group, now: Timestamp, rng: &mut R) -> Option<Group> {
-        let is_usable = |group: &Group, told: &Told| group != own && now.since(told.at) < WORTH;
-        let mut usable: Vec<(&Group, &mut Told)> = self
-            .told
+        let is_usable = |group: &Group, report: &HeadroomReport| {
+            group != own && now.since(report.received_at) < REPORT_TTL
+        };
+        let mut usable: Vec<(&Group, &mut HeadroomReport)> = self
+            .reports
             .iter_mut()
-            .filter(|(group, told)| told.room > 0 && is_usable(group, told))
+            .filter(|(group, report)| report.headroom > 0 && is_usable(group, report))
             .collect();
-        let total: u32 = usable.iter().map(|(_, told)| told.room).sum();
+        let total: u32 = usable.iter().map(|(_, report)| report.headroom).sum();
         if total == 0 {
             return None;
         }
-        let mut left = rng.random_range(0..total);
-        for (group, told) in &mut usable {
-            if left < told.room {
-                told.room -= 1;
+        let mut remaining = rng.random_range(0..total);
+        for (group, report) in &mut usable {
+            if remaining < report.headroom {
+                report.headroom -= 1;
                 return Some((*group).clone());
             }
-            left -= told.room;
+            remaining -= report.headroom;
         }
         None
     }
