--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -1,18 +1,18 @@
-//! One process allocates a group of a service's targets to all others.
+//! Central allocation: one process allocates a group of a service's targets to all processes.
 //!
-//! Alone, each of many processes sees a small part of the load on a target. Here they ask
-//! one of them, which decides with the [`Dispatcher`] that everybody has, but over the
-//! requests of the whole fleet. [`Allocator`] keeps that process's state: which leases are out,
-//! and which holders wait.
+//! A process that selects targets on its own sees only a small part of the load on each target.
+//! With central allocation, all processes request targets from one allocator process. The
+//! allocator uses the same [`Dispatcher`] as every process, but applies it to the requests of the
+//! whole fleet. [`Allocator`] is the state of that process: its active leases and waiting holders.
 //!
-//! Messages may be lost, late or doubled, two processes may allocate at the same time, and any
-//! of them may pause. What a lease says is a hint: a holder checks by itself, just before
-//! the first byte, whether the target may be used. The state mends itself: each message
-//! of a holder names all leases that it holds, and what it does not name is taken back;
-//! what is never heard of again ends by time.
+//! Messages may be lost, delayed or duplicated, two processes may allocate at the same time, and
+//! any process may pause. A lease is therefore only a hint: just before it sends the first byte,
+//! the holder checks locally whether the target may be used. The state recovers from lost messages:
+//! each message of a holder lists all its leases, the allocator releases leases that are not
+//! listed, and leases without any further message expire.
 //!
-//! The cost is one message each way for a request and one at its end, whatever the size of
-//! the fleet.
+//! A request costs one message in each direction and one message at its end, independent of the
+//! size of the fleet.
 
 mod group;
 mod headroom;
@@ -42,113 +42,116 @@
 pub use headroom::GroupHeadroom;
 pub use rank::AllocatorRank;
 
-/// A lease that its holder does not name is taken back once it is this old: the answer
-/// that told of it may still have been on its way when the holder wrote.
-const UNNAMED_AFTER: Duration = Duration::from_millis(100);
-/// A lease ends this long after its request's deadline, if nothing is heard.
-const LOST_AFTER_DEADLINE: Duration = Duration::from_millis(500);
+/// Minimum age at which a lease that its holder does not list is released. A younger lease may be
+/// missing from the list because the holder sent it before it received the grant.
+const UNLISTED_GRACE: Duration = Duration::from_millis(100);
+/// Time after the request deadline at which a lease that was not released expires.
+const EXPIRY_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 
-/// A lease: who asked, and the number that it gave.
+/// Identifier of a lease: the holder, and the lease number that the holder assigned.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LeaseKey<B> {
-    /// The holder, with whatever tells two starts of it apart.
-    pub holder: B,
-    /// The number, counted by the holder.
+pub struct LeaseKey<H> {
+    /// Process that holds the lease, distinct for each start of the process.
+    pub holder: H,
+    /// Lease number, assigned by the holder in increasing order.
     pub number: u64,
 }
 
-/// The right to send one request to a target.
+/// Grant of a lease: permission to send one request to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The target.
+    /// Target that the request may be sent to.
     pub target: TargetName,
-    /// Most requests that one target of the group serves well at a time:
+    /// Number of concurrent requests that each target of the group serves efficiently, from
     /// [`Dispatcher::concurrency`].
     pub concurrency: u32,
-    /// The target's limit that the grant is counted against; none if the allocator knows of none.
+    /// Rate limit of the target that the grant is counted against; `None` if the allocator has
+    /// received none.
     pub rate_limit: Option<RateLimitUpdate>,
 }
 
-/// What a holder tells when it gives a lease back.
+/// Report that a holder sends when it releases a lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReport {
-    /// What the attempt showed, if there was one.
+    /// Result of the request attempt; `None` if no attempt was made.
     pub observation: Option<Observation>,
-    /// What it knows of the target's limit of requests a second; none if it never learnt of one.
+    /// Rate limit of the target in requests per second; `None` if the holder has received none.
     pub rate_limit: Option<RateLimitUpdate>,
-    /// The incarnation of the target that it knows to leave, if it does.
+    /// Incarnation of the target that is leaving; `None` if the holder has received no mark.
     pub leaving: Option<Incarnation>,
 }
 
-/// What a holder is told.
+/// Response of the allocator to a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Allocation {
-    /// It may send to a target.
+    /// The holder may send its request to a target.
     Granted(LeaseGrant),
-    /// It waits; [`Allocator::resolve_ticket`] tells the rest.
+    /// The request is queued until [`Allocator::resolve_ticket`] grants or refuses the lease.
     Waiting,
-    /// It gets none.
+    /// The allocator granted no target.
     Refused(Refusal),
 }
 
 #[derive(Debug)]
-enum State {
+enum LeaseState {
     Waiting(Ticket),
     Granted(Grant),
 }
 
 #[derive(Debug)]
 struct Lease {
-    state: State,
-    since: Timestamp,
-    ends: Timestamp,
+    state: LeaseState,
+    /// Time of the last state change.
+    changed_at: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// The state of an allocator, for one group of targets.
+/// Lease table of an allocator, for one group of targets.
 #[derive(Debug)]
-pub struct Allocator<B> {
-    leases: BTreeMap<LeaseKey<B>, Lease>,
+pub struct Allocator<H> {
+    leases: BTreeMap<LeaseKey<H>, Lease>,
 }
 
-impl<B> Default for Allocator<B> {
+impl<H> Default for Allocator<H> {
     fn default() -> Self {
         Self { leases: BTreeMap::new() }
     }
 }
 
-impl<B: Clone + Ord> Allocator<B> {
-    /// A holder asks. A message that arrives twice is answered twice and counted once.
+impl<H: Clone + Ord> Allocator<H> {
+    /// Handles a lease request of a holder. A duplicate request gets the same response and is
+    /// counted once.
     pub fn acquire<S: Strategy, R: Rng>(
         &mut self,
-        key: LeaseKey<B>,
+        key: LeaseKey<H>,
         request: Request,
         dispatcher: &mut Dispatcher<S>,
         now: Timestamp,
         rng: &mut R,
     ) -> Allocation {
-        if let Some(known) = self.leases.get(&key) {
-            return match &known.state {
-                State::Waiting(_) => Allocation::Waiting,
-                State::Granted(grant) => granted(dispatcher, grant, now),
+        if let Some(lease) = self.leases.get(&key) {
+            return match &lease.state {
+                LeaseState::Waiting(_) => Allocation::Waiting,
+                LeaseState::Granted(grant) => granted(dispatcher, grant, now),
             };
         }
         let (state, allocation) = match dispatcher.request(request, now, rng) {
             Decision::Refuse(refusal) => return Allocation::Refused(refusal),
-            Decision::Wait(ticket) => (State::Waiting(ticket), Allocation::Waiting),
+            Decision::Wait(ticket) => (LeaseState::Waiting(ticket), Allocation::Waiting),
             Decision::Send(grant) => {
                 let allocation = granted(dispatcher, &grant, now);
-                (State::Granted(grant), allocation)
+                (LeaseState::Granted(grant), allocation)
             }
         };
-        let ends = request.deadline + LOST_AFTER_DEADLINE;
-        self.leases.insert(key, Lease { state, since: now, ends });
+        let expires_at = request.deadline + EXPIRY_AFTER_DEADLINE;
+        self.leases.insert(key, Lease { state, changed_at: now, expires_at });
         allocation
     }
 
-    /// A holder gives back, or no longer wants to wait.
+    /// Releases a granted lease, or cancels a lease request that is still waiting.
     pub fn release<S: Strategy>(
         &mut self,
-        key: &LeaseKey<B>,
+        key: &LeaseKey<H>,
         report: &LeaseReport,
         dispatcher: &mut Dispatcher<S>,
         now: Timestamp,
@@ -156,71 +159,74 @@
         let Some(lease) = self.leases.remove(key) else {
             return;
         };
-        if let State::Granted(grant) = &lease.state {
-            if let Some(told) = &report.rate_limit {
-                dispatcher.merge_rate_limit(grant, told, now);
+        if let LeaseState::Granted(grant) = &lease.state {
+            if let Some(rate_limit) = &report.rate_limit {
+                dispatcher.merge_rate_limit(grant, rate_limit, now);
             }
             if let Some(incarnation) = report.leaving {
                 dispatcher.mark_leaving(&dispatcher.target_name(grant), incarnation);
             }
         }
-        end(lease, report.observation, dispatcher, now);
+        end_lease(lease, report.observation, dispatcher, now);
     }
 
-    /// A holder named all leases that it holds: others of it are taken back.
+    /// Releases the leases of a holder that are missing from `held`, the list of lease numbers
+    /// in its message. Leases younger than the grace period are kept.
     pub fn release_unlisted<S: Strategy>(
         &mut self,
-        holder: &B,
+        holder: &H,
         held: &[u64],
         dispatcher: &mut Dispatcher<S>,
         now: Timestamp,
     ) {
-        let is_lost = |key: &LeaseKey<B>, lease: &Lease| {
+        let is_unlisted = |key: &LeaseKey<H>, lease: &Lease| {
             key.holder == *holder
                 && !held.contains(&key.number)
-                && now.since(lease.since) >= UNNAMED_AFTER
+                && now.since(lease.changed_at) >= UNLISTED_GRACE
         };
-        self.end_where(is_lost, dispatcher, now);
+        self.end_where(is_unlisted, dispatcher, now);
     }
 
-    /// Takes back leases of which nothing was heard for too long.
+    /// Ends all leases whose expiry time has passed.
     pub fn expire<S: Strategy>(&mut self, dispatcher: &mut Dispatcher<S>, now: Timestamp) {
-        self.end_where(|_, lease| now >= lease.ends, dispatcher, now);
+        self.end_where(|_, lease| now >= lease.expires_at, dispatcher, now);
     }
 
     fn end_where<S: Strategy>(
         &mut self,
-        is_over: impl Fn(&LeaseKey<B>, &Lease) -> bool,
+        should_end: impl Fn(&LeaseKey<H>, &Lease) -> bool,
         dispatcher: &mut Dispatcher<S>,
         now: Timestamp,
     ) {
-        let over = self.leases.extract_if(.., |key, lease| is_over(key, lease));
-        for (_, lease) in over {
-            end(lease, None, dispatcher, now);
+        let ended = self.leases.extract_if(.., |key, lease| should_end(key, lease));
+        for (_, lease) in ended {
+            end_lease(lease, None, dispatcher, now);
         }
     }
 
-    /// The dispatcher woke a ticket. Returns whom to tell, if it belongs to a lease, else
-    /// what was given is handed back.
+    /// Applies the dispatcher's decision on a waiting ticket to its lease.
+    ///
+    /// Returns the lease and the response for its holder. If no lease has this ticket, returns the
+    /// decision as an error, so that the caller can release the grant.
     pub fn resolve_ticket<S: Strategy>(
         &mut self,
         ticket: Ticket,
-        woken: Result<Grant, Refusal>,
+        decision: Result<Grant, Refusal>,
         dispatcher: &Dispatcher<S>,
         now: Timestamp,
-    ) -> Result<(LeaseKey<B>, Allocation), Result<Grant, Refusal>> {
+    ) -> Result<(LeaseKey<H>, Allocation), Result<Grant, Refusal>> {
         let is_ticket =
-            |lease: &Lease| matches!(lease.state, State::Waiting(waiting) if waiting == ticket);
+            |lease: &Lease| matches!(lease.state, LeaseState::Waiting(other) if other == ticket);
         let found = self.leases.iter_mut().find(|(_, lease)| is_ticket(lease));
         let Some((key, lease)) = found else {
-            return Err(woken);
+            return Err(decision);
         };
         let key = key.clone();
-        match woken {
+        match decision {
             Ok(grant) => {
                 let allocation = granted(dispatcher, &grant, now);
-                lease.state = State::Granted(grant);
-                lease.since = now;
+                lease.state = LeaseState::Granted(grant);
+                lease.changed_at = now;
                 Ok((key, allocation))
             }
             Err(refusal) => {
@@ -230,17 +236,17 @@
         }
     }
 
-    /// Whether a lease is out or waited for.
-    pub fn contains(&self, key: &LeaseKey<B>) -> bool {
+    /// Whether the lease is granted or waiting.
+    pub fn contains(&self, key: &LeaseKey<H>) -> bool {
         self.leases.contains_key(key)
     }
 
-    /// Leases that are out or waited for.
+    /// Returns the number of granted and waiting leases.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether there are none.
+    /// Whether no lease is granted or waiting.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
@@ -254,19 +260,20 @@
     })
 }
 
-fn end<S: Strategy>(
+fn end_lease<S: Strategy>(
     lease: Lease,
     observation: Option<Observation>,
     dispatcher: &mut Dispatcher<S>,
     now: Timestamp,
 ) {
     match lease.state {
-        State::Waiting(ticket) => {
+        LeaseState::Waiting(ticket) => {
             dispatcher.cancel(ticket);
         }
-        State::Granted(grant) => {
+        LeaseState::Granted(grant) => {
             if let Some(observation) = observation {
-                // A mark that a target is leaving is passed on by whoever saw it.
+                // The returned leaving mark is not needed: the process that observed it sends it to
+                // its peers.
                 let _ = dispatcher.learn(&grant, observation, now);
             }
             dispatcher.release(grant, now);
