--- a/crates/thymeshift_allocation/src/rank.rs
+++ b/crates/thymeshift_allocation/src/rank.rs
@@ -1,35 +1,36 @@
-//! Which part of targets' limits an allocator may grant.
+//! Share of the rate limits of targets that an allocator may grant, depending on its rank.
 //!
-//! A target's limit of requests a second is meant for all processes together, and several of them
-//! may take themselves for its allocator: whoever lost an answer of the first asks the second, and
-//! where data halls cannot reach each other, each side has a first. So the first one grants the
-//! limit, but for the part of processes that it has lost; each further one grants half as much as
-//! the one before it. Together they stay below one and a half times the limit, however the requests
-//! are spread over them.
+//! The rate limit of a target applies to all processes together, but several processes may act as
+//! its allocator at the same time: a process that loses an answer of the first allocator asks the
+//! second, and after a network partition between data halls each side has a first allocator.
+//! Therefore the first allocator grants the whole limit, reduced by the fraction of processes that
+//! it cannot reach. The second allocator grants a quarter, and each further allocator half the
+//! share of its predecessor. The sum of all shares stays below 1.5 times the limit for any
+//! distribution of requests over the allocators.
 
 use thymeshift_dispatch::RateShare;
 
-/// What the second allocator may grant; each further one grants half as much.
+/// Share of a rate limit that the second allocator may grant. The share halves with each rank.
 const SECOND_SHARE: f64 = 0.25;
 
-/// Where a process stands among those that may allocate a group.
+/// Rank of a process among the candidate allocators of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AllocatorRank {
-    /// Processes that rank before it and whose heartbeats still arrive, by whatever way.
+    /// Number of better-ranked processes whose heartbeats still arrive, directly or relayed.
     pub better_ranked: usize,
-    /// Processes whose heartbeats arrive, this one included.
+    /// Number of processes whose heartbeats still arrive, including this process.
     pub reachable: usize,
-    /// Those, and the ones that fell silent without having said that they stop.
+    /// Number of reachable processes, plus those that became silent without announcing a shutdown.
     pub known: usize,
 }
 
 impl AllocatorRank {
-    /// The part of targets' limits that it may grant.
+    /// Returns the share of each target's rate limit that the process may grant.
     pub fn rate_share(self) -> RateShare {
-        let rank_part = match self.better_ranked {
+        let rank_share = match self.better_ranked {
             0 => 1.0,
-            before => 2.0 * SECOND_SHARE * (-(before as f64)).exp2(),
+            better_ranked => 2.0 * SECOND_SHARE * (-(better_ranked as f64)).exp2(),
         };
-        RateShare::new(rank_part * self.reachable as f64 / self.known.max(1) as f64)
+        RateShare::new(rank_share * self.reachable as f64 / self.known.max(1) as f64)
     }
 }
