--- a/crates/thymeshift_allocation/src/group.rs
+++ b/crates/thymeshift_allocation/src/group.rs
@@ -1,12 +1,14 @@
-//! How a service's targets are divided among allocators.
+//! Division of a service's targets into groups, each with its own allocator.
 //!
-//! One allocator for all targets of a service decides best, and costs the least while there
-//! are few. With many targets it would have to hear of every request of the fleet, and most
-//! requests would go to another data hall. So a service that has many targets in each hall
-//! is divided by hall: each hall has an allocator of its own, and a request goes to another
-//! hall only if the own one has no room. The rule depends on the discovered targets alone,
-//! so that processes with the same documents divide alike; if they differ for a moment, two
-//! allocators count the same target, which load reports bring to light.
+//! A single allocator for all targets of a service makes the best decisions, and is the cheapest
+//! option while there are few targets. With many targets, that allocator would handle a message for
+//! every request of the fleet, and most requests would cross to another data hall. A service with
+//! many targets in each hall is therefore divided by hall: each hall has its own allocator, and a
+//! request leaves its hall only if the group of the hall has no headroom.
+//!
+//! The division depends only on the discovered targets, so that processes with the same documents
+//! compute the same groups. While processes have different documents, two allocators may count the
+//! same target; the load reports of the target then show the excess.
 
 use std::collections::BTreeMap;
 
@@ -17,27 +19,27 @@
 use thymeshift_config::TargetState;
 use thymeshift_types::DataHallName;
 
-/// Targets in each hall, in the mean, from which on a service is divided by hall.
+/// Minimum average number of targets per hall at which a service is divided by hall.
 const TARGETS_PER_HALL_MIN: usize = 8;
 
-/// Targets of a service that one process allocates.
+/// Group of targets of one service that share an allocator.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 pub enum Group {
-    /// All of them.
+    /// All targets of the service.
     #[display("all")]
     All,
-    /// Those of one data hall.
+    /// All targets in one data hall.
     #[display("{_0}")]
     Hall(DataHallName),
 }
 
 impl Group {
-    /// Whether it holds the targets of this data hall alone.
+    /// Whether this is the group of this data hall.
     pub fn is_of_hall(&self, hall: &DataHallName) -> bool {
         matches!(self, Self::Hall(own) if own == hall)
     }
 
-    /// Whether a target belongs to it.
+    /// Whether a target belongs to the group.
     pub fn contains(&self, target: &Target) -> bool {
         match self {
             Self::All => true,
@@ -46,16 +48,16 @@
     }
 }
 
-/// The groups of one service.
+/// Division of one service's targets into groups.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grouping {
-    /// With the number of targets in each.
+    /// Groups, each with its number of targets.
     groups: Vec<(Group, usize)>,
 }
 
 impl Grouping {
-    /// How `targets`, all of one service, are divided. Those of drained data halls are in no
-    /// group: their callers' requests go to the other halls.
+    /// Divides `targets`, which all belong to one service, into groups. Targets in drained data
+    /// halls are in no group: requests from these halls are routed to the other halls.
     pub fn of(targets: &[Target], is_drained: impl Fn(&DataHallName) -> bool) -> Self {
         let mut halls: BTreeMap<&DataHallName, usize> = BTreeMap::new();
         let is_used = |target: &&Target| {
@@ -72,42 +74,43 @@
         Self { groups: groups.collect() }
     }
 
-    /// The group to which requests from `hall` go first. From a hall without targets they
-    /// are spread over all groups by their sizes; `draw` decides.
+    /// Returns the preferred group of requests from `hall`. If the hall has no group, returns a
+    /// group picked by the random number `draw`, weighted by number of targets.
     pub fn preferred_group(&self, hall: &DataHallName, draw: u64) -> &Group {
         let own = self.groups.iter().find(|(group, _)| group.is_of_hall(hall));
-        let (group, _) = own.unwrap_or_else(|| self.drawn(draw));
+        let (group, _) = own.unwrap_or_else(|| self.weighted_pick(draw));
         group
     }
 
-    /// A group other than `group`, spread by their sizes; none if there is no other.
+    /// Returns a group other than `group`, picked by the random number `draw` and weighted by
+    /// number of targets. Returns `None` if there is no other group.
     pub fn alternative_group(&self, group: &Group, draw: u64) -> Option<&Group> {
         let others = self.groups.iter().filter(|(other, _)| other != group).cloned().collect();
         let others = Self { groups: others };
         if others.groups.is_empty() {
             return None;
         }
-        let (drawn, _) = others.drawn(draw);
-        self.iter().find(|group| *group == drawn)
+        let (picked, _) = others.weighted_pick(draw);
+        self.iter().find(|group| *group == picked)
     }
 
-    fn drawn(&self, draw: u64) -> &(Group, usize) {
+    fn weighted_pick(&self, draw: u64) -> &(Group, usize) {
         let total: usize = self.groups.iter().map(|(_, count)| count).sum();
-        let mut left = draw % (total.max(1) as u64);
-        let is_drawn = |(_, count): &&(Group, usize)| {
-            let is_here = left < *count as u64;
-            left = left.saturating_sub(*count as u64);
-            is_here
+        let mut remaining = draw % (total.max(1) as u64);
+        let is_picked = |(_, count): &&(Group, usize)| {
+            let is_in_group = remaining < *count as u64;
+            remaining = remaining.saturating_sub(*count as u64);
+            is_in_group
         };
-        self.groups.iter().find(is_drawn).unwrap_or(&self.groups[0])
+        self.groups.iter().find(is_picked).unwrap_or(&self.groups[0])
     }
 
-    /// All groups.
+    /// Returns all groups of the service.
     pub fn iter(&self) -> impl Iterator<Item = &Group> {
         self.groups.iter().map(|(group, _)| group)
     }
 
-    /// Whether there is more than one group.
+    /// Whether the service has more than one group.
     pub fn is_divided(&self) -> bool {
         self.groups.len() > 1
     }
