--- a/crates/thymeshift_organisations/src/lib.rs
+++ b/crates/thymeshift_organisations/src/lib.rs
@@ -1,24 +1,26 @@
-//! Organisations: whose key a request carries, and how many requests each may send.
+//! Organisations: ownership of API keys, and a request quota per organisation.
 //!
-//! * [`KeyRing`]: the organisation that holds a key.
-//! * [`QuotaCounter`] and [`QuotaHolder`]: the limit of an organisation over all processes.
+//! * [`KeyRing`] finds the organisation that owns a key.
+//! * [`QuotaCounter`] and [`QuotaHolder`] enforce the quota of an organisation over all processes.
 //!
-//! # The limit over all processes
+//! # Quota enforcement over all processes
 //!
-//! One process counts an organisation's requests; every process ranks the same members for it, so
-//! that no agreement is needed. The others hold *tokens* of it, one for each request that they
-//! admit. They ask for a few at a time, as many as arrived lately in [`BATCH_DURATION`], so that the
-//! messages follow the requests and never exceed them.
+//! One process, the counter, counts all requests of an organisation. Every process ranks the same
+//! members for this task, so that no agreement protocol is needed. The other processes hold
+//! *tokens* of the organisation and spend one token per admitted request. They request tokens in
+//! batches that cover the demand of [`BATCH_DURATION`], so that there are never more messages than
+//! requests.
 //!
-//! What must hold is that too many are never admitted, whatever each process believes:
+//! The quota must not be exceeded, even if processes disagree about which process is the counter:
 //!
-//! * Tokens lapse after [`TOKEN_TTL`], so that what was handed out before a counter was lost
-//!   is soon spent or void.
-//! * A counter that begins has hardly any tokens: another one may just have handed out all.
-//! * A process that reaches no counter admits what it was told to be its part: the limit divided
-//!   by demand. The counter withholds that part once a process whose requests came regularly
-//!   falls silent.
-//! * One that was told nothing admits the limit divided by the number of VMs.
+//! * Tokens expire after [`TOKEN_TTL`], so that the tokens of a lost counter are soon spent or
+//!   void.
+//! * A new counter starts with few tokens, because another counter may just have granted all
+//!   tokens.
+//! * A process that reaches no counter admits the share that the last counter assigned to it: the
+//!   limit, divided in proportion to demand. The counter withholds this share from other processes
+//!   while the process is silent although its requests arrived regularly before.
+//! * A process without an assigned share admits the limit divided by the number of VMs.
 
 mod counter;
 mod demand;
