--- a/crates/thymeshift_organisations/src/counter.rs
+++ b/crates/thymeshift_organisations/src/counter.rs
@@ -1,11 +1,12 @@
-//! Counting an organisation's requests for all processes.
+//! Counter of an organisation's requests over all processes.
 //!
-//! What it does: hands out tokens at the rate of the limit, and tells each process the part of the
-//! limit that is its own should it reach no counter.
+//! The counter grants tokens at the rate of the quota. It also assigns each process its own share
+//! of the quota, which the process admits while it reaches no counter.
 //!
-//! Load pattern: one organisation sends many times its usual, by a few callers that sit on a few
-//! processes; meanwhile processes are cut off, killed and replaced. Parts that are equal would
-//! refuse what is within the limit: eleven callers on 117 processes use 11 parts of 117.
+//! The design covers an organisation that sends many times its usual load from a few callers that
+//! are connected to a few processes, while processes are partitioned, killed and replaced. Equal
+//! shares would refuse requests within the quota: 11 callers connected to 11 of 117 processes could
+//! use only 11/117 of the quota.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,90 +17,92 @@
 use crate::limit::QuotaLimit;
 use crate::token_bucket::TokenBucket;
 
-/// How long tokens may be used after they were handed out: longer than a batch lasts, and so short
-/// that what a lost counter handed out adds at most a tenth to a window of five seconds.
+/// Time for which granted tokens are valid. The value is longer than a batch lasts, and short
+/// enough that tokens granted by a lost counter add at most 10% to the requests in a 5 s window.
 pub const TOKEN_TTL: Duration = Duration::from_millis(500);
-/// Tokens with which a counter begins, as seconds of the rate: another one may have handed out
-/// all until this moment.
-const FRESH_LEVEL_S: f64 = 0.25;
-/// Over how long the demand of a process is measured.
-const DEMAND_MEMORY: Duration = Duration::from_secs(5);
-/// Memory of the demand of all processes that arrives now, and over how long its peak is forgotten.
-/// Only what is missing from the peak may be admitted elsewhere; callers that have moved to other
-/// processes are not missing.
-const NOW_MEMORY: Duration = Duration::from_secs(1);
-const PEAK_MEMORY: Duration = Duration::from_secs(20);
-/// Time between two looks at the parts of all processes.
-const PARTS_EVERY: Duration = Duration::from_millis(250);
-/// A process is silent if nothing was heard for this long, and for so many usual gaps between its
-/// requests: then it may be cut off, and admit its part by itself. It is not silent any more once
-/// its demand of before is nearly forgotten.
+/// Initial number of tokens of a counter, in seconds of the rate. The value is small because
+/// another counter may have granted all tokens until now.
+const INITIAL_LEVEL_S: f64 = 0.25;
+/// Time constant of the demand estimate of one process.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(5);
+/// Time constants of the current total demand, and of the decay of its peak.
+///
+/// Silent processes can admit at most the demand that is missing from the peak. Demand of callers
+/// that have moved to other processes is not missing.
+const CURRENT_DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
+const PEAK_TIME_CONSTANT: Duration = Duration::from_secs(20);
+/// Interval between two updates of the total demand and the withheld share.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum silence, as a duration and in average gaps between requests, after which a process
+/// counts as silent. A silent process may be partitioned and admit its own share. It no longer
+/// counts as silent once its demand estimate has decayed to almost zero.
 const SILENT_AFTER: Duration = Duration::from_millis(600);
 const SILENT_AFTER_GAPS: f64 = 3.0;
-/// A process whose demand was below this part of all is forgotten.
-const FORGOTTEN_BELOW: f64 = 0.001;
-/// Shortest and longest time after which a refused caller is told to come back.
+/// Share of the total demand below which a process is removed from the counter.
+const DEMAND_SHARE_MIN: f64 = 0.001;
+/// Minimum and maximum retry time for callers whose requests are refused.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
-/// What a process asks.
+/// Token request of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenRequest {
-    /// Counted by the process.
+    /// Request number, assigned by the process.
     pub number: u64,
-    /// Tokens wanted.
+    /// Number of tokens requested.
     pub wanted: u32,
-    /// Requests that arrived since the last question.
+    /// Number of requests that arrived at the process since its last token request.
     pub arrived: u32,
 }
 
-/// What a counter answers.
+/// Response of the counter to a token request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenGrant {
-    /// Tokens handed out.
+    /// Number of tokens granted.
     pub tokens: u32,
-    /// When there are tokens again, if there was none.
+    /// Time until tokens are available again if `tokens` is zero, otherwise zero.
     pub retry_after: Duration,
-    /// The part of the limit that is the asking process's own, in requests a second; none while
-    /// the counter is too young to know the demand of all.
+    /// Own share of the quota for the requesting process, in requests per second. `None` while the
+    /// counter has not run long enough to know the total demand.
     pub own_rate_per_s: Option<f64>,
 }
 
-/// A process that asked.
+/// Process that has requested tokens.
 #[derive(Debug)]
 struct Holder {
     demand: Demand,
-    /// Its last question, and the answer.
+    /// Number of the last token request, and the response to it.
     last: Option<(u64, TokenGrant)>,
-    /// The part of the limit that it was told to be its own.
-    own_part: f64,
+    /// Share of the quota assigned to the process, from 0 to 1.
+    own_share: f64,
 }
 
-/// Counts one organisation's requests.
+/// Counter of one organisation's requests.
 #[derive(Debug)]
 pub struct QuotaCounter<H> {
     limit: QuotaLimit,
     bucket: TokenBucket,
     holders: BTreeMap<H, Holder>,
-    /// Demand of all processes, in requests a second.
+    /// Demand of all processes, in requests per second.
     demand_per_s: f64,
-    /// Part of the limit that this counter may hand out: others may take themselves for it.
+    /// Share of the quota that this counter may grant. It is below 1 if other processes may act as
+    /// the counter too.
     share: f64,
-    /// Part of the limit that silent processes may use by themselves.
+    /// Share of the quota withheld for silent processes, which may admit it on their own.
     withheld: f64,
-    looked_at: Timestamp,
-    began_at: Timestamp,
-    /// Requests refused lately.
-    refused: Demand,
-    /// Demand of all processes now, and its peak.
-    now_all: Demand,
+    updated_at: Timestamp,
+    created_at: Timestamp,
+    /// Recent rate of token requests that got no tokens.
+    refusals: Demand,
+    /// Current demand of all processes, and its decaying peak in requests per second.
+    current_demand: Demand,
     peak_per_s: f64,
 }
 
 impl<H: Ord + Clone> QuotaCounter<H> {
-    /// A counter that begins now.
+    /// Creates a counter that starts now.
     pub fn new(limit: QuotaLimit, now: Timestamp) -> Self {
-        let level = limit.rate_per_s * FRESH_LEVEL_S;
+        let level = limit.rate_per_s * INITIAL_LEVEL_S;
         Self {
             limit,
             bucket: TokenBucket::new(limit.rate_per_s, limit.burst, level, now),
@@ -107,15 +110,15 @@
             demand_per_s: 0.0,
             share: 1.0,
             withheld: 0.0,
-            looked_at: now,
-            began_at: now,
-            refused: Demand::new(NOW_MEMORY, now),
-            now_all: Demand::new(NOW_MEMORY, now),
+            updated_at: now,
+            created_at: now,
+            refusals: Demand::new(CURRENT_DEMAND_TIME_CONSTANT, now),
+            current_demand: Demand::new(CURRENT_DEMAND_TIME_CONSTANT, now),
             peak_per_s: 0.0,
         }
     }
 
-    /// Another limit holds from now on.
+    /// Changes the quota from `now` on.
     pub fn set_limit(&mut self, limit: QuotaLimit, now: Timestamp) {
         if self.limit != limit {
             self.limit = limit;
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Says which part of the limit this counter may hand out, from 0 to 1.
+    /// Sets the share of the quota that this counter may grant, from 0 to 1.
     pub fn set_share(&mut self, share: f64, now: Timestamp) {
         if (self.share - share).abs() > f64::EPSILON {
             self.share = share;
@@ -131,37 +134,47 @@
         }
     }
 
-    /// A process wants tokens. A question that arrives twice is answered twice and counted once.
-    pub fn grant_tokens(&mut self, holder: &H, asked: TokenRequest, now: Timestamp) -> TokenGrant {
-        let new = || Holder { demand: Demand::new(DEMAND_MEMORY, now), last: None, own_part: 0.0 };
+    /// Handles a token request of a process. A duplicate request gets the same response and is
+    /// counted once.
+    pub fn grant_tokens(
+        &mut self,
+        holder: &H,
+        request: TokenRequest,
+        now: Timestamp,
+    ) -> TokenGrant {
+        let new = || Holder {
+            demand: Demand::new(DEMAND_TIME_CONSTANT, now),
+            last: None,
+            own_share: 0.0,
+        };
         let known = self.holders.entry(holder.clone()).or_insert_with(new);
-        if let Some((_, counted)) = known.last.filter(|(number, _)| *number == asked.number) {
-            return counted;
+        if let Some((_, grant)) = known.last.filter(|(number, _)| *number == request.number) {
+            return grant;
         }
-        known.demand.add(asked.arrived, now);
-        // Until the next look at all of them.
-        self.demand_per_s += f64::from(asked.arrived) / DEMAND_MEMORY.as_secs_f64();
-        self.now_all.add(asked.arrived, now);
+        known.demand.add(request.arrived, now);
+        // An approximation until the next update sums the demand of all processes.
+        self.demand_per_s += f64::from(request.arrived) / DEMAND_TIME_CONSTANT.as_secs_f64();
+        self.current_demand.add(request.arrived, now);
         let holder_per_s = known.demand.per_s(now);
-        let counted = self.hand_out(asked.wanted, holder_per_s, now);
+        let grant = self.grant(request.wanted, holder_per_s, now);
         if let Some(known) = self.holders.get_mut(holder) {
-            known.last = Some((asked.number, counted));
-            let own_rate_per_s = counted.own_rate_per_s.unwrap_or_default();
-            known.own_part = own_rate_per_s / self.limit.rate_per_s;
+            known.last = Some((request.number, grant));
+            let own_rate_per_s = grant.own_rate_per_s.unwrap_or_default();
+            known.own_share = own_rate_per_s / self.limit.rate_per_s;
         }
-        counted
+        grant
     }
 
-    fn hand_out(&mut self, wanted: u32, holder_per_s: f64, now: Timestamp) -> TokenGrant {
-        if now.since(self.looked_at) >= PARTS_EVERY {
-            self.look(now);
+    fn grant(&mut self, wanted: u32, holder_per_s: f64, now: Timestamp) -> TokenGrant {
+        if now.since(self.updated_at) >= UPDATE_INTERVAL {
+            self.update(now);
         }
         let tokens = self.bucket.take(wanted, now);
         if tokens == 0 {
-            self.refused.add(1, now);
+            self.refusals.add(1, now);
         }
         let share = holder_per_s / self.demand_per_s.max(holder_per_s).max(f64::MIN_POSITIVE);
-        let knows_demand = now.since(self.began_at) >= DEMAND_MEMORY;
+        let knows_demand = now.since(self.created_at) >= DEMAND_TIME_CONSTANT;
         TokenGrant {
             tokens,
             retry_after: if tokens == 0 { self.retry_after(now) } else { Duration::ZERO },
@@ -169,41 +182,44 @@
         }
     }
 
-    /// Requests a second that arrive at all processes.
+    /// Returns the demand of all processes, in requests per second.
     pub fn demand_per_s(&self) -> f64 {
         self.demand_per_s
     }
 
-    /// Tokens there are now.
+    /// Returns the number of tokens that can be granted now.
     pub fn level(&mut self, now: Timestamp) -> f64 {
         self.bucket.level(now)
     }
 
-    /// Tokens come for those who are refused one after the other.
+    /// Returns the retry time of a refused request. Refused callers get tokens one after the other,
+    /// so that the time grows with the recent refusal rate.
     fn retry_after(&self, now: Timestamp) -> Duration {
-        let ahead = 1.0 + self.refused.per_s(now) / 2.0;
-        self.bucket.time_to(ahead).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
+        let tokens_needed = 1.0 + self.refusals.per_s(now) / 2.0;
+        self.bucket.time_to(tokens_needed).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 
-    fn look(&mut self, now: Timestamp) {
-        let passed = now.since(self.looked_at).as_secs_f64() / PEAK_MEMORY.as_secs_f64();
-        self.looked_at = now;
-        self.peak_per_s = self.now_all.per_s(now).max(self.peak_per_s * (-passed).exp());
-        let all: f64 = self.holders.values().map(|known| known.demand.per_s(now)).sum();
-        self.holders.retain(|_, known| known.demand.per_s(now) >= all * FORGOTTEN_BELOW);
+    /// Updates the total demand, its peak and the withheld share, and removes processes whose
+    /// demand has decayed.
+    fn update(&mut self, now: Timestamp) {
+        let passed = now.since(self.updated_at).as_secs_f64() / PEAK_TIME_CONSTANT.as_secs_f64();
+        self.updated_at = now;
+        self.peak_per_s = self.current_demand.per_s(now).max(self.peak_per_s * (-passed).exp());
+        let total_per_s: f64 = self.holders.values().map(|known| known.demand.per_s(now)).sum();
+        self.holders.retain(|_, known| known.demand.per_s(now) >= total_per_s * DEMAND_SHARE_MIN);
         let silent = self.holders.values().filter(|known| is_silent(&known.demand, now));
-        let withheld: f64 = silent.map(|known| known.own_part).sum();
-        self.demand_per_s = all;
-        self.withheld = withheld.min(self.missing(now));
+        let withheld: f64 = silent.map(|known| known.own_share).sum();
+        self.demand_per_s = total_per_s;
+        self.withheld = withheld.min(self.missing_share(now));
         self.set_rate(now);
     }
 
-    /// The part of the peak of demand that does not arrive now, from 0 to 1.
-    fn missing(&self, now: Timestamp) -> f64 {
+    /// Returns the share of the peak demand that is currently missing, from 0 to 1.
+    fn missing_share(&self, now: Timestamp) -> f64 {
         if self.peak_per_s <= 0.0 {
             return 0.0;
         }
-        (1.0 - self.now_all.per_s(now) / self.peak_per_s).max(0.0)
+        (1.0 - self.current_demand.per_s(now) / self.peak_per_s).max(0.0)
     }
 
     fn set_rate(&mut self, now: Timestamp) {
