--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -1,4 +1,4 @@
-//! Admitting an organisation's requests at one process, by tokens of the process that counts.
+//! Admission of an organisation's requests at one process, with tokens granted by the counter.
 
 use std::time::Duration;
 
@@ -10,173 +10,176 @@
 use crate::limit::QuotaLimit;
 use crate::token_bucket::TokenBucket;
 
-/// A process asks for as many tokens as it needs for this long.
+/// Period whose expected demand one batch of tokens covers.
 pub const BATCH_DURATION: Duration = Duration::from_millis(200);
-/// Most tokens asked for at a time.
+/// Maximum number of tokens requested in one batch.
 const BATCH_MAX: u32 = 1_000;
-/// Over how long the demand is measured that the batch follows.
-const DEMAND_MEMORY: Duration = Duration::from_secs(1);
-/// Time after which a question counts as unanswered, should whoever asked it have left.
-const ASKED_FOR_MAX: Duration = Duration::from_millis(250);
-/// How long requests are refused without a question, after the counter had no tokens.
-const REFUSED_FOR: Duration = Duration::from_millis(50);
-/// How long a process that found no counter admits by itself before it asks again.
-const ALONE_FOR: Duration = Duration::from_millis(500);
-/// What a process keeps of its own part after a rest, in seconds of its rate.
+/// Time constant of the demand estimate that determines the batch size.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Time after which a token request counts as unanswered, in case the request task that sent it was
+/// cancelled and does not handle the response.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// Period after a grant without tokens in which requests are refused without asking the counter.
+const REFUSAL_DURATION: Duration = Duration::from_millis(50);
+/// Period in which a process that reached no counter admits its own share before it asks again.
+const FALLBACK_DURATION: Duration = Duration::from_millis(500);
+/// Burst of the own share in fallback, in seconds of its rate.
 const OWN_BURST_S: f64 = 0.25;
 
-/// What holds for a request that arrives.
+/// Admission decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is admitted.
+    /// The request is admitted.
     Admitted,
-    /// It is beyond the limit; its caller may come back after this time.
+    /// The request exceeds the quota; the caller may retry after this time.
     Refused(Duration),
-    /// The counter is to be asked for `wanted` tokens, and told of `arrived` requests.
+    /// The process holds no tokens and must request tokens from the counter.
     Ask {
-        /// Tokens wanted.
+        /// Number of tokens to request.
         wanted: u32,
-        /// Requests that arrived since the last question.
+        /// Number of requests that arrived since the last token request.
         arrived: u32,
     },
-    /// Another request has asked, and waits for the answer.
+    /// A token request is already in flight; the decision depends on its response.
     AnswerPending,
 }
 
-/// The counter had no tokens.
+/// State after a grant without tokens.
 #[derive(Debug, Clone, Copy)]
-struct Refused {
-    /// Until when it is not asked again.
+struct Refusal {
+    /// End of the period in which requests are refused without asking the counter.
     until: Timestamp,
-    /// When callers may come back.
+    /// Time at which callers may retry.
     retry_at: Timestamp,
 }
 
-/// The tokens of one organisation at one process.
+/// Tokens of one organisation at one process.
 #[derive(Debug)]
 pub struct QuotaHolder {
     limit: QuotaLimit,
     tokens: u32,
-    tokens_end: Timestamp,
-    refused: Option<Refused>,
+    tokens_expire_at: Timestamp,
+    refusal: Option<Refusal>,
     asked_at: Option<Timestamp>,
-    /// Until when no counter is asked.
-    alone_until: Option<Timestamp>,
-    /// What this process admits while it reaches no counter.
-    own: TokenBucket,
+    /// End of the fallback period, in which no counter is asked.
+    fallback_until: Option<Timestamp>,
+    /// Own share of the quota, admitted while no counter is reachable.
+    own_share: TokenBucket,
     demand: Demand,
+    /// Arrivals that are not yet reported to the counter.
     arrived: u32,
 }
 
 impl QuotaHolder {
-    /// A process without tokens; at most `vms_max` admit by themselves at a time.
+    /// Creates a holder without tokens. Until the counter assigns a share, the own share is the
+    /// limit divided by `vms_max`.
     pub fn new(limit: QuotaLimit, vms_max: u64, now: Timestamp) -> Self {
         let own_rate_per_s = limit.rate_per_s / vms_max.max(1) as f64;
         Self {
             limit,
             tokens: 0,
-            tokens_end: now,
-            refused: None,
+            tokens_expire_at: now,
+            refusal: None,
             asked_at: None,
-            alone_until: None,
-            own: TokenBucket::new(own_rate_per_s, 1.0, 1.0, now),
-            demand: Demand::new(DEMAND_MEMORY, now),
+            fallback_until: None,
+            own_share: TokenBucket::new(own_rate_per_s, 1.0, 1.0, now),
+            demand: Demand::new(DEMAND_TIME_CONSTANT, now),
             arrived: 0,
         }
     }
 
-    /// Another limit holds from now on.
+    /// Changes the quota, and scales the own share with it.
     pub fn set_limit(&mut self, limit: QuotaLimit, now: Timestamp) {
         if self.limit == limit {
             return;
         }
         let ratio = limit.rate_per_s / self.limit.rate_per_s;
         self.limit = limit;
-        self.set_own_rate(self.own.rate_per_s() * ratio, now);
-        self.refused = None;
+        self.set_own_share_rate(self.own_share.rate_per_s() * ratio, now);
+        self.refusal = None;
     }
 
-    /// A request arrives; to be told once for each.
+    /// Records the arrival of a request. Must be called once per request.
     pub fn record_arrival(&mut self, now: Timestamp) {
         self.demand.add(1, now);
         self.arrived = self.arrived.saturating_add(1);
     }
 
-    /// Whether a request that has arrived may pass now.
+    /// Decides whether a recorded request is admitted now.
     pub fn admit(&mut self, now: Timestamp) -> Admission {
-        if now >= self.tokens_end {
+        if now >= self.tokens_expire_at {
             self.tokens = 0;
         }
         if self.tokens > 0 {
             self.tokens -= 1;
             return Admission::Admitted;
         }
-        if self.alone_until.is_some_and(|until| now < until) {
-            return self.pass_alone(now);
+        if self.fallback_until.is_some_and(|until| now < until) {
+            return self.admit_in_fallback(now);
         }
-        if let Some(refused) = self.refused.filter(|refused| now < refused.until) {
-            return Admission::Refused(now.until(refused.retry_at));
+        if let Some(refusal) = self.refusal.filter(|refusal| now < refusal.until) {
+            return Admission::Refused(now.until(refusal.retry_at));
         }
-        if self.asked_at.is_some_and(|at| now.since(at) < ASKED_FOR_MAX) {
+        if self.asked_at.is_some_and(|at| now.since(at) < ANSWER_TIMEOUT) {
             return Admission::AnswerPending;
         }
         self.asked_at = Some(now);
-        Admission::Ask { wanted: self.batch(now), arrived: std::mem::take(&mut self.arrived) }
+        Admission::Ask { wanted: self.batch_size(now), arrived: std::mem::take(&mut self.arrived) }
     }
 
-    /// The counter answered.
-    pub fn apply_grant(&mut self, counted: &TokenGrant, now: Timestamp) {
+    /// Applies a response of the counter.
+    pub fn apply_grant(&mut self, grant: &TokenGrant, now: Timestamp) {
         self.asked_at = None;
-        self.alone_until = None;
-        if let Some(rate_per_s) = counted.own_rate_per_s {
-            self.set_own_rate(rate_per_s, now);
+        self.fallback_until = None;
+        if let Some(rate_per_s) = grant.own_rate_per_s {
+            self.set_own_share_rate(rate_per_s, now);
         }
-        if counted.tokens > 0 {
-            self.tokens = counted.tokens;
-            self.tokens_end = now + TOKEN_TTL;
-            self.refused = None;
+        if grant.tokens > 0 {
+            self.tokens = grant.tokens;
+            self.tokens_expire_at = now + TOKEN_TTL;
+            self.refusal = None;
         } else {
-            let until = now + REFUSED_FOR.min(counted.retry_after);
-            self.refused = Some(Refused { until, retry_at: now + counted.retry_after });
+            let until = now + REFUSAL_DURATION.min(grant.retry_after);
+            self.refusal = Some(Refusal { until, retry_at: now + grant.retry_after });
         }
     }
 
-    /// No counter answered.
+    /// Starts the fallback period, because no counter has responded.
     pub fn start_fallback(&mut self, now: Timestamp) {
         self.asked_at = None;
-        self.alone_until = Some(now + ALONE_FOR);
+        self.fallback_until = Some(now + FALLBACK_DURATION);
     }
 
-    /// A request that was admitted has provably not run.
+    /// Returns the token of an admitted request that was not executed.
     pub fn return_token(&mut self, now: Timestamp) {
-        if now < self.tokens_end {
+        if now < self.tokens_expire_at {
             self.tokens += 1;
         }
     }
 
-    /// Tokens held now.
+    /// Returns the number of unexpired tokens.
     pub fn tokens(&self, now: Timestamp) -> u32 {
-        if now < self.tokens_end { self.tokens } else { 0 }
+        if now < self.tokens_expire_at { self.tokens } else { 0 }
     }
 
-    /// Requests a second that arrive here.
+    /// Returns the recent arrival rate at this process, in requests per second.
     pub fn demand_per_s(&self, now: Timestamp) -> f64 {
         self.demand.per_s(now)
     }
 
-    fn pass_alone(&mut self, now: Timestamp) -> Admission {
-        match self.own.take(1, now) {
-            0 => Admission::Refused(self.own.time_to(1.0)),
+    fn admit_in_fallback(&mut self, now: Timestamp) -> Admission {
+        match self.own_share.take(1, now) {
+            0 => Admission::Refused(self.own_share.time_to(1.0)),
             _ => Admission::Admitted,
         }
     }
 
-    fn batch(&self, now: Timestamp) -> u32 {
+    fn batch_size(&self, now: Timestamp) -> u32 {
         let expected = self.demand.per_s(now) * BATCH_DURATION.as_secs_f64();
         (expected.ceil() as u32).clamp(1, BATCH_MAX)
     }
 
-    fn set_own_rate(&mut self, rate_per_s: f64, now: Timestamp) {
-        self.own.set_limit(rate_per_s, (rate_per_s * OWN_BURST_S).max(1.0), now);
+    fn set_own_share_rate(&mut self, rate_per_s: f64, now: Timestamp) {
+        self.own_share.set_limit(rate_per_s, (rate_per_s * OWN_BURST_S).max(1.0), now);
     }
 }
