--- a/crates/thymeshift_organisations/src/key_ring.rs
+++ b/crates/thymeshift_organisations/src/key_ring.rs
@@ -1,4 +1,4 @@
-//! Which organisation holds a key.
+//! Lookup of the organisation that owns an API key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,34 +6,35 @@
 use thymeshift_config::Organisation;
 use thymeshift_types::KeyDigest;
 
-/// The keys of all organisations.
+/// API key digests of all organisations.
 #[derive(Debug, Default)]
 pub struct KeyRing {
     organisations: Arc<[Organisation]>,
-    /// Places in `organisations`.
-    holders: HashMap<KeyDigest, usize>,
+    /// Index in `organisations` of the owner of each key.
+    owners: HashMap<KeyDigest, usize>,
 }
 
 impl KeyRing {
-    /// The keys of these organisations, which were checked: no two hold the same.
+    /// Creates the key ring of `organisations`. The configuration has been validated, so that no
+    /// key belongs to two organisations.
     pub fn new(organisations: Arc<[Organisation]>) -> Self {
-        let holders = organisations.iter().enumerate().flat_map(|(index, organisation)| {
+        let owners = organisations.iter().enumerate().flat_map(|(index, organisation)| {
             organisation.key_digests.iter().map(move |digest| (*digest, index))
         });
-        Self { holders: holders.collect(), organisations }
+        Self { owners: owners.collect(), organisations }
     }
 
-    /// Whether requests need no key: there are no organisations.
+    /// Whether requests without a key are accepted, because no organisation is configured.
     pub fn allows_anonymous(&self) -> bool {
         self.organisations.is_empty()
     }
 
-    /// The organisation that holds a key.
+    /// Returns the organisation that owns the key with this digest.
     pub fn owner(&self, digest: &KeyDigest) -> Option<&Organisation> {
-        self.organisations.get(*self.holders.get(digest)?)
+        self.organisations.get(*self.owners.get(digest)?)
     }
 
-    /// All organisations.
+    /// Returns all organisations of the configuration.
     pub fn organisations(&self) -> &Arc<[Organisation]> {
         &self.organisations
     }
--- a/crates/thymeshift_organisations/src/limit.rs
+++ b/crates/thymeshift_organisations/src/limit.rs
@@ -1,22 +1,22 @@
-//! How many requests an organisation may send.
+//! Request quota of an organisation.
 
 use thymeshift_config::Organisation;
 
-/// Burst of an organisation that states none, as seconds of its rate: requests of many callers
-/// never arrive evenly.
+/// Default burst of an organisation, in seconds of its rate. Requests of many callers arrive
+/// unevenly, so that a quota without a burst would refuse requests within the limit.
 const DEFAULT_BURST_S: f64 = 0.25;
 
-/// The limit of one organisation over all processes.
+/// Request quota of one organisation over all processes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaLimit {
-    /// Requests a second.
+    /// Sustained rate in requests per second.
     pub rate_per_s: f64,
-    /// Requests beyond the rate after a rest.
+    /// Maximum number of requests admitted at once after an idle period.
     pub burst: f64,
 }
 
 impl QuotaLimit {
-    /// The limit of an organisation; none if it has none.
+    /// Returns the quota configured for an organisation, or `None` if its requests are unlimited.
     pub fn of(organisation: &Organisation) -> Option<Self> {
         let rate_per_s = organisation.rate_per_s?.in_1000_s() as f64 / 1_000.0;
         let burst = match organisation.burst {
--- a/crates/thymeshift_organisations/src/token_bucket.rs
+++ b/crates/thymeshift_organisations/src/token_bucket.rs
@@ -1,63 +1,63 @@
-//! Tokens that come at a rate and are kept up to a number.
+//! Token bucket with a refill rate and a capacity.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Longest time for which the next token is said to take.
-const LONGEST_WAIT: Duration = Duration::from_mins(1);
+/// Upper bound of the reported time until the next tokens.
+const WAIT_MAX: Duration = Duration::from_mins(1);
 
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
     rate_per_s: f64,
-    most: f64,
+    capacity: f64,
     level: f64,
-    filled_at: Timestamp,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `level` tokens of `most`.
-    pub(crate) fn new(rate_per_s: f64, most: f64, level: f64, now: Timestamp) -> Self {
-        Self { rate_per_s, most, level: level.min(most), filled_at: now }
+    /// Creates a bucket with `level` tokens and a capacity of `capacity` tokens.
+    pub(crate) fn new(rate_per_s: f64, capacity: f64, level: f64, now: Timestamp) -> Self {
+        Self { rate_per_s, capacity, level: level.min(capacity), refilled_at: now }
     }
 
-    /// From now on tokens come at another rate and are kept up to another number.
-    pub(crate) fn set_limit(&mut self, rate_per_s: f64, most: f64, now: Timestamp) {
-        self.fill(now);
+    /// Changes the refill rate and the capacity from `now` on.
+    pub(crate) fn set_limit(&mut self, rate_per_s: f64, capacity: f64, now: Timestamp) {
+        self.refill(now);
         self.rate_per_s = rate_per_s;
-        self.most = most;
-        self.level = self.level.min(most);
+        self.capacity = capacity;
+        self.level = self.level.min(capacity);
     }
 
-    /// Takes as many whole tokens as there are, up to `wanted`.
+    /// Takes up to `wanted` whole tokens and returns the number taken.
     pub(crate) fn take(&mut self, wanted: u32, now: Timestamp) -> u32 {
-        self.fill(now);
+        self.refill(now);
         let taken = wanted.min(self.level as u32);
         self.level -= f64::from(taken);
         taken
     }
 
-    /// Tokens that come in a second.
+    /// Returns the refill rate in tokens per second.
     pub(crate) fn rate_per_s(&self) -> f64 {
         self.rate_per_s
     }
 
-    /// Time until there are `count` tokens.
+    /// Returns the time until the bucket holds `count` tokens, at most one minute.
     pub(crate) fn time_to(&self, count: f64) -> Duration {
         let missing = (count - self.level).max(0.0);
         let wait_s = missing / self.rate_per_s;
-        Duration::try_from_secs_f64(wait_s).unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT)
+        Duration::try_from_secs_f64(wait_s).unwrap_or(WAIT_MAX).min(WAIT_MAX)
     }
 
-    /// Tokens there are now.
+    /// Returns the number of tokens in the bucket.
     pub(crate) fn level(&mut self, now: Timestamp) -> f64 {
-        self.fill(now);
+        self.refill(now);
         self.level
     }
 
-    fn fill(&mut self, now: Timestamp) {
-        let passed_s = now.since(self.filled_at).as_secs_f64();
-        self.level = (self.level + passed_s * self.rate_per_s).min(self.most);
-        self.filled_at = now;
+    fn refill(&mut self, now: Timestamp) {
+        let passed_s = now.since(self.refilled_at).as_secs_f64();
+        self.level = (self.level + passed_s * self.rate_per_s).min(self.capacity);
+        self.refilled_at = now;
     }
 }
