--- a/crates/thymeshift_pipeline/src/head.rs
+++ b/crates/thymeshift_pipeline/src/head.rs
@@ -1,4 +1,4 @@
-//! Reading the head of a request, with the parser that hyper uses.
+//! Parsing of request heads, with the same parser as hyper.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -10,41 +10,41 @@
 use http::header;
 use http::request::Parts;
 
-/// Most headers of a request: hyper's own bound.
+/// Maximum number of headers of a request, equal to the limit of hyper.
 const HEADERS_MAX: usize = 100;
 
-/// A head that has been read.
+/// Parsed request head.
 pub(crate) struct Head {
     pub(crate) parts: Parts,
-    /// Its length with what stands before it, in bytes.
+    /// Length of the head in bytes, including empty lines before it.
     pub(crate) length: usize,
 }
 
-/// What stands at the beginning of some bytes.
-pub(crate) enum Reading {
-    Whole(Box<Head>),
-    /// More bytes are needed.
+/// Result of parsing a request head.
+pub(crate) enum HeadParse {
+    Complete(Box<Head>),
+    /// The head is incomplete; more bytes are needed.
     Partial,
-    /// No request that can be followed.
-    Other,
+    /// The bytes are not a request head that the pipeline supports.
+    Invalid,
 }
 
-/// Reads the head at the beginning of `bytes`.
-pub(crate) fn read(bytes: &[u8]) -> Reading {
+/// Parses the request head at the start of `bytes`.
+pub(crate) fn parse_head(bytes: &[u8]) -> HeadParse {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut request = httparse::Request::new(&mut headers);
     let length = match request.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) => return Reading::Partial,
-        Err(_) => return Reading::Other,
+        Ok(httparse::Status::Partial) => return HeadParse::Partial,
+        Err(_) => return HeadParse::Invalid,
     };
-    match parts_of(&request) {
-        Some(parts) => Reading::Whole(Box::new(Head { parts, length })),
-        None => Reading::Other,
+    match to_parts(&request) {
+        Some(parts) => HeadParse::Complete(Box::new(Head { parts, length })),
+        None => HeadParse::Invalid,
     }
 }
 
-fn parts_of(request: &httparse::Request<'_, '_>) -> Option<Parts> {
+fn to_parts(request: &httparse::Request<'_, '_>) -> Option<Parts> {
     let mut parts = Request::new(()).into_parts().0;
     parts.method = Method::from_bytes(request.method?.as_bytes()).ok()?;
     parts.uri = request.path?.parse::<Uri>().ok()?;
@@ -61,16 +61,16 @@
     Some(parts)
 }
 
-/// Whether two readings of a head are the same.
-pub(crate) fn is_same(left: &Parts, right: &Parts) -> bool {
+/// Whether two parsed heads have the same method, URI, version and headers.
+pub(crate) fn is_same_head(left: &Parts, right: &Parts) -> bool {
     left.method == right.method
         && left.uri == right.uri
         && left.version == right.version
         && left.headers == right.headers
 }
 
-/// The length of the body behind a head, in bytes, if that is certain.
-pub(crate) fn body_bytes(headers: &HeaderMap) -> Option<u64> {
+/// Returns the body length in bytes, or `None` if the headers do not state it unambiguously.
+pub(crate) fn content_length(headers: &HeaderMap) -> Option<u64> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return None;
     }
@@ -86,8 +86,9 @@
     }
 }
 
-/// Whether the bytes behind the request are another one.
-pub(crate) fn is_followed(parts: &Parts) -> bool {
+/// Whether the bytes after the request are another request: the version is HTTP/1.1, the protocol
+/// does not change and the connection stays open.
+pub(crate) fn allows_pipelining(parts: &Parts) -> bool {
     let is_other_protocol =
         parts.headers.contains_key(header::UPGRADE) || parts.method == Method::CONNECT;
     let is_closing = parts.headers.contains_key(header::CONNECTION)
--- a/crates/thymeshift_pipeline/src/lib.rs
+++ b/crates/thymeshift_pipeline/src/lib.rs
@@ -1,20 +1,22 @@
-//! Requests that a caller sends behind another one, before that is answered (RFC 9112, 9.3.2).
+//! Detection of pipelined HTTP/1.1 requests (RFC 9112, 9.3.2).
 //!
-//! hyper serves the requests of a connection one after the other. A caller that sends eight at
-//! once, each of 100 ms of work, has the last answer after 800 ms, although targets are free. Here
-//! the bytes of a connection are followed on their way to hyper, and the heads that stand behind
-//! the request under way are read early, so that their work can begin. hyper still reads each
-//! request, and answers them in order; what was begun early is used only for a request that hyper
-//! reads the same.
+//! hyper handles the requests of a connection one after the other. A caller that pipelines eight
+//! requests of 100 ms each gets the last response after 800 ms, even if targets are idle. This
+//! crate parses a copy of the bytes that hyper reads, and finds the pipelined requests after the
+//! current one, so that their processing can start early. hyper still parses every request and
+//! sends the responses in order. The result of an early start is used only if hyper parses the same
+//! request.
 //!
-//! [`Pipeline`] begins nothing itself. It names a request only if
+//! [`Pipeline`] does not process requests itself. It yields a request only if
 //!
-//! * the end of the request before is certain: its length is stated once, in bytes;
-//! * it has no body;
-//! * it may be repeated, and so may all before it that are not answered: a caller that leaves, or
-//!   an answer that ends the connection, takes back what was begun.
+//! * the end of the preceding request is unambiguous: its body length is stated exactly once, in
+//!   bytes;
+//! * the request has no body;
+//! * the request and all unanswered requests before it are safe to repeat, because early work is
+//!   discarded if the caller disconnects or if a response closes the connection.
 //!
-//! Wherever the bytes could be read in two ways, it stops for the rest of the connection.
+//! If the bytes can be parsed in more than one way, the pipeline stops for the rest of the
+//! connection.
 
 mod head;
 mod pipeline;
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! The bytes of one connection, followed.
+//! Parser for the pipelined requests of one connection.
 
 use std::collections::VecDeque;
 
@@ -7,54 +7,55 @@
 use http::header;
 use http::request::Parts;
 
-use crate::head::Reading;
-use crate::head::body_bytes;
-use crate::head::is_followed;
-use crate::head::is_same;
-use crate::head::read;
+use crate::head::HeadParse;
+use crate::head::allows_pipelining;
+use crate::head::content_length;
+use crate::head::is_same_head;
+use crate::head::parse_head;
 
-/// What is known of a request that hyper has read.
+/// Relation of a request that hyper has parsed to the requests yielded before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestMatch {
-    /// It was not named before.
+    /// No yielded request is outstanding, so hyper has parsed a request that was not yielded.
     NotYielded,
-    /// It is the first of those that were named.
+    /// hyper has parsed the oldest outstanding yielded request.
     Yielded,
-    /// It is another one than the first that was named: nothing that was begun may be used.
+    /// hyper has parsed another request than the oldest outstanding yielded request. The results of
+    /// all early starts must be discarded.
     Mismatch,
 }
 
-/// The bytes of one connection, as far as they are needed to find the requests in it.
+/// Parser state that finds the pipelined requests in the bytes of one connection.
 #[derive(Debug)]
 pub struct Pipeline {
-    /// Bytes behind the last request that hyper has read or that was named.
-    unread: BytesMut,
-    unread_bytes_max: usize,
-    /// Bytes of a body that are still to come before the next head.
+    /// Bytes after the last request that hyper has parsed or that was yielded.
+    buffer: BytesMut,
+    buffer_bytes_max: usize,
+    /// Bytes of the current request body that have not arrived yet.
     body_left: u64,
-    /// Requests that were named, and that hyper has not read.
-    named: VecDeque<Parts>,
-    /// Whether the next request is to be read by hyper first.
-    is_held: bool,
-    /// Whether nothing more is followed.
+    /// Yielded requests that hyper has not parsed yet.
+    yielded: VecDeque<Parts>,
+    /// Whether hyper must parse the next request before further requests are yielded.
+    waits_for_hyper: bool,
+    /// Whether parsing has stopped for the rest of the connection.
     is_stopped: bool,
 }
 
 impl Pipeline {
-    /// A connection from its beginning. If more bytes than these stand behind the request under
-    /// way, they are not followed.
-    pub fn new(unread_bytes_max: usize) -> Self {
+    /// Creates the parser of a new connection. Parsing stops if more than `buffer_bytes_max` bytes
+    /// follow the current request.
+    pub fn new(buffer_bytes_max: usize) -> Self {
         Self {
-            unread: BytesMut::new(),
-            unread_bytes_max,
+            buffer: BytesMut::new(),
+            buffer_bytes_max,
             body_left: 0,
-            named: VecDeque::new(),
-            is_held: true,
+            yielded: VecDeque::new(),
+            waits_for_hyper: true,
             is_stopped: false,
         }
     }
 
-    /// Bytes came from the caller, in their order.
+    /// Appends the next bytes that arrived from the caller.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         if self.is_stopped {
             return;
@@ -62,86 +63,88 @@
         let body = usize::try_from(self.body_left).unwrap_or(usize::MAX).min(bytes.len());
         self.body_left -= body as u64;
         let rest = &bytes[body..];
-        if self.unread.len() + rest.len() > self.unread_bytes_max {
-            self.end();
+        if self.buffer.len() + rest.len() > self.buffer_bytes_max {
+            self.stop();
             return;
         }
-        self.unread.extend_from_slice(rest);
+        self.buffer.extend_from_slice(rest);
     }
 
-    /// hyper has read a request.
+    /// Matches a request that hyper has parsed with the oldest outstanding yielded request.
     pub fn match_request(&mut self, parts: &Parts) -> RequestMatch {
-        if let Some(named) = self.named.pop_front() {
-            if is_same(&named, parts) {
+        if let Some(yielded) = self.yielded.pop_front() {
+            if is_same_head(&yielded, parts) {
                 return RequestMatch::Yielded;
             }
-            self.named.clear();
-            self.end();
+            self.yielded.clear();
+            self.stop();
             return RequestMatch::Mismatch;
         }
         if !self.is_stopped {
-            self.pass(parts);
+            self.skip_request(parts);
         }
         RequestMatch::NotYielded
     }
 
-    /// Names the next request behind the one under way, if its work may begin.
-    pub fn next_request(&mut self, may_begin: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
-        if self.is_stopped || self.is_held || self.body_left > 0 || self.unread.is_empty() {
+    /// Yields the next pipelined request if it is complete and `may_start` accepts it.
+    pub fn next_request(&mut self, may_start: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
+        if self.is_stopped || self.waits_for_hyper || self.body_left > 0 || self.buffer.is_empty() {
             return None;
         }
-        let head = match read(&self.unread) {
-            Reading::Whole(head) => head,
-            Reading::Partial => return None,
-            Reading::Other => {
-                self.end();
+        let head = match parse_head(&self.buffer) {
+            HeadParse::Complete(head) => head,
+            HeadParse::Partial => return None,
+            HeadParse::Invalid => {
+                self.stop();
                 return None;
             }
         };
-        let has_no_body = body_bytes(&head.parts.headers) == Some(0);
+        let has_no_body = content_length(&head.parts.headers) == Some(0);
         let is_plain = has_no_body && !head.parts.headers.contains_key(header::EXPECT);
-        if !is_plain || !is_followed(&head.parts) || !may_begin(&head.parts) {
-            self.is_held = true;
+        if !is_plain || !allows_pipelining(&head.parts) || !may_start(&head.parts) {
+            self.waits_for_hyper = true;
             return None;
         }
-        self.unread.advance(head.length);
-        self.named.push_back(head.parts.clone());
+        self.buffer.advance(head.length);
+        self.yielded.push_back(head.parts.clone());
         Some(head.parts)
     }
 
-    /// Requests that were named, and that hyper has not read.
+    /// Returns the number of yielded requests that hyper has not parsed yet.
     pub fn pending_count(&self) -> usize {
-        self.named.len()
+        self.yielded.len()
     }
 
-    /// Whether bytes of further requests have arrived.
+    /// Whether bytes of requests after the current one have arrived.
     pub fn has_more(&self) -> bool {
-        !self.named.is_empty() || !self.unread.is_empty()
+        !self.yielded.is_empty() || !self.buffer.is_empty()
     }
 
-    /// Whether nothing more is followed.
+    /// Whether parsing has stopped for the rest of the connection.
     pub fn is_stopped(&self) -> bool {
         self.is_stopped
     }
 
-    /// Goes on behind a request that was not named.
-    fn pass(&mut self, parts: &Parts) {
-        let length = match read(&self.unread) {
-            Reading::Whole(head) if is_same(&head.parts, parts) => head.length,
-            Reading::Whole(_) | Reading::Partial | Reading::Other => return self.end(),
+    /// Skips the head and body of a request that hyper has parsed and that was not yielded.
+    fn skip_request(&mut self, parts: &Parts) {
+        let length = match parse_head(&self.buffer) {
+            HeadParse::Complete(head) if is_same_head(&head.parts, parts) => head.length,
+            HeadParse::Complete(_) | HeadParse::Partial | HeadParse::Invalid => return self.stop(),
         };
-        let Some(body_bytes) = body_bytes(&parts.headers).filter(|_| is_followed(parts)) else {
-            return self.end();
+        let Some(content_length) =
+            content_length(&parts.headers).filter(|_| allows_pipelining(parts))
+        else {
+            return self.stop();
         };
-        self.unread.advance(length);
-        let body = usize::try_from(body_bytes).unwrap_or(usize::MAX).min(self.unread.len());
-        self.unread.advance(body);
-        self.body_left = body_bytes - body as u64;
-        self.is_held = false;
+        self.buffer.advance(length);
+        let body = usize::try_from(content_length).unwrap_or(usize::MAX).min(self.buffer.len());
+        self.buffer.advance(body);
+        self.body_left = content_length - body as u64;
+        self.waits_for_hyper = false;
     }
 
-    fn end(&mut self) {
+    fn stop(&mut self) {
         self.is_stopped = true;
-        self.unread = BytesMut::new();
+        self.buffer = BytesMut::new();
     }
 }
