--- a/crates/thymeshift_pipeline/tests/pipelined_requests.rs
+++ b/crates/thymeshift_pipeline/tests/pipelined_requests.rs
@@ -1,4 +1,4 @@
-//! Which requests behind the one under way are named, and that they are the ones hyper reads.
+//! Which pipelined requests are yielded, and that they equal the requests that hyper parses.
 
 use std::fmt::Write;
 
@@ -34,8 +34,8 @@
     parts.method == Method::GET
 }
 
-/// The paths of all requests that are named now.
-fn named(pipeline: &mut Pipeline) -> Vec<String> {
+/// Yields all available requests and returns their paths.
+fn yielded_paths(pipeline: &mut Pipeline) -> Vec<String> {
     let mut paths = Vec::new();
     while let Some(parts) = pipeline.next_request(is_get) {
         paths.push(parts.uri.to_string());
@@ -44,100 +44,100 @@
 }
 
 #[test]
-fn what_stands_behind_a_request_is_named_once_that_one_is_read() {
+fn pipelined_requests_are_yielded_once_the_request_before_is_parsed() {
     let mut pipeline = Pipeline::new(BYTES_MAX);
     pipeline.push_bytes(format!("{}{}{}", get("/1"), get("/2"), get("/3")).as_bytes());
-    assert!(named(&mut pipeline).is_empty());
+    assert!(yielded_paths(&mut pipeline).is_empty());
     assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
-    assert_eq!(named(&mut pipeline), ["/2", "/3"]);
+    assert_eq!(yielded_paths(&mut pipeline), ["/2", "/3"]);
     assert_eq!(pipeline.match_request(&get_parts("/2")), RequestMatch::Yielded);
     pipeline.push_bytes(&get("/4").as_bytes()[..10]);
-    assert!(named(&mut pipeline).is_empty());
+    assert!(yielded_paths(&mut pipeline).is_empty());
     pipeline.push_bytes(&get("/4").as_bytes()[10..]);
-    assert_eq!(named(&mut pipeline), ["/4"]);
+    assert_eq!(yielded_paths(&mut pipeline), ["/4"]);
     assert_eq!(pipeline.match_request(&get_parts("/3")), RequestMatch::Yielded);
     assert_eq!(pipeline.match_request(&get_parts("/4")), RequestMatch::Yielded);
     assert!(!pipeline.has_more());
 }
 
 #[test]
-fn another_request_than_the_one_named_ends_it() {
+fn another_request_than_the_yielded_one_stops_the_pipeline() {
     let mut pipeline = Pipeline::new(BYTES_MAX);
     pipeline.push_bytes(format!("{}{}", get("/1"), get("/2")).as_bytes());
     assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
-    assert_eq!(named(&mut pipeline), ["/2"]);
+    assert_eq!(yielded_paths(&mut pipeline), ["/2"]);
     assert_eq!(pipeline.match_request(&get_parts("/other")), RequestMatch::Mismatch);
     assert!(pipeline.is_stopped());
 }
 
 #[test]
-fn nothing_is_named_behind_what_may_not_be_passed() {
+fn nothing_is_yielded_after_a_request_that_cannot_be_skipped() {
     struct Case {
         note: &'static str,
-        /// Behind a first request that is read.
+        /// Bytes after a first request that hyper has parsed.
         behind: String,
-        named: &'static [&'static str],
+        yielded: &'static [&'static str],
     }
     let cases = [
         Case {
             note: "a request that may not be repeated",
             behind: format!("POST /p HTTP/1.1\r\nhost: a\r\n\r\n{}", get("/3")),
-            named: &[],
+            yielded: &[],
         },
         Case {
-            note: "a body that reads like a request",
+            note: "a body that looks like a request",
             behind: format!(
                 "GET /b HTTP/1.1\r\ncontent-length: {}\r\n\r\n{}",
                 get("/in").len(),
                 get("/in")
             ),
-            named: &[],
+            yielded: &[],
         },
         Case {
-            note: "chunks",
+            note: "a chunked body",
             behind: format!(
                 "GET /b HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{}",
                 get("/3")
             ),
-            named: &[],
+            yielded: &[],
         },
         Case {
             note: "the caller's last request",
             behind: format!("GET /l HTTP/1.1\r\nconnection: close\r\n\r\n{}", get("/3")),
-            named: &[],
+            yielded: &[],
         },
         Case {
-            note: "an older version",
+            note: "HTTP/1.0",
             behind: format!("GET /o HTTP/1.0\r\n\r\n{}", get("/3")),
-            named: &[],
+            yielded: &[],
         },
-        Case { note: "no request", behind: "GET\u{1} / x\r\n\r\n".to_owned(), named: &[] },
+        Case { note: "not a request", behind: "GET\u{1} / x\r\n\r\n".to_owned(), yielded: &[] },
         Case {
-            note: "another protocol",
+            note: "a protocol upgrade",
             behind: format!("GET /u HTTP/1.1\r\nupgrade: x\r\n\r\n{}", get("/3")),
-            named: &[],
+            yielded: &[],
         },
         Case {
-            note: "empty lines between two",
+            note: "an empty line before the request",
             behind: format!("\r\n{}", get("/3")),
-            named: &["/3"],
+            yielded: &["/3"],
         },
         Case {
-            note: "lines without a carriage return",
+            note: "line ends without a carriage return",
             behind: format!("GET /n HTTP/1.1\nhost: a\n\n{}", get("/3")),
-            named: &["/n", "/3"],
+            yielded: &["/n", "/3"],
         },
     ];
-    for Case { note, behind, named: expected } in cases {
+    for Case { note, behind, yielded: expected } in cases {
         let mut pipeline = Pipeline::new(BYTES_MAX);
         pipeline.push_bytes(format!("{}{behind}", get("/1")).as_bytes());
         assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded, "{note}");
-        assert_eq!(named(&mut pipeline), expected, "{note}");
+        assert_eq!(yielded_paths(&mut pipeline), expected, "{note}");
     }
 }
 
 #[test]
-fn behind_a_body_of_stated_length_it_goes_on() {
+fn parsing_continues_after_a_body_of_stated_length() {
     let mut pipeline = Pipeline::new(BYTES_MAX);
     let body = get("/in");
     let length = body.len().to_string();
@@ -145,51 +145,53 @@
     pipeline.push_bytes(format!("{head}{}", &body[..20]).as_bytes());
     let post = parts(Method::POST, "/p", &[("host", "a"), ("content-length", &length)]);
     assert_eq!(pipeline.match_request(&post), RequestMatch::NotYielded);
-    assert!(named(&mut pipeline).is_empty());
+    assert!(yielded_paths(&mut pipeline).is_empty());
     pipeline.push_bytes(format!("{}{}", &body[20..], get("/2")).as_bytes());
-    assert_eq!(named(&mut pipeline), ["/2"]);
+    assert_eq!(yielded_paths(&mut pipeline), ["/2"]);
 }
 
 #[test]
-fn more_bytes_than_allowed_end_it() {
+fn more_bytes_than_allowed_stop_the_pipeline() {
     let mut pipeline = Pipeline::new(1_000);
     pipeline.push_bytes(get("/1").as_bytes());
     assert_eq!(pipeline.match_request(&get_parts("/1")), RequestMatch::NotYielded);
     pipeline.push_bytes(&vec![b'x'; 1_001]);
     assert!(pipeline.is_stopped());
-    assert!(named(&mut pipeline).is_empty());
+    assert!(yielded_paths(&mut pipeline).is_empty());
 }
 
-/// One request of a row: how it is written, and its body.
+/// One request of a pipelined sequence.
 #[derive(Debug, Clone)]
-struct Sent {
+struct SentRequest {
     is_post: bool,
     body: Vec<u8>,
+    /// Selects the case of a header name and the number of spaces before its value.
     spelling: u8,
 }
 
+/// Pipelined requests, and the sizes of the pieces in which their bytes arrive.
 #[derive(Debug, Clone)]
-struct Row {
-    sent: Vec<Sent>,
+struct Sequence {
+    sent: Vec<SentRequest>,
     cuts: Vec<u8>,
 }
 
-impl Arbitrary for Row {
+impl Arbitrary for Sequence {
     fn arbitrary(g: &mut Gen) -> Self {
         let count = usize::arbitrary(g) % 12 + 1;
         let sent = (0..count).map(|_| {
             let is_post = u8::arbitrary(g) % 4 == 0;
-            // Bodies may read like requests.
+            // Half of the bodies look like requests.
             let text =
                 if bool::arbitrary(g) { get("/smuggled").into_bytes() } else { Vec::arbitrary(g) };
             let body = if is_post { text } else { Vec::new() };
-            Sent { is_post, body, spelling: u8::arbitrary(g) }
+            SentRequest { is_post, body, spelling: u8::arbitrary(g) }
         });
         Self { sent: sent.collect(), cuts: Vec::arbitrary(g) }
     }
 }
 
-impl Sent {
+impl SentRequest {
     fn bytes(&self, number: usize) -> Bytes {
         let name = if self.spelling.is_multiple_of(2) { "X-Id" } else { "x-id" };
         let blank = if self.spelling.is_multiple_of(5) { "  " } else { " " };
@@ -216,45 +218,54 @@
 }
 
 quickcheck! {
-    /// Rows of requests in pieces of any size: what is named is a request of the row, in its order,
-    /// never one of a body, and never behind a request that may not be repeated.
-    fn only_requests_of_the_row_are_named_and_in_order(row: Row) -> bool {
+    /// Checks pipelined requests whose bytes arrive in pieces of any size: only requests of the
+    /// sequence are yielded, in order, none from a body, and none after a request that is not safe
+    /// to repeat.
+    fn only_requests_of_the_sequence_are_yielded_and_in_order(sequence: Sequence) -> bool {
         let mut pipeline = Pipeline::new(1 << 20);
-        let whole: Vec<u8> = row.sent.iter().enumerate().flat_map(|(n, sent)| sent.bytes(n)).collect();
+        let whole: Vec<u8> =
+            sequence.sent.iter().enumerate().flat_map(|(n, sent)| sent.bytes(n)).collect();
         let mut rest = whole.as_slice();
-        let mut cuts = row.cuts.iter().cycle();
+        let mut cuts = sequence.cuts.iter().cycle();
         let mut read = 0;
-        let mut next_named = 0;
+        let mut next_yielded = 0;
         let mut ends = Vec::new();
         let mut end = 0;
-        for (number, sent) in row.sent.iter().enumerate() {
+        for (number, sent) in sequence.sent.iter().enumerate() {
             end += sent.bytes(number).len();
             ends.push(end);
         }
-        while !rest.is_empty() || read < row.sent.len() {
+        while !rest.is_empty() || read < sequence.sent.len() {
             let size = usize::from(*cuts.next().unwrap_or(&50)).max(1).min(rest.len());
             pipeline.push_bytes(&rest[..size]);
             rest = &rest[size..];
             let arrived = whole.len() - rest.len();
-            // hyper reads the next request once it is there, now and then.
-            if read < row.sent.len() && arrived >= ends[read] && (size.is_multiple_of(3) || rest.is_empty()) {
-                let delivery = pipeline.match_request(&row.sent[read].parts(read));
-                let expected = if read < next_named { RequestMatch::Yielded } else { RequestMatch::NotYielded };
-                if delivery != expected {
+            // hyper parses the next request at some time after it has arrived.
+            if read < sequence.sent.len()
+                && arrived >= ends[read]
+                && (size.is_multiple_of(3) || rest.is_empty())
+            {
+                let matched = pipeline.match_request(&sequence.sent[read].parts(read));
+                let expected = if read < next_yielded {
+                    RequestMatch::Yielded
+                } else {
+                    RequestMatch::NotYielded
+                };
+                if matched != expected {
                     return false;
                 }
                 read += 1;
-                next_named = next_named.max(read);
+                next_yielded = next_yielded.max(read);
             }
             while let Some(found) = pipeline.next_request(is_get) {
-                let is_expected = found.uri.path() == format!("/{next_named}")
-                    && next_named < row.sent.len()
-                    && row.sent[next_named..=next_named].iter().all(|sent| !sent.is_post)
-                    && row.sent[read..next_named].iter().all(|sent| !sent.is_post);
+                let is_expected = found.uri.path() == format!("/{next_yielded}")
+                    && next_yielded < sequence.sent.len()
+                    && sequence.sent[next_yielded..=next_yielded].iter().all(|sent| !sent.is_post)
+                    && sequence.sent[read..next_yielded].iter().all(|sent| !sent.is_post);
                 if !is_expected {
                     return false;
                 }
-                next_named += 1;
+                next_yielded += 1;
             }
         }
         true
