--- a/crates/thymeshift_allocation/tests/lease_table.rs
+++ b/crates/thymeshift_allocation/tests/lease_table.rs
@@ -1,5 +1,5 @@
-//! The allocator's books under messages that are lost, late and doubled, under several allocators
-//! at once, and under pauses.
+//! Consistency of the allocator's lease table if messages are lost, delayed or duplicated, if two
+//! allocators are active at the same time, and if processes pause.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -53,13 +53,13 @@
     }
 }
 
-struct Books {
+struct AllocatorFixture {
     dispatcher: Dispatcher<AnyStrategy>,
     allocator: Allocator<u8>,
     rng: SmallRng,
 }
 
-impl Books {
+impl AllocatorFixture {
     fn new() -> Self {
         let targets = (0..TARGETS).map(|index| {
             format!("{{ name: t{index}, address: '127.0.0.1:{}', data_hall: a }}", index + 1)
@@ -74,7 +74,7 @@
         let service = &configuration.services[0];
         let mut dispatcher = Dispatcher::configured(&configuration, service, &hall, at(0));
         dispatcher.set_view(View::Fleet);
-        // All slots are known to be worth using: the books are looked at here, not the number.
+        // All slots may be used: these tests check the lease table, not the concurrency limit.
         dispatcher.adopt_concurrency(SLOTS);
         Self { dispatcher, allocator: Allocator::default(), rng: SmallRng::seed_from_u64(3) }
     }
@@ -89,18 +89,18 @@
         self.allocator.release(key, &report, &mut self.dispatcher, now);
     }
 
-    /// Tells all that may be told now.
+    /// Resolves all tickets that the dispatcher can decide now, and returns the responses.
     fn wake(&mut self, now: Timestamp) -> Vec<(LeaseKey<u8>, Allocation)> {
-        let mut told = Vec::new();
+        let mut responses = Vec::new();
         while let Some(wake) = self.dispatcher.next_wake(now, &mut self.rng) {
-            let (ticket, woken) = match wake {
+            let (ticket, decision) = match wake {
                 Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            let known = self.allocator.resolve_ticket(ticket, woken, &self.dispatcher, now);
-            told.push(known.expect("every ticket belongs to a lease here"));
+            let resolved = self.allocator.resolve_ticket(ticket, decision, &self.dispatcher, now);
+            responses.push(resolved.expect("every ticket belongs to a lease"));
         }
-        told
+        responses
     }
 
     fn in_flight(&self) -> u32 {
@@ -110,73 +110,77 @@
 }
 
 #[test]
-fn targets_are_granted_up_to_their_number_and_the_next_waits_for_one_that_comes_back() {
-    let mut books = Books::new();
-    let most = TARGETS as u64 * u64::from(SLOTS);
-    for number in 0..most {
-        let allocation = books.acquire(key(1, number), at(0));
+fn targets_are_granted_up_to_their_slots_and_the_next_request_waits_for_a_release() {
+    let mut fixture = AllocatorFixture::new();
+    let slots_total = TARGETS as u64 * u64::from(SLOTS);
+    for number in 0..slots_total {
+        let allocation = fixture.acquire(key(1, number), at(0));
         assert!(matches!(allocation, Allocation::Granted(..)), "{number}: {allocation:?}");
     }
-    assert_eq!(books.acquire(key(2, 0), at(0)), Allocation::Waiting);
-    assert!(books.wake(at(1)).is_empty());
-    books.release(&key(1, 3), at(10));
-    let told = books.wake(at(10));
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].0, key(2, 0));
-    assert!(matches!(told[0].1, Allocation::Granted(..)), "{told:?}");
-    assert_eq!(u64::from(books.in_flight()), most);
+    assert_eq!(fixture.acquire(key(2, 0), at(0)), Allocation::Waiting);
+    assert!(fixture.wake(at(1)).is_empty());
+    fixture.release(&key(1, 3), at(10));
+    let responses = fixture.wake(at(10));
+    assert_eq!(responses.len(), 1);
+    assert_eq!(responses[0].0, key(2, 0));
+    assert!(matches!(responses[0].1, Allocation::Granted(..)), "{responses:?}");
+    assert_eq!(u64::from(fixture.in_flight()), slots_total);
 }
 
 #[test]
-fn one_that_waited_for_too_long_is_refused_and_told_so() {
-    let mut books = Books::new();
+fn a_request_that_waited_too_long_is_refused_with_a_retry_time() {
+    let mut fixture = AllocatorFixture::new();
     for number in 0..=TARGETS as u64 * u64::from(SLOTS) {
-        books.acquire(key(1, number), at(0));
+        fixture.acquire(key(1, number), at(0));
     }
-    let told = books.wake(at(250));
-    assert_eq!(told.len(), 1);
-    let Allocation::Refused(refusal) = &told[0].1 else {
-        panic!("{told:?}");
+    let responses = fixture.wake(at(250));
+    assert_eq!(responses.len(), 1);
+    let Allocation::Refused(refusal) = &responses[0].1 else {
+        panic!("{responses:?}");
     };
     assert_eq!(refusal.reason, Reason::DeadlineUnreachable);
     assert!(refusal.retry_after > Duration::ZERO);
 }
 
 #[test]
-fn a_doubled_message_is_answered_alike_and_counted_once() {
-    let mut books = Books::new();
-    let first = books.acquire(key(1, 1), at(0));
-    let second = books.acquire(key(1, 1), at(5));
+fn a_duplicate_message_gets_the_same_response_and_is_counted_once() {
+    let mut fixture = AllocatorFixture::new();
+    let first = fixture.acquire(key(1, 1), at(0));
+    let second = fixture.acquire(key(1, 1), at(5));
     assert_eq!(first, second);
-    assert_eq!(books.in_flight(), 1);
-    books.release(&key(1, 1), at(10));
-    books.release(&key(1, 1), at(11));
-    assert_eq!(books.in_flight(), 0);
+    assert_eq!(fixture.in_flight(), 1);
+    fixture.release(&key(1, 1), at(10));
+    fixture.release(&key(1, 1), at(11));
+    assert_eq!(fixture.in_flight(), 0);
 }
 
 #[test]
-fn a_lease_whose_end_was_lost_is_taken_back_by_the_next_message_or_by_time() {
-    let mut books = Books::new();
-    books.acquire(key(1, 1), at(0));
-    books.acquire(key(1, 2), at(90));
-    books.acquire(key(2, 1), at(0));
-    let Books { dispatcher, allocator, .. } = &mut books;
+fn a_lease_whose_end_was_lost_is_released_by_the_next_message_or_expires() {
+    let mut fixture = AllocatorFixture::new();
+    fixture.acquire(key(1, 1), at(0));
+    fixture.acquire(key(1, 2), at(90));
+    fixture.acquire(key(2, 1), at(0));
+    let AllocatorFixture { dispatcher, allocator, .. } = &mut fixture;
     allocator.release_unlisted(&1, &[3], dispatcher, at(120));
-    assert_eq!(books.in_flight(), 2, "the old one of this holder; a young one may be unheard");
-    let Books { dispatcher, allocator, .. } = &mut books;
+    assert_eq!(
+        fixture.in_flight(),
+        2,
+        "only the old lease of holder 1; the young one may be in transit"
+    );
+    let AllocatorFixture { dispatcher, allocator, .. } = &mut fixture;
     allocator.expire(dispatcher, at(1_499));
-    assert_eq!(books.in_flight(), 2);
-    allocator_expires(&mut books, at(1_600));
-    assert_eq!(books.in_flight(), 0);
-    assert!(books.allocator.is_empty());
+    assert_eq!(fixture.in_flight(), 2);
+    expire_leases(&mut fixture, at(1_600));
+    assert_eq!(fixture.in_flight(), 0);
+    assert!(fixture.allocator.is_empty());
 }
 
-fn allocator_expires(books: &mut Books, now: Timestamp) {
-    let Books { dispatcher, allocator, .. } = books;
+fn expire_leases(fixture: &mut AllocatorFixture, now: Timestamp) {
+    let AllocatorFixture { dispatcher, allocator, .. } = fixture;
     allocator.expire(dispatcher, now);
 }
 
-/// One event at one of two allocators that exist at the same time.
+/// Event at one of two allocators that are active at the same time.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Acquire { allocator: bool, holder: u8, number: u8 },
@@ -199,56 +203,57 @@
 }
 
 #[test]
-fn whatever_arrives_in_whatever_order_the_books_balance() {
+fn no_order_of_messages_corrupts_the_lease_table() {
     fn holds(events: Vec<Event>) -> bool {
-        let mut both = [Books::new(), Books::new()];
+        let mut allocators = [AllocatorFixture::new(), AllocatorFixture::new()];
         let mut now = at(0);
-        // Loans that are out, as the messages sent so far tell.
-        let mut out: [BTreeMap<LeaseKey<u8>, bool>; 2] = Default::default();
+        // Active leases according to the responses so far; the value is true for granted leases.
+        let mut active: [BTreeMap<LeaseKey<u8>, bool>; 2] = Default::default();
         for event in events {
             match event {
                 Event::Acquire { allocator, holder, number } => {
                     let key = key(holder, u64::from(number));
-                    let allocation = both[usize::from(allocator)].acquire(key.clone(), now);
+                    let allocation = allocators[usize::from(allocator)].acquire(key.clone(), now);
                     match allocation {
-                        Allocation::Granted(..) => out[usize::from(allocator)].insert(key, true),
-                        Allocation::Waiting => out[usize::from(allocator)].insert(key, false),
+                        Allocation::Granted(..) => active[usize::from(allocator)].insert(key, true),
+                        Allocation::Waiting => active[usize::from(allocator)].insert(key, false),
                         Allocation::Refused(_) => None,
                     };
                 }
                 Event::Release { allocator, holder, number } => {
                     let key = key(holder, u64::from(number));
-                    both[usize::from(allocator)].release(&key, now);
-                    out[usize::from(allocator)].remove(&key);
+                    allocators[usize::from(allocator)].release(&key, now);
+                    active[usize::from(allocator)].remove(&key);
                 }
                 Event::Held { allocator, holder, number } => {
-                    let Books { dispatcher, allocator, .. } = &mut both[usize::from(allocator)];
+                    let AllocatorFixture { dispatcher, allocator, .. } =
+                        &mut allocators[usize::from(allocator)];
                     allocator.release_unlisted(&holder, &[u64::from(number)], dispatcher, now);
                 }
                 Event::Pass { millis } => {
                     now = now + Duration::from_millis(u64::from(millis));
-                    for books in &mut both {
-                        allocator_expires(books, now);
+                    for fixture in &mut allocators {
+                        expire_leases(fixture, now);
                     }
                 }
             }
-            for books in &mut both {
-                books.wake(now);
-                if books.in_flight() > TARGETS as u32 * SLOTS
-                    || books.in_flight() as usize > books.allocator.len()
+            for fixture in &mut allocators {
+                fixture.wake(now);
+                if fixture.in_flight() > TARGETS as u32 * SLOTS
+                    || fixture.in_flight() as usize > fixture.allocator.len()
                 {
                     return false;
                 }
             }
         }
-        // Nothing more is heard: in the end nothing is out.
+        // Without further messages, all leases expire.
         now = now + Duration::from_secs(5);
-        for books in &mut both {
-            books.wake(now);
-            allocator_expires(books, now);
-            books.wake(now);
+        for fixture in &mut allocators {
+            fixture.wake(now);
+            expire_leases(fixture, now);
+            fixture.wake(now);
         }
-        both.iter().all(|books| books.in_flight() == 0 && books.allocator.is_empty())
+        allocators.iter().all(|fixture| fixture.in_flight() == 0 && fixture.allocator.is_empty())
     }
     QuickCheck::new()
         .tests(2_000)
