--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -1,4 +1,4 @@
-//! How targets are divided into groups, and where a request goes that finds no room.
+//! Division of targets into groups, and choice of a group with headroom for redirected requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,8 @@
     Group::Hall(hall(name))
 }
 
-/// Targets in halls `a`, `b` and so on, as many as `counts` says, and leaving ones in `a`.
+/// Returns serving targets in the halls `a`, `b` and so on, one count per hall, and `leaving`
+/// leaving targets in hall `a`.
 fn targets(counts: &[usize], leaving: usize) -> Vec<Target> {
     let target = |name: String, hall_name: &str, state| Target {
         name: TargetName::new(&name).expect("a name"),
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn only_services_with_many_targets_in_each_hall_are_divided() {
+fn only_services_with_many_targets_per_hall_are_divided() {
     struct Case {
         note: &'static str,
         counts: &'static [usize],
@@ -53,11 +54,21 @@
     }
     let cases = [
         Case { note: "no target", counts: &[], leaving: 0, groups: 1 },
-        Case { note: "few in each hall", counts: &[3, 2, 2, 3], leaving: 0, groups: 1 },
-        Case { note: "many, but in one hall", counts: &[90], leaving: 0, groups: 1 },
-        Case { note: "eight in each in the mean", counts: &[4, 12, 8], leaving: 0, groups: 3 },
-        Case { note: "one less", counts: &[4, 12, 7], leaving: 0, groups: 1 },
-        Case { note: "leaving ones do not count", counts: &[4, 12, 7], leaving: 9, groups: 1 },
+        Case { note: "few targets in each hall", counts: &[3, 2, 2, 3], leaving: 0, groups: 1 },
+        Case { note: "many targets, but in one hall", counts: &[90], leaving: 0, groups: 1 },
+        Case {
+            note: "eight targets per hall on average",
+            counts: &[4, 12, 8],
+            leaving: 0,
+            groups: 3,
+        },
+        Case { note: "one target less than that", counts: &[4, 12, 7], leaving: 0, groups: 1 },
+        Case {
+            note: "leaving targets are not counted",
+            counts: &[4, 12, 7],
+            leaving: 9,
+            groups: 1,
+        },
     ];
     for Case { note, counts, leaving, groups } in cases {
         let targets = targets(counts, leaving);
@@ -65,56 +76,60 @@
         assert_eq!(grouping.iter().count(), groups, "{note}");
         assert_eq!(grouping.is_divided(), groups > 1, "{note}");
         for target in targets.iter().filter(|target| target.state == TargetState::Serving) {
-            let holding = grouping.iter().filter(|group| group.contains(target)).count();
-            assert_eq!(holding, 1, "{note}: {} is in one group", target.name);
+            let groups_of_target = grouping.iter().filter(|group| group.contains(target)).count();
+            assert_eq!(groups_of_target, 1, "{note}: {} is in exactly one group", target.name);
         }
     }
 }
 
 #[test]
-fn a_request_goes_to_its_own_hall_or_is_spread_by_size() {
+fn a_request_prefers_its_own_hall_or_is_spread_by_group_size() {
     let grouping = Grouping::of(&targets(&[10, 30], 0), |_| false);
     for draw in 0..40 {
         assert_eq!(*grouping.preferred_group(&hall("b"), draw), group("b"));
     }
-    let from_elsewhere = (0..4_000).filter(|draw| {
+    let drawn_a = (0..4_000).filter(|draw| {
         let first = grouping.preferred_group(&hall("z"), *draw);
         *first == group("a")
     });
-    assert_eq!(from_elsewhere.count(), 1_000, "a quarter of the targets is in a");
+    assert_eq!(drawn_a.count(), 1_000, "a quarter of the targets is in hall a");
 }
 
 #[test]
-fn no_more_requests_are_sent_on_than_there_is_room_for() {
+fn no_more_requests_are_redirected_than_the_reported_headroom() {
     let now = Timestamp::from_millis(5_000);
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut rooms = GroupHeadroom::default();
-    rooms.record(group("a"), 50, now);
-    rooms.record(group("b"), 12, now);
-    rooms.record(group("c"), 4, now);
-    rooms.record(group("d"), 0, now);
-    let mut taken: BTreeMap<Group, u32> = BTreeMap::new();
-    while let Some(group) = rooms.reserve(&group("a"), now, &mut rng) {
-        *taken.entry(group).or_default() += 1;
+    let mut headroom = GroupHeadroom::default();
+    headroom.record(group("a"), 50, now);
+    headroom.record(group("b"), 12, now);
+    headroom.record(group("c"), 4, now);
+    headroom.record(group("d"), 0, now);
+    let mut reserved: BTreeMap<Group, u32> = BTreeMap::new();
+    while let Some(group) = headroom.reserve(&group("a"), now, &mut rng) {
+        *reserved.entry(group).or_default() += 1;
     }
-    assert_eq!(taken, BTreeMap::from([(group("b"), 12), (group("c"), 4)]), "not its own");
-    rooms.record(group("b"), 1, now);
+    assert_eq!(
+        reserved,
+        BTreeMap::from([(group("b"), 12), (group("c"), 4)]),
+        "the own group is never reserved"
+    );
+    headroom.record(group("b"), 1, now);
     let late = now + Duration::from_secs(3);
-    assert_eq!(rooms.reserve(&group("a"), late, &mut rng), None, "what was told has aged");
+    assert_eq!(headroom.reserve(&group("a"), late, &mut rng), None, "an expired report is ignored");
 }
 
 #[test]
-fn a_drained_hall_is_in_no_group_and_its_callers_go_to_the_others() {
+fn a_drained_hall_is_in_no_group_and_its_requests_prefer_other_groups() {
     struct Case {
         note: &'static str,
         drained: &'static [&'static str],
         groups: &'static [&'static str],
     }
     let cases = [
-        Case { note: "none", drained: &[], groups: &["a", "b", "c"] },
-        Case { note: "one", drained: &["b"], groups: &["a", "c"] },
-        Case { note: "all but one", drained: &["a", "b"], groups: &["all"] },
-        Case { note: "one that has no targets", drained: &["z"], groups: &["a", "b", "c"] },
+        Case { note: "no drained hall", drained: &[], groups: &["a", "b", "c"] },
+        Case { note: "one drained hall", drained: &["b"], groups: &["a", "c"] },
+        Case { note: "all halls but one drained", drained: &["a", "b"], groups: &["all"] },
+        Case { note: "a drained hall without targets", drained: &["z"], groups: &["a", "b", "c"] },
     ];
     let targets = targets(&[10, 10, 10], 0);
     for Case { note, drained, groups } in cases {
@@ -129,11 +144,11 @@
 }
 
 #[test]
-fn another_group_is_drawn_by_size_and_never_the_same() {
+fn an_alternative_group_is_drawn_by_size_and_differs_from_the_given_group() {
     let grouping = Grouping::of(&targets(&[10, 10, 30], 0), |_| false);
     let mut drawn: BTreeMap<Group, u32> = BTreeMap::new();
     for draw in 0..4_000 {
-        let other = grouping.alternative_group(&group("a"), draw).expect("there are two others");
+        let other = grouping.alternative_group(&group("a"), draw).expect("two other groups");
         *drawn.entry(other.clone()).or_default() += 1;
     }
     assert_eq!(drawn, BTreeMap::from([(group("b"), 1_000), (group("c"), 3_000)]));
