--- a/crates/thymeshift_allocation/tests/drained_order.rs
+++ b/crates/thymeshift_allocation/tests/drained_order.rs
@@ -1,10 +1,11 @@
-//! Data halls are drained and taken back while documents, leases and grants are on their way, in
-//! every order that is drawn: late, lost, doubled, from peers that know less, with two processes
-//! that allocate, and with processes that start anew.
+//! Draining and undraining of data halls while documents, leases and grants are in transit.
 //!
-//! What must hold at every process: from the moment at which a list that drains a hall is in force
-//! there, it sends nothing to that hall, whoever granted it and when, until a later list that takes
-//! the hall back is in force there. An older list never ends that.
+//! The tests generate arbitrary message orders: delayed, lost and duplicated messages, peers with
+//! older documents, two allocators at the same time, and restarts of processes.
+//!
+//! Invariant at every process: once a list that drains a hall is in force, the process sends
+//! nothing to that hall, no matter which process granted the request and when, until a newer list
+//! without the drained hall is in force. An older list never ends the drain.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -36,29 +37,30 @@
 use thymeshift_types::Timestamp;
 
 const PROCESSES: usize = 3;
-/// The first processes also allocate, each for all: two may do so at the same time.
+/// Number of processes that also allocate targets for all processes, at the same time.
 const ALLOCATORS: usize = 2;
 const HALLS: [&str; 2] = ["a", "b"];
 const TARGETS_PER_HALL: usize = 2;
 
-/// What happens next.
+/// Simulated event.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The source drains a hall or takes it back.
-    Change { hall: usize },
-    /// A process reads the source as it was so many changes ago.
+    /// The source drains a hall, or undrains it if it is drained.
+    ToggleDrain { hall: usize },
+    /// A process reads the list that the source published `changes_ago` changes ago.
     Read { process: usize, changes_ago: usize },
-    /// A process takes the list that another one has in force.
+    /// A process fetches the list that another process has in force.
     Fetch { process: usize, from: usize },
-    /// A process asks an allocator; the answer is on its way.
+    /// A process requests a target from an allocator; the response is in transit afterwards.
     Ask { process: usize, allocator: usize },
-    /// An answer arrives, the oldest or a later one, and may arrive again.
-    Answered { place: usize, is_doubled: bool },
-    /// A process decides alone.
-    DecideAlone { process: usize },
-    /// A process sends what it was granted longest ago.
+    /// A response in transit arrives. With `is_duplicate`, the response stays in transit and can
+    /// arrive again.
+    AnswerArrives { place: usize, is_duplicate: bool },
+    /// A process selects a target without an allocator.
+    DecideLocally { process: usize },
+    /// A process sends the request with its oldest grant.
     Send { process: usize },
-    /// A process starts anew and knows nothing.
+    /// A process restarts without any state.
     Restart { process: usize },
 }
 
@@ -67,12 +69,12 @@
         let any = |g: &mut Gen, count: usize| usize::from(u8::arbitrary(g)) % count;
         let process = any(g, PROCESSES);
         match u8::arbitrary(g) % 16 {
-            0 | 1 => Self::Change { hall: any(g, HALLS.len()) },
+            0 | 1 => Self::ToggleDrain { hall: any(g, HALLS.len()) },
             2 | 3 => Self::Read { process, changes_ago: any(g, 3) },
             4 => Self::Fetch { process, from: any(g, PROCESSES) },
             5..=7 => Self::Ask { process, allocator: any(g, ALLOCATORS) },
-            8..=10 => Self::Answered { place: any(g, 4), is_doubled: bool::arbitrary(g) },
-            11 => Self::DecideAlone { process },
+            8..=10 => Self::AnswerArrives { place: any(g, 4), is_duplicate: bool::arbitrary(g) },
+            11 => Self::DecideLocally { process },
             12..=14 => Self::Send { process },
             _ => Self::Restart { process },
         }
@@ -93,7 +95,7 @@
     Configuration::parse(text).expect("a configuration")
 }
 
-/// The list of discovered targets with these halls drained.
+/// Returns the document of discovered targets, with these halls drained.
 fn list(drained: &[usize]) -> String {
     let mut text = String::new();
     for hall in drained {
@@ -116,10 +118,10 @@
     lists: Adoption,
     drained: Vec<DataHallName>,
     dispatcher: Dispatcher<AnyStrategy>,
-    /// The dispatcher over the fleet's requests, and its books.
-    counting: Dispatcher<AnyStrategy>,
+    /// Dispatcher for the requests of the whole fleet, used by `allocator`.
+    fleet_dispatcher: Dispatcher<AnyStrategy>,
     allocator: Allocator<usize>,
-    /// Grants that wait to be sent.
+    /// Grants whose requests are not sent yet, oldest first.
     granted: Vec<Grant>,
 }
 
@@ -127,13 +129,13 @@
     fn new(now: Timestamp) -> Self {
         let base = base();
         let dispatcher = || Dispatcher::configured(&base, &base.services[0], &hall(0), now);
-        let mut counting = dispatcher();
-        counting.set_view(View::Fleet);
+        let mut fleet_dispatcher = dispatcher();
+        fleet_dispatcher.set_view(View::Fleet);
         Self {
             lists: Adoption::default(),
             drained: Vec::new(),
             dispatcher: dispatcher(),
-            counting,
+            fleet_dispatcher,
             allocator: Allocator::default(),
             granted: Vec::new(),
         }
@@ -146,20 +148,20 @@
         }
         let joined = base().with_discovered(&read.expect("an adopted list"));
         self.drained.clone_from(&joined.drained_halls);
-        for dispatcher in [&mut self.dispatcher, &mut self.counting] {
+        for dispatcher in [&mut self.dispatcher, &mut self.fleet_dispatcher] {
             dispatcher.update(&joined, &joined.services[0], &hall(0), now);
         }
     }
 }
 
-/// An answer of an allocator on its way to a process.
+/// Response of an allocator in transit to a process.
 #[derive(Debug, Clone)]
 struct Answer {
     process: usize,
     target: TargetName,
 }
 
-struct World {
+struct Simulation {
     now: Timestamp,
     published: Vec<Published>,
     drained: Vec<usize>,
@@ -170,7 +172,7 @@
     sent: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let now = Timestamp::from_millis(1_000_000);
         let first = Published::new(Revision::new(1), &list(&[]));
@@ -205,11 +207,11 @@
         }
     }
 
-    /// Returns whether what must hold holds.
-    fn play(&mut self, step: Step) -> bool {
+    /// Runs one step and returns whether the invariant holds.
+    fn run(&mut self, step: Step) -> bool {
         self.now = self.now + Duration::from_millis(3);
         match step {
-            Step::Change { hall } => self.change(hall),
+            Step::ToggleDrain { hall } => self.toggle_drain(hall),
             Step::Read { process, changes_ago } => {
                 let place = self.published.len().saturating_sub(1 + changes_ago);
                 let published = self.published[place].clone();
@@ -221,15 +223,15 @@
                 }
             }
             Step::Ask { process, allocator } => self.ask(process, allocator),
-            Step::Answered { place, is_doubled } => self.answered(place, is_doubled),
-            Step::DecideAlone { process } => self.decide_alone(process),
+            Step::AnswerArrives { place, is_duplicate } => self.receive_answer(place, is_duplicate),
+            Step::DecideLocally { process } => self.decide_locally(process),
             Step::Send { process } => return self.send(process),
             Step::Restart { process } => self.processes[process] = Process::new(self.now),
         }
         true
     }
 
-    fn change(&mut self, hall: usize) {
+    fn toggle_drain(&mut self, hall: usize) {
         match self.drained.iter().position(|drained| *drained == hall) {
             Some(place) => {
                 self.drained.remove(place);
@@ -244,22 +246,27 @@
         self.leases += 1;
         let key = LeaseKey { holder: process, number: self.leases };
         let request = self.request();
-        let Process { counting, allocator: books, .. } = &mut self.processes[allocator];
-        // Earlier leases are given back, so that there is room for new ones.
-        books.release_unlisted(&process, &[], counting, self.now + Duration::from_secs(1));
-        let allocation = books.acquire(key, request, counting, self.now, &mut self.rng);
+        let Process { fleet_dispatcher, allocator, .. } = &mut self.processes[allocator];
+        // Releases earlier leases, so that targets have free slots for new ones.
+        allocator.release_unlisted(
+            &process,
+            &[],
+            fleet_dispatcher,
+            self.now + Duration::from_secs(1),
+        );
+        let allocation = allocator.acquire(key, request, fleet_dispatcher, self.now, &mut self.rng);
         if let Allocation::Granted(granted) = allocation {
             self.answers.push(Answer { process, target: granted.target });
         }
     }
 
-    fn answered(&mut self, place: usize, is_doubled: bool) {
+    fn receive_answer(&mut self, place: usize, is_duplicate: bool) {
         if self.answers.is_empty() {
             return;
         }
         let place = place % self.answers.len();
         let answer = self.answers[place].clone();
-        if !is_doubled {
+        if !is_duplicate {
             self.answers.remove(place);
         }
         let process = &mut self.processes[answer.process];
@@ -267,7 +274,7 @@
         process.granted.extend(granted);
     }
 
-    fn decide_alone(&mut self, process: usize) {
+    fn decide_locally(&mut self, process: usize) {
         let request = self.request();
         let process = &mut self.processes[process];
         process.dispatcher.set_view(View::Fallback);
@@ -296,8 +303,8 @@
 #[test]
 fn no_order_of_messages_sends_anything_to_a_hall_that_is_known_to_be_drained() {
     fn holds(steps: Vec<Step>) -> bool {
-        let mut world = World::new();
-        steps.into_iter().all(|step| world.play(step))
+        let mut simulation = Simulation::new();
+        steps.into_iter().all(|step| simulation.run(step))
     }
     QuickCheck::new()
         .tests(600)
@@ -305,18 +312,19 @@
         .quickcheck(holds as fn(Vec<Step>) -> bool);
 }
 
-/// The property above would hold for processes that never send.
+/// Guards against a vacuous property test: the property above also holds if no process ever sends.
 #[test]
-fn the_orders_drawn_send_and_drain() {
+fn the_generated_orders_send_and_drain() {
     let mut gen_steps = Gen::from_size_and_seed(400, 17);
     let (mut sent, mut drained) = (0, 0);
     for _ in 0..50 {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in Vec::<Step>::arbitrary(&mut gen_steps) {
-            assert!(world.play(step));
-            drained += usize::from(world.processes.iter().any(|known| !known.drained.is_empty()));
+            assert!(simulation.run(step));
+            drained +=
+                usize::from(simulation.processes.iter().any(|known| !known.drained.is_empty()));
         }
-        sent += world.sent;
+        sent += simulation.sent;
     }
     assert!(sent > 300 && drained > 1_000, "{sent} sent, {drained} steps with a drained hall");
 }
