--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -1,4 +1,5 @@
-//! Tokens of one organisation: what a counter hands out, and what a process does without one.
+//! Quota tokens of one organisation: grants of the counter, and fallback of a process without a
+//! counter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +19,7 @@
 const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 10.0, burst: 10.0 };
 const START: Timestamp = Timestamp::from_millis(1_000);
 
-fn question(number: u64, wanted: u32) -> TokenRequest {
+fn token_request(number: u64, wanted: u32) -> TokenRequest {
     TokenRequest { number, wanted, arrived: wanted }
 }
 
@@ -27,28 +28,31 @@
 }
 
 #[test]
-fn a_counter_that_begins_has_hardly_any_tokens_and_then_those_of_its_rate() {
+fn a_new_counter_has_few_tokens_and_gains_more_at_its_rate() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    assert_eq!(counter.grant_tokens(&"a", question(1, 100), START).tokens, 2);
-    assert_eq!(counter.grant_tokens(&"a", question(2, 100), later(100)).tokens, 10);
-    let refused = counter.grant_tokens(&"a", question(3, 1), later(100));
+    assert_eq!(counter.grant_tokens(&"a", token_request(1, 100), START).tokens, 2);
+    assert_eq!(counter.grant_tokens(&"a", token_request(2, 100), later(100)).tokens, 10);
+    let refused = counter.grant_tokens(&"a", token_request(3, 1), later(100));
     assert_eq!(refused.tokens, 0);
     assert!(refused.retry_after >= Duration::from_millis(100), "{refused:?}");
 }
 
 #[test]
-fn a_question_that_arrives_twice_is_counted_once() {
+fn a_duplicate_token_request_is_counted_once() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    let first = counter.grant_tokens(&"a", question(7, 4), later(10));
-    assert_eq!(counter.grant_tokens(&"a", question(7, 4), later(10)), first);
-    assert_eq!(counter.grant_tokens(&"b", question(7, 10), later(10)).tokens, 10 - first.tokens);
+    let first = counter.grant_tokens(&"a", token_request(7, 4), later(10));
+    assert_eq!(counter.grant_tokens(&"a", token_request(7, 4), later(10)), first);
+    assert_eq!(
+        counter.grant_tokens(&"b", token_request(7, 10), later(10)).tokens,
+        10 - first.tokens
+    );
 }
 
 #[test]
-fn tokens_lapse_and_what_did_not_run_is_given_back() {
+fn tokens_expire_and_tokens_of_requests_that_did_not_run_are_returned() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
-    let counted = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
-    holder.apply_grant(&counted, START);
+    let grant = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
+    holder.apply_grant(&grant, START);
     assert_eq!(holder.admit(START), Admission::Admitted);
     holder.return_token(START);
     assert_eq!(holder.tokens(START), 2);
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn one_question_at_a_time_is_asked_and_another_after_its_asker_has_left() {
+fn one_token_request_is_in_flight_at_a_time_and_times_out_if_its_sender_has_left() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
     holder.record_arrival(START);
     assert_eq!(holder.admit(START), Admission::Ask { wanted: 1, arrived: 1 });
@@ -68,20 +72,20 @@
 }
 
 #[test]
-fn a_process_without_a_counter_admits_its_own_part() {
+fn a_process_without_a_counter_admits_its_own_share() {
     struct Case {
         note: &'static str,
         own_rate_per_s: Option<f64>,
         admitted: std::ops::RangeInclusive<usize>,
     }
     let cases = [
-        Case { note: "told nothing", own_rate_per_s: None, admitted: 1..=2 },
-        Case { note: "told its part", own_rate_per_s: Some(5.0), admitted: 49..=52 },
+        Case { note: "no share assigned", own_rate_per_s: None, admitted: 1..=2 },
+        Case { note: "share assigned", own_rate_per_s: Some(5.0), admitted: 49..=52 },
     ];
     for Case { note, own_rate_per_s, admitted } in cases {
         let mut holder = QuotaHolder::new(LIMIT, 100, START);
-        let counted = TokenGrant { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
-        holder.apply_grant(&counted, START);
+        let grant = TokenGrant { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
+        holder.apply_grant(&grant, START);
         let mut count = 0;
         for tenth in 0..100 {
             let now = later(1) + Duration::from_millis(100 * tenth);
@@ -93,12 +97,13 @@
 }
 
 #[test]
-fn a_young_counter_tells_no_part_because_it_does_not_know_the_demand_of_others() {
+fn a_new_counter_assigns_no_share_because_it_does_not_know_the_total_demand() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    assert_eq!(counter.grant_tokens(&"a", question(1, 1), later(1)).own_rate_per_s, None);
-    let _ = counter.grant_tokens(&"b", question(1, 1), later(6));
-    let told = counter.grant_tokens(&"a", question(2, 1), later(6)).own_rate_per_s.expect("a part");
-    assert!(told < LIMIT.rate_per_s, "{told}");
+    assert_eq!(counter.grant_tokens(&"a", token_request(1, 1), later(1)).own_rate_per_s, None);
+    let _ = counter.grant_tokens(&"b", token_request(1, 1), later(6));
+    let assigned =
+        counter.grant_tokens(&"a", token_request(2, 1), later(6)).own_rate_per_s.expect("a share");
+    assert!(assigned < LIMIT.rate_per_s, "{assigned}");
 }
 
 #[test]
@@ -109,15 +114,15 @@
             (0..1_000).map(|key| format!("\"{}\"", digest(name * 1_000 + key))).collect();
         format!("- {{\"name\":\"o-{name}\",\"key_digests\":[{}]}}", digests.join(","))
     });
-    // Each thousand keys are a text of their own: all of them are longer than texts may be.
+    // Every configuration has 1000 keys: all 100000 keys exceed the size limit of a configuration.
     for (name, organisation) in organisations.enumerate() {
         let text =
             format!("entry_vms_max: 1\nservices: []\nkinds: []\norganisations:\n{organisation}\n");
         let configuration = Configuration::parse(&text).expect("a configuration");
         let keys = KeyRing::new(configuration.organisations);
         let name = u32::try_from(name).expect("a number");
-        let holder = keys.owner(&digest(name * 1_000 + 999)).expect("its holder");
-        assert_eq!(holder.name.as_str(), format!("o-{name}"));
+        let owner = keys.owner(&digest(name * 1_000 + 999)).expect("an owner");
+        assert_eq!(owner.name.as_str(), format!("o-{name}"));
         assert!(keys.owner(&digest(100_000)).is_none());
     }
     assert!(KeyRing::new(Arc::default()).allows_anonymous());
@@ -131,30 +136,30 @@
 }
 
 #[test]
-fn mistakes_in_organisations_are_told_with_their_place_and_never_with_a_key() {
+fn mistakes_in_organisations_are_reported_with_their_path_and_never_with_a_key() {
     struct Case {
         organisations: &'static str,
-        told: &'static str,
+        path: &'static str,
     }
     let cases = [
         Case {
             organisations: "- {name: a, key_digests: [the-key-itself]}",
-            told: "organisations[0].key_digests[0]",
+            path: "organisations[0].key_digests[0]",
         },
-        Case { organisations: "- {name: a}\n- {name: a}", told: "organisations[1].name" },
+        Case { organisations: "- {name: a}\n- {name: a}", path: "organisations[1].name" },
         Case {
             organisations: "- {name: a, key_digests: [00000000000000000000000000000001]}\n\
                             - {name: b, key_digests: [00000000000000000000000000000001]}",
-            told: "organisations[1].key_digests[0]",
+            path: "organisations[1].key_digests[0]",
         },
-        Case { organisations: "- {name: a, rank: 10}", told: "organisations[0].rank" },
-        Case { organisations: "- {name: a, rate_per_s: -1}", told: "organisations[0].rate_per_s" },
+        Case { organisations: "- {name: a, rank: 10}", path: "organisations[0].rank" },
+        Case { organisations: "- {name: a, rate_per_s: -1}", path: "organisations[0].rate_per_s" },
     ];
-    for Case { organisations, told } in cases {
+    for Case { organisations, path } in cases {
         let text =
             format!("entry_vms_max: 1\nservices: []\nkinds: []\norganisations:\n{organisations}\n");
         let mistakes = Configuration::parse(&text).expect_err("mistakes").to_string();
-        assert!(mistakes.contains(told), "{mistakes}");
+        assert!(mistakes.contains(path), "{mistakes}");
         assert!(!mistakes.contains("the-key-itself"), "{mistakes}");
     }
 }
