--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -126,8 +126,8 @@
         groups: &'static [&'static str],
     }
     let cases = [
-        Case { note: "no drained hall", drained: &[], groups: &["a", "b", "c"] },
-        Case { note: "one drained hall", drained: &["b"], groups: &["a", "c"] },
+        Case { note: "none", drained: &[], groups: &["a", "b", "c"] },
+        Case { note: "one", drained: &["b"], groups: &["a", "c"] },
         Case { note: "all halls but one drained", drained: &["a", "b"], groups: &["all"] },
         Case { note: "a drained hall without targets", drained: &["z"], groups: &["a", "b", "c"] },
     ];
--- a/crates/thymeshift_pipeline/tests/pipelined_requests.rs
+++ b/crates/thymeshift_pipeline/tests/pipelined_requests.rs
@@ -94,7 +94,7 @@
             yielded: &[],
         },
         Case {
-            note: "a chunked body",
+            note: "chunks",
             behind: format!(
                 "GET /b HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{}",
                 get("/3")
@@ -107,7 +107,7 @@
             yielded: &[],
         },
         Case {
-            note: "HTTP/1.0",
+            note: "an older HTTP version",
             behind: format!("GET /o HTTP/1.0\r\n\r\n{}", get("/3")),
             yielded: &[],
         },
