--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -43,7 +43,7 @@
 pub use rank::AllocatorRank;
 
 /// Minimum age at which a lease that its holder does not list is released. A younger lease may be
-/// missing from the list because the holder sent it before it received the grant.
+/// unlisted because its grant was still in transit when the holder sent the list.
 const UNLISTED_GRACE: Duration = Duration::from_millis(100);
 /// Time after the request deadline at which a lease that was not released expires.
 const EXPIRY_AFTER_DEADLINE: Duration = Duration::from_millis(500);
--- a/crates/thymeshift_allocation/tests/drained_order.rs
+++ b/crates/thymeshift_allocation/tests/drained_order.rs
@@ -37,7 +37,7 @@
 use thymeshift_types::Timestamp;
 
 const PROCESSES: usize = 3;
-/// Number of processes that also allocate targets for all processes, at the same time.
+/// Number of processes, from index 0, that also allocate targets for all processes.
 const ALLOCATORS: usize = 2;
 const HALLS: [&str; 2] = ["a", "b"];
 const TARGETS_PER_HALL: usize = 2;
--- a/crates/thymeshift_organisations/src/counter.rs
+++ b/crates/thymeshift_organisations/src/counter.rs
@@ -21,7 +21,7 @@
 /// enough that tokens granted by a lost counter add at most 10% to the requests in a 5 s window.
 pub const TOKEN_TTL: Duration = Duration::from_millis(500);
 /// Initial number of tokens of a counter, in seconds of the rate. The value is small because
-/// another counter may have granted all tokens until now.
+/// another counter may have granted all available tokens just before.
 const INITIAL_LEVEL_S: f64 = 0.25;
 /// Time constant of the demand estimate of one process.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(5);
--- a/crates/thymeshift_types/src/leaving.rs
+++ b/crates/thymeshift_types/src/leaving.rs
@@ -45,6 +45,6 @@
     pub service: ServiceName,
     /// Name of the leaving target.
     pub target: TargetName,
-    /// Incarnation that is leaving. Smaller incarnations are leaving too.
+    /// Incarnation that is leaving. Smaller incarnations count as gone.
     pub incarnation: Incarnation,
 }
