--- a/crates/thymeshift_supervisor/src/lib.rs
+++ b/crates/thymeshift_supervisor/src/lib.rs
@@ -1,9 +1,9 @@
 //! A supervisor tree for tokio tasks.
 //!
-//! A [`Supervisor`] runs named [`Task`]s. A task that fails or panics is logged, counted
-//! and started anew by its [`RestartPolicy`] rule; one that does so too often in a short time
-//! ends its supervisor. A supervisor may itself be a task of another one, which then
-//! starts the whole branch anew; when the root ends, so does the process.
+//! A [`Supervisor`] runs named [`Task`]s. A task that fails or panics is logged, counted and
+//! restarted according to its [`RestartPolicy`]. A task that exceeds its restart limit ends its
+//! supervisor. A supervisor may be the child of another one, which then restarts the whole
+//! subtree; the process exits when the root supervisor ends.
 
 mod restart;
 mod status;
--- a/crates/thymeshift_supervisor/src/restart.rs
+++ b/crates/thymeshift_supervisor/src/restart.rs
@@ -1,45 +1,45 @@
-//! When a task is started anew.
+//! Restart policies of supervised tasks.
 
 use std::time::Duration;
 
-/// Restart rule of one task.
+/// Decides whether a task is restarted after it ends, and how often.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RestartPolicy {
-    pub(crate) is_ending_expected: bool,
-    pub(crate) starts_max: usize,
+    pub(crate) may_finish: bool,
+    pub(crate) restarts_max: usize,
     pub(crate) window: Duration,
-    pub(crate) pause: Duration,
+    pub(crate) delay: Duration,
 }
 
 impl RestartPolicy {
-    /// A task that runs for ever: any end is a failure. At most ten restarts in ten
-    /// seconds.
+    /// Policy of a task that runs until shutdown: every end counts as a failure, and at most ten
+    /// restarts are allowed in ten seconds.
     pub const fn always() -> Self {
         Self {
-            is_ending_expected: false,
-            starts_max: 10,
+            may_finish: false,
+            restarts_max: 10,
             window: Duration::from_secs(10),
-            pause: Duration::from_millis(100),
+            delay: Duration::from_millis(100),
         }
     }
 
-    /// A task that may end well; it is started anew only after a failure.
+    /// Policy of a task that may finish successfully; only a failed run is restarted.
     pub const fn on_failure() -> Self {
-        Self { is_ending_expected: true, ..Self::always() }
+        Self { may_finish: true, ..Self::always() }
     }
 
-    /// Allows `starts_max` restarts within `window`.
+    /// Allows `restarts_max` restarts within `window` before the supervisor gives up on the task.
     #[must_use]
-    pub const fn with_limit(mut self, starts_max: usize, window: Duration) -> Self {
-        self.starts_max = starts_max;
+    pub const fn with_limit(mut self, restarts_max: usize, window: Duration) -> Self {
+        self.restarts_max = restarts_max;
         self.window = window;
         self
     }
 
-    /// Waits `pause` before each restart.
+    /// Waits `delay` before each restart.
     #[must_use]
-    pub const fn with_delay(mut self, pause: Duration) -> Self {
-        self.pause = pause;
+    pub const fn with_delay(mut self, delay: Duration) -> Self {
+        self.delay = delay;
         self
     }
 }
--- a/crates/thymeshift_supervisor/src/supervisor.rs
+++ b/crates/thymeshift_supervisor/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Running tasks and starting them anew.
+//! Runs supervised tasks and restarts the ones that fail.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,21 +18,21 @@
 use crate::Task;
 use crate::TaskError;
 
-/// A task that failed too often for its supervisor to go on.
+/// Error that ends a supervisor when one of its tasks exceeds the restart limit.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("task {path} ended {end_count} times within {window:?}, last: {last_reason}")]
 pub struct Escalation {
-    /// Names of its supervisors and its own, joined by `/`.
+    /// Names of all enclosing supervisors and of the task, joined by `/`.
     pub path: String,
-    /// How often.
+    /// Failures of the task within `window`.
     pub end_count: usize,
-    /// In which time.
+    /// Time span in which the failures are counted.
     pub window: Duration,
-    /// How it ended the last time.
+    /// Error text of the task's last failure.
     pub last_reason: String,
 }
 
-/// Runs tasks. Dropping the future of [`Supervisor::run`] ends all of them.
+/// Supervisor of a group of tasks. Dropping the future of [`Supervisor::run`] cancels all of them.
 #[derive(Debug, Clone)]
 pub struct Supervisor {
     name: &'static str,
@@ -42,26 +42,26 @@
 }
 
 impl Supervisor {
-    /// A supervisor without tasks, which notes their states in `statuses`.
+    /// Creates a supervisor without tasks, which records the state of its tasks in `statuses`.
     pub fn new(name: &'static str, statuses: Statuses) -> Self {
         Self { name, tasks: Vec::new(), branches: Vec::new(), statuses }
     }
 
-    /// Adds a task.
+    /// Adds a task that runs under this supervisor.
     #[must_use]
     pub fn with_task(mut self, task: Task) -> Self {
         self.tasks.push(task);
         self
     }
 
-    /// Adds a branch: a supervisor whose end starts it anew as a whole.
+    /// Adds a child supervisor, whose tasks are restarted together when it gives up.
     #[must_use]
     pub fn with_branch(mut self, branch: Self) -> Self {
         self.branches.push(branch);
         self
     }
 
-    /// Runs the tree until a task fails too often.
+    /// Runs the supervisor tree until a task exceeds its restart limit.
     pub async fn run(self) -> Result<(), Escalation> {
         let path = self.name.to_owned();
         self.run_at(path).await
@@ -78,11 +78,11 @@
             let task = branch_task(branch, path.clone());
             monitors.spawn(monitor(task, path, self.statuses.clone()));
         }
-        while let Some(ended) = monitors.join_next().await {
-            match ended {
+        while let Some(finished) = monitors.join_next().await {
+            match finished {
                 Ok(Ok(())) => {}
                 Ok(Err(escalation)) => return Err(escalation),
-                Err(error) => return Err(monitor_lost(path, &error)),
+                Err(error) => return Err(monitor_failed(path, &error)),
             }
         }
         Ok(())
@@ -96,48 +96,48 @@
     })
 }
 
-fn monitor_lost(path: String, error: &tokio::task::JoinError) -> Escalation {
+fn monitor_failed(path: String, error: &tokio::task::JoinError) -> Escalation {
     Escalation { path, end_count: 1, window: Duration::ZERO, last_reason: error.to_string() }
 }
 
-/// Runs one task until it may end or must not be started again.
+/// Runs one task, and restarts it until it finishes or exceeds its restart limit.
 async fn monitor(task: Task, path: String, statuses: Statuses) -> Result<(), Escalation> {
-    let mut ends: VecDeque<Instant> = VecDeque::new();
+    let mut failures: VecDeque<Instant> = VecDeque::new();
     loop {
-        statuses.started(&path);
-        let end = run_once(&task).await;
-        statuses.ended(&path);
-        let End::Failed(kind, last_reason) = end else {
+        statuses.record_start(&path);
+        let outcome = run_once(&task).await;
+        statuses.record_end(&path);
+        let TaskEnd::Failed(kind, last_reason) = outcome else {
             return Ok(());
         };
         counter!(metric::TASK_ENDS, "task" => path.clone(), "end" => kind.as_str()).increment(1);
         warn!("task_ended", kv: { task = path.as_str(), end = kind.as_str(), reason = last_reason.as_str() });
         let now = Instant::now();
-        ends.push_back(now);
-        while ends.front().is_some_and(|end| now - *end > task.restart.window) {
-            ends.pop_front();
+        failures.push_back(now);
+        while failures.front().is_some_and(|failed_at| now - *failed_at > task.restart.window) {
+            failures.pop_front();
         }
-        if ends.len() > task.restart.starts_max {
-            error!("task_given_up", kv: { task = path.as_str(), ends = ends.len() });
+        if failures.len() > task.restart.restarts_max {
+            error!("task_given_up", kv: { task = path.as_str(), ends = failures.len() });
             let window = task.restart.window;
-            return Err(Escalation { path, end_count: ends.len(), window, last_reason });
+            return Err(Escalation { path, end_count: failures.len(), window, last_reason });
         }
-        sleep(task.restart.pause).await;
+        sleep(task.restart.delay).await;
     }
 }
 
-enum End {
+enum TaskEnd {
     Finished,
-    Failed(EndKind, String),
+    Failed(FailureKind, String),
 }
 
 #[derive(Clone, Copy)]
-enum EndKind {
+enum FailureKind {
     Failed,
     Panicked,
 }
 
-impl EndKind {
+impl FailureKind {
     fn as_str(self) -> &'static str {
         match self {
             Self::Failed => "failed",
@@ -146,15 +146,15 @@
     }
 }
 
-async fn run_once(task: &Task) -> End {
-    // A set of its own, so that dropping the monitor ends the task.
+async fn run_once(task: &Task) -> TaskEnd {
+    // The task lives in its own `JoinSet`, so that dropping the monitor cancels the task.
     let mut set = JoinSet::new();
     set.spawn((task.start)());
     match set.join_next().await {
-        Some(Ok(Ok(()))) if task.restart.is_ending_expected => End::Finished,
-        Some(Ok(Ok(()))) => End::Failed(EndKind::Failed, "ended unexpectedly".to_owned()),
-        Some(Ok(Err(error))) => End::Failed(EndKind::Failed, error.to_string()),
-        Some(Err(error)) => End::Failed(EndKind::Panicked, error.to_string()),
-        None => End::Finished,
+        Some(Ok(Ok(()))) if task.restart.may_finish => TaskEnd::Finished,
+        Some(Ok(Ok(()))) => TaskEnd::Failed(FailureKind::Failed, "ended unexpectedly".to_owned()),
+        Some(Ok(Err(error))) => TaskEnd::Failed(FailureKind::Failed, error.to_string()),
+        Some(Err(error)) => TaskEnd::Failed(FailureKind::Panicked, error.to_string()),
+        None => TaskEnd::Finished,
     }
 }
--- a/crates/thymeshift_supervisor/src/task.rs
+++ b/crates/thymeshift_supervisor/src/task.rs
@@ -1,4 +1,4 @@
-//! A named piece of work that can be started more than once.
+//! Tasks that a supervisor can start repeatedly.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 
 use crate::RestartPolicy;
 
-/// Why a task failed: the error's text with its sources.
+/// Failure of a task: the error's message followed by the messages of its sources.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct TaskError(String);
 
 impl TaskError {
-    /// A failure described by `reason`.
+    /// Creates a failure with `reason` as its message.
     pub fn new(reason: impl Into<String>) -> Self {
         Self(reason.into())
     }
@@ -23,10 +23,10 @@
     fn from(error: E) -> Self {
         let mut text = error.to_string();
         let mut source = error.source();
-        while let Some(inner) = source {
+        while let Some(cause) = source {
             text.push_str(": ");
-            text.push_str(&inner.to_string());
-            source = inner.source();
+            text.push_str(&cause.to_string());
+            source = cause.source();
         }
         Self(text)
     }
@@ -34,7 +34,7 @@
 
 pub(crate) type Start = dyn Fn() -> BoxFuture<'static, Result<(), TaskError>> + Send + Sync;
 
-/// A task of a supervisor.
+/// A named task that a supervisor runs.
 #[derive(Clone)]
 pub struct Task {
     pub(crate) name: &'static str,
@@ -43,7 +43,8 @@
 }
 
 impl Task {
-    /// A task called `name`; `start` makes its future, again after each failure.
+    /// Creates a task called `name`; `start` returns a new future for the first run and for each
+    /// restart.
     pub fn new<F>(
         name: &'static str,
         restart: RestartPolicy,
