--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Panics and failures stay where they arise, up to the limit.
+//! Failed and panicked tasks are restarted without affecting other tasks, up to the restart limit.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -12,9 +12,9 @@
 use thymeshift_supervisor::TaskError;
 use tokio::time::timeout;
 
-const QUICK: RestartPolicy = RestartPolicy::always().with_delay(Duration::from_millis(1));
+const FAST_RESTART: RestartPolicy = RestartPolicy::always().with_delay(Duration::from_millis(1));
 
-/// How a task behaves each time it is started.
+/// How the task under test ends.
 #[derive(Debug, Clone, Copy)]
 enum Behaviour {
     Panics,
@@ -22,18 +22,19 @@
     Ends,
 }
 
-/// A task that misbehaves `times` times and then runs on; counts its starts.
+/// Creates a task that ends as `behaviour` says in its first `failing_starts` runs, then runs
+/// forever. Each start increments `starts`.
 fn task(
     restart: RestartPolicy,
     behaviour: Behaviour,
-    times: usize,
+    failing_starts: usize,
     starts: &Arc<AtomicUsize>,
 ) -> Task {
     let starts = starts.clone();
     Task::new("odd", restart, move || {
         let start = starts.fetch_add(1, Ordering::SeqCst);
         async move {
-            if start >= times {
+            if start >= failing_starts {
                 std::future::pending::<()>().await;
             }
             match behaviour {
@@ -50,8 +51,12 @@
     for behaviour in [Behaviour::Panics, Behaviour::Fails, Behaviour::Ends] {
         let starts = Arc::new(AtomicUsize::new(0));
         let statuses = Statuses::default();
-        let tree =
-            Supervisor::new("root", statuses.clone()).with_task(task(QUICK, behaviour, 3, &starts));
+        let tree = Supervisor::new("root", statuses.clone()).with_task(task(
+            FAST_RESTART,
+            behaviour,
+            3,
+            &starts,
+        ));
         let running = tokio::spawn(tree.run());
         let reached = async {
             while starts.load(Ordering::SeqCst) < 4 {
@@ -69,7 +74,7 @@
 #[tokio::test]
 async fn too_many_ends_escalate_with_their_path_and_reason() {
     let starts = Arc::new(AtomicUsize::new(0));
-    let restart = QUICK.with_limit(2, Duration::from_mins(1));
+    let restart = FAST_RESTART.with_limit(2, Duration::from_mins(1));
     let branch = Supervisor::new("branch", Statuses::default()).with_task(task(
         restart,
         Behaviour::Fails,
