--- a/crates/thymeshift_fleet/src/published.rs
+++ b/crates/thymeshift_fleet/src/published.rs
@@ -1,4 +1,4 @@
-//! A document as the platform published it.
+//! Documents (configuration, target list) as the platform published them.
 
 use std::sync::Arc;
 
@@ -7,16 +7,16 @@
 use thymeshift_types::Digest;
 use thymeshift_types::Revision;
 
-/// Revision and digest of a document: enough to compare two processes.
+/// Revision and digest of a document, enough to tell whether two processes run the same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Head {
-    /// The platform's revision.
+    /// Revision that the platform assigned to the document.
     pub revision: Revision,
-    /// Digest of the text.
+    /// Digest of the document's text.
     pub digest: Digest,
 }
 
-/// A document with its revision. The digest always fits the text.
+/// A document with its revision and digest. The digest always matches the text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Raw", into = "Raw")]
 pub struct Published {
@@ -24,7 +24,8 @@
     text: Arc<str>,
 }
 
-/// What travels: the digest is computed anew by whoever receives it.
+/// Serialized form of [`Published`]. The digest is left out: the receiver computes it from the
+/// text.
 #[derive(Serialize, Deserialize)]
 struct Raw {
     revision: Revision,
@@ -32,18 +33,18 @@
 }
 
 impl Published {
-    /// The document `text` at `revision`.
+    /// Creates a document from its `text` and the `revision` it was published under.
     pub fn new(revision: Revision, text: &str) -> Self {
         let digest = Digest::of(text.as_bytes());
         Self { head: Head { revision, digest }, text: Arc::from(text) }
     }
 
-    /// Revision and digest.
+    /// Returns the document's revision and digest.
     pub fn head(&self) -> Head {
         self.head
     }
 
-    /// The text.
+    /// Returns the document's text.
     pub fn text(&self) -> &str {
         &self.text
     }
