--- a/crates/thymeshift_fleet/src/digest.rs
+++ b/crates/thymeshift_fleet/src/digest.rs
@@ -1,4 +1,5 @@
-//! Comparing what two processes know of the fleet without telling it.
+//! Digests of the known members, so that two processes can compare their views of the fleet
+//! without sending all members.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,28 +8,28 @@
 use crate::Member;
 use crate::Phase;
 
-/// Two processes that know the same starts of the same members in the same phases have the
-/// same.
+/// Digest of a set of members. Two digests are equal if both sets contain the same boots of the
+/// same members in the same phases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersDigest(u64);
 
-/// What a process knows of the fleet.
+/// Digests of everything a process knows about the fleet's members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetDigest {
-    /// The members of its data hall.
+    /// Digest of the members in the process's own data hall.
     pub hall: MembersDigest,
-    /// The contacts of all data halls.
+    /// Digest of the contacts of all data halls.
     pub contacts: MembersDigest,
 }
 
 impl MembersDigest {
-    /// The digest of these members, in any order.
+    /// Computes the digest of `members`; their order does not matter.
     pub fn of<'a>(members: impl Iterator<Item = &'a Member>) -> Self {
-        Self(members.map(digest).fold(0, |sum, one| sum ^ one))
+        Self(members.map(member_hash).fold(0, |sum, hash| sum ^ hash))
     }
 }
 
-fn digest(member: &Member) -> u64 {
+fn member_hash(member: &Member) -> u64 {
     let phase = match member.phase {
         Phase::Starting => 1,
         Phase::Serving => 2,
