--- a/crates/thymeshift_fleet/src/leaving.rs
+++ b/crates/thymeshift_fleet/src/leaving.rs
@@ -1,12 +1,12 @@
-//! Targets that are leaving, from any source, sticky for each incarnation.
+//! Marks of targets that are leaving, kept for each target's incarnation.
 //!
-//! The register only grows: for each target it keeps the largest incarnation that was
-//! said to be leaving. Two registers are merged by taking the larger number, so the order
-//! and number of messages do not matter and a stale source cannot bring a target back.
-//! A later incarnation of the target is not covered by the mark and serves again.
+//! For each target the register keeps the largest incarnation that any source reported as leaving.
+//! Merging two registers takes the larger incarnation per target, so the order and number of
+//! messages do not matter, and a stale source cannot return a leaving target to service. A later
+//! incarnation of the target is not covered by the mark and serves again.
 //!
-//! A mark outlives the target's entry in the list: entries lapse while the source is away, and come
-//! back for the same start.
+//! A mark outlives the target's entry in the target list: entries expire while the source is
+//! unavailable, and the same incarnation is listed again once the source returns.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,49 +19,51 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 
-/// Marks kept at most. Beyond it, a new one replaces that of the target that has been unlisted for
-/// longest.
+/// Maximum number of marks. Beyond this limit a new mark replaces the mark of the target that has
+/// been unlisted for longest.
 const MARKS_MAX: usize = 65_536;
-/// How long the mark of a target is kept that is not listed: longer than an entry takes to come back
-/// once the source has returned.
+/// Time that the mark of an unlisted target is kept; longer than a target takes to be listed again
+/// after an outage of the source.
 const UNLISTED_MARK_TTL: Duration = Duration::from_mins(10);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Key {
+struct TargetKey {
     service: ServiceName,
     target: TargetName,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Mark {
+struct MarkEntry {
     incarnation: Incarnation,
-    /// When its target was first found missing from the list; none while it is listed.
+    /// Time at which the target was first missing from the target list; `None` while the target is
+    /// listed.
     unlisted_since: Option<Timestamp>,
 }
 
-/// All marks known to this process.
+/// All leaving marks known to this process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LeavingRegister {
-    marks: BTreeMap<Key, Mark>,
+    marks: BTreeMap<TargetKey, MarkEntry>,
 }
 
 impl LeavingRegister {
-    /// Adds a mark. Returns whether it is news.
+    /// Adds a mark. Returns whether the mark was new, or newer than the one known for its target.
     pub fn add(&mut self, mark: &LeavingMark) -> bool {
-        let key = Key { service: mark.service.clone(), target: mark.target.clone() };
+        let key = TargetKey { service: mark.service.clone(), target: mark.target.clone() };
         if let Some(known) = self.marks.get_mut(&key) {
-            let is_news = known.incarnation < mark.incarnation;
+            let is_new = known.incarnation < mark.incarnation;
             known.incarnation = known.incarnation.max(mark.incarnation);
-            return is_news;
+            return is_new;
         }
         if self.marks.len() >= MARKS_MAX && !self.drop_longest_unlisted() {
             return false;
         }
-        self.marks.insert(key, Mark { incarnation: mark.incarnation, unlisted_since: None });
+        self.marks.insert(key, MarkEntry { incarnation: mark.incarnation, unlisted_since: None });
         true
     }
 
-    /// Makes room for a mark. Returns whether there is room now.
+    /// Drops the mark of the target that has been unlisted for longest. Returns `false` if all
+    /// marked targets are listed.
     fn drop_longest_unlisted(&mut self) -> bool {
         let unlisted =
             self.marks.iter().filter_map(|(key, mark)| Some((mark.unlisted_since?, key)));
@@ -72,19 +74,20 @@
         self.marks.remove(&key).is_some()
     }
 
-    /// Whether this incarnation is leaving.
+    /// Returns whether this incarnation of the target is leaving.
     pub fn is_leaving(
         &self,
         service: &ServiceName,
         target: &TargetName,
         incarnation: Incarnation,
     ) -> bool {
-        let key = Key { service: service.clone(), target: target.clone() };
-        self.marks.get(&key).is_some_and(|marked| marked.incarnation >= incarnation)
+        let key = TargetKey { service: service.clone(), target: target.clone() };
+        self.marks.get(&key).is_some_and(|mark| mark.incarnation >= incarnation)
     }
 
-    /// Forgets marks of targets that are listed with a later incarnation, or that have not been
-    /// listed for long. `listed` tells the incarnation with which a target is listed now.
+    /// Drops marks of targets that are listed with a later incarnation, or that have been unlisted
+    /// for `UNLISTED_MARK_TTL`. `listed` returns the incarnation that a target is currently
+    /// listed with.
     pub fn prune(
         &mut self,
         listed: impl Fn(&ServiceName, &TargetName) -> Option<Incarnation>,
@@ -99,7 +102,7 @@
         });
     }
 
-    /// All marks of one service.
+    /// Returns all marks of the targets of one service.
     pub fn of_service<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -108,28 +111,28 @@
         marks.map(|(key, mark)| to_mark(key, mark))
     }
 
-    /// Up to `count` marks, beginning behind `after`, in a fixed order; ask again with the
-    /// last one to see the next.
+    /// Returns up to `count` marks that sort after `after`, in a fixed order. Pass the last mark
+    /// of a page to get the next page.
     pub fn page(&self, after: Option<&LeavingMark>, count: usize) -> Vec<LeavingMark> {
-        let start =
-            after.map(|mark| Key { service: mark.service.clone(), target: mark.target.clone() });
-        let is_behind = |key: &Key| start.as_ref().is_none_or(|start| key > start);
-        let marks = self.marks.iter().filter(|(key, _)| is_behind(key));
+        let cursor = after
+            .map(|mark| TargetKey { service: mark.service.clone(), target: mark.target.clone() });
+        let is_after_cursor = |key: &TargetKey| cursor.as_ref().is_none_or(|cursor| key > cursor);
+        let marks = self.marks.iter().filter(|(key, _)| is_after_cursor(key));
         marks.take(count).map(|(key, mark)| to_mark(key, mark)).collect()
     }
 
-    /// Number of marks.
+    /// Returns the number of marks.
     pub fn len(&self) -> usize {
         self.marks.len()
     }
 
-    /// Whether there is no mark.
+    /// Returns whether the register contains no marks.
     pub fn is_empty(&self) -> bool {
         self.marks.is_empty()
     }
 }
 
-fn to_mark(key: &Key, mark: &Mark) -> LeavingMark {
+fn to_mark(key: &TargetKey, mark: &MarkEntry) -> LeavingMark {
     let (service, target) = (key.service.clone(), key.target.clone());
     LeavingMark { service, target, incarnation: mark.incarnation }
 }
