--- a/crates/thymeshift_fleet/src/adoption.rs
+++ b/crates/thymeshift_fleet/src/adoption.rs
@@ -1,15 +1,16 @@
-//! Which published revision is in force at this process.
+//! Decides which published revision of a document is in force at this process.
 //!
-//! The rule, whatever the source (platform, peer, bootstrap):
+//! The same rules apply to every source (platform, peer, bootstrap):
 //!
-//! * a smaller revision is ignored: what is in force never goes down;
-//! * the same revision with the same digest is a confirmation;
-//! * the same revision with another digest is a conflict: what is in force stays, and the
-//!   conflict is reported until a larger revision ends it. Choosing one of the two by a
-//!   rule would change what is in force without a revision that an operator could see;
-//! * a larger revision that passes the check is adopted; one that fails is rejected and
-//!   remembered, and the last good one stays. The check depends on the bytes alone, so
-//!   every process rejects the same ones.
+//! * A smaller revision is ignored: the revision in force never decreases.
+//! * The same revision with the same digest is a confirmation.
+//! * The same revision with another digest is a conflict: the document in force stays, and the
+//!   conflict is reported until a larger revision is adopted. Picking one of the two documents by
+//!   some rule would change the document in force without a new revision that an operator could
+//!   see.
+//! * A larger revision that passes the check is adopted. A larger revision that fails the check is
+//!   rejected and remembered, and the last good document stays in force. The check depends only on
+//!   the document's bytes, so every process rejects the same documents.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -20,40 +21,40 @@
 use crate::Published;
 use crate::Transfer;
 
-/// What became of an offered document.
+/// Outcome of offering a document to [`Adoption`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force now.
+    /// The offered document is now in force.
     Adopted,
-    /// It is in force already.
+    /// The offered document was already in force.
     Confirmed,
-    /// It is older than what is in force.
+    /// The offered document is older than the one in force.
     Older,
-    /// It has the revision in force but other content.
+    /// The offered document has the same revision as the one in force, but another digest.
     Conflicting,
-    /// It does not pass the check.
+    /// The offered document did not pass the check.
     Rejected,
 }
 
-/// Two contents under one revision.
+/// Two documents with different content under the same revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// What is in force.
+    /// Revision and digest of the document in force.
     pub in_force: Head,
-    /// What was offered.
+    /// Revision and digest of the other document.
     pub offered: Head,
 }
 
-/// A revision that did not pass the check.
+/// A document that did not pass the check.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// Which.
+    /// Revision and digest of the rejected document.
     pub head: Head,
-    /// Why, with the places.
+    /// Mistakes found by the check, each with its place in the document.
     pub mistakes: String,
 }
 
-/// The document in force, and what was refused.
+/// The document in force, with its recent deltas and the last conflict and rejection.
 #[derive(Debug, Clone, Default)]
 pub struct Adoption {
     in_force: Option<Published>,
@@ -64,8 +65,8 @@
 }
 
 impl Adoption {
-    /// Offers a document. `check` is called only for a larger revision that was not
-    /// rejected before; its value is handed to the caller with [`OfferOutcome::Adopted`].
+    /// Offers a document. `check` is called only for a larger revision that was not rejected
+    /// before; its value is returned together with [`OfferOutcome::Adopted`].
     pub fn offer<V, E: ToString>(
         &mut self,
         offered: &Published,
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Takes in what another process runs. Returns whether it runs other content under the
-    /// revision in force here, and that is news.
+    /// Records the revision and digest that a peer runs. Returns whether this reveals a new
+    /// conflict: different content under the revision in force here.
     pub fn observe_peer_head(&mut self, theirs: Head) -> bool {
         let Some(ours) = self.head() else {
             return false;
@@ -111,9 +112,9 @@
             return false;
         }
         let conflict = Conflict { in_force: ours, offered: theirs };
-        let is_news = self.conflict.as_ref() != Some(&conflict);
+        let is_new = self.conflict.as_ref() != Some(&conflict);
         self.conflict = Some(conflict);
-        is_news
+        is_new
     }
 
     fn adopt(&mut self, offered: &Published, now: Timestamp) {
@@ -122,8 +123,9 @@
         }
         self.since = now;
         self.conflict = None;
-        let is_settled = |rejection: &Rejection| rejection.head.revision < offered.head().revision;
-        if self.rejection.as_ref().is_some_and(is_settled) {
+        let is_superseded =
+            |rejection: &Rejection| rejection.head.revision < offered.head().revision;
+        if self.rejection.as_ref().is_some_and(is_superseded) {
             self.rejection = None;
         }
     }
@@ -132,32 +134,33 @@
         self.rejection.as_ref().is_some_and(|rejection| rejection.head == head)
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn in_force(&self) -> Option<&Published> {
         self.in_force.as_ref()
     }
 
-    /// Its revision and digest.
+    /// Returns the revision and digest of the document in force.
     pub fn head(&self) -> Option<Head> {
         self.in_force.as_ref().map(Published::head)
     }
 
-    /// Since when it is in force.
+    /// Returns the time at which the document in force was adopted.
     pub fn since(&self) -> Timestamp {
         self.since
     }
 
-    /// A conflict that no larger revision has ended yet.
+    /// Returns the current conflict, which ends when a larger revision is adopted.
     pub fn conflict(&self) -> Option<&Conflict> {
         self.conflict.as_ref()
     }
 
-    /// The last rejected revision, unless a larger one is in force.
+    /// Returns the last rejected document, unless a larger revision has been adopted since.
     pub fn rejection(&self) -> Option<&Rejection> {
         self.rejection.as_ref()
     }
 
-    /// What a process that has `theirs` needs; nothing while nothing is in force.
+    /// Returns the transfer for a process that runs `theirs`; [`Transfer::UpToDate`] if this
+    /// process has no document in force.
     pub fn transfer(&self, theirs: Option<Head>) -> Transfer {
         match &self.in_force {
             Some(current) => self.history.transfer(theirs, current),
