--- a/crates/thymeshift_fleet/src/rank.rs
+++ b/crates/thymeshift_fleet/src/rank.rs
@@ -1,32 +1,34 @@
-//! The order of processes for a task: the same wherever the same processes are known.
+//! Rankings of processes for a task; processes that know the same members compute the same
+//! ranking.
 //!
-//! Rendezvous hashing with weights: each process gets a number from its own name, the task's
-//! and its VM's capacity. One that comes or goes changes the order of no two others, so that
-//! little work moves. Work for the whole fleet should hardly ever fall on a small VM while
-//! there are large ones, so the weight is the cube of the capacity.
+//! This is weighted rendezvous hashing: the score of a process depends only on its own name, the
+//! task's name and the capacity of its VM. A process that joins or leaves does not change the
+//! relative order of any two others, so little work moves. Work for the whole fleet should rarely
+//! be assigned to a small VM while large ones are available, so the weight is the cube of the
+//! capacity.
 
 use thymeshift_types::Capacity;
 use thymeshift_types::VmName;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Power of the capacity that a process is weighted by.
+/// Exponent applied to a VM's capacity to get its weight in rankings.
 const CAPACITY_POWER: i32 = 3;
-/// Name of the task in which the contacts of a data hall are ranked: they stand for their hall,
-/// and new documents go from the first of them to the others.
+/// Name of the task that ranks the contacts of a data hall. Contacts represent their hall in other
+/// halls, and new documents spread from the first contact to the rest of the hall.
 pub(crate) const CONTACT_TASK: &str = "contact of a data hall";
-/// Number of hashes there are.
-const HASHES: f64 = 18_446_744_073_709_551_616.0;
+/// Number of distinct 64-bit hash values.
+const HASH_COUNT: f64 = 18_446_744_073_709_551_616.0;
 
-/// A process that may be given a task.
+/// A process that is eligible for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its VM.
+    /// VM that the process runs on.
     pub vm: &'a VmName,
-    /// Its VM's capacity.
+    /// Capacity of the process's VM.
     pub capacity: Capacity,
 }
 
-/// `candidates` in the order in which they are asked to do `task`.
+/// Returns the VMs of `candidates` in ranking order for `task`, first choice first.
 pub fn ranked<'a>(task: &str, candidates: impl Iterator<Item = Candidate<'a>>) -> Vec<&'a VmName> {
     let seed = seed_of(task);
     let scored = candidates.map(|candidate| (score(candidate, seed), candidate.vm));
@@ -37,19 +39,21 @@
     scored.into_iter().map(|(_, vm)| vm).collect()
 }
 
-/// A process's place among the contacts of its data hall; the smaller, the earlier.
+/// Returns the score of a process among the contacts of its data hall; the lowest score ranks
+/// first.
 pub(crate) fn contact_score(candidate: Candidate<'_>) -> f64 {
     score(candidate, seed_of(CONTACT_TASK))
 }
 
-/// What makes the order of one task differ from that of another.
+/// Returns the hash seed of a task, so that different tasks get independent rankings.
 fn seed_of(task: &str) -> u64 {
     xxh3_64_with_seed(task.as_bytes(), 0)
 }
 
-/// The smaller, the earlier: an exponential variable whose rate is the weight.
+/// Returns the score of a candidate; the lowest score ranks first. The score is an exponentially
+/// distributed value whose rate is the candidate's weight.
 fn score(candidate: Candidate<'_>, seed: u64) -> f64 {
     let hash = xxh3_64_with_seed(candidate.vm.as_str().as_bytes(), seed);
-    let even = (hash as f64 + 0.5) / HASHES;
-    -even.ln() / candidate.capacity.processors().powi(CAPACITY_POWER)
+    let uniform = (hash as f64 + 0.5) / HASH_COUNT;
+    -uniform.ln() / candidate.capacity.processors().powi(CAPACITY_POWER)
 }
