--- a/crates/thymeshift_fleet/src/pace.rs
+++ b/crates/thymeshift_fleet/src/pace.rs
@@ -1,34 +1,35 @@
-//! How often a process takes in a new list of targets.
+//! Limits how often a process applies a new list of targets.
 //!
-//! What it does: after each list it rests for a few times as long as that took, up to a bound.
+//! After each list the process pauses for a multiple of the time that applying the list took, up
+//! to a maximum. Lists that arrive during the pause are applied together.
 //!
-//! Load pattern: targets of a large fleet are replaced one after the other, ten a second, and a VM
-//! has a tenth of a processor. Each list read at once, the process has no time left for requests.
-//! Changes that come during the rest are taken in together.
+//! In a large fleet ten targets may be replaced per second during a rollout, while a VM has a
+//! tenth of a processor. Applying every list at once would leave the process no time for requests.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Rest after a list, over the time that it took: the lists take at most a tenth of the processor.
-const REST_FACTOR: u32 = 9;
-/// Longest rest. News passes through up to four processes on its way, and targets that leave must
-/// be known everywhere within two seconds.
-const REST_MAX: Duration = Duration::from_millis(400);
+/// Ratio of the pause to the time that applying a list took; 9 limits lists to a tenth of the
+/// processor.
+const DELAY_FACTOR: u32 = 9;
+/// Longest pause between two lists. A list passes through up to four processes, and a leaving
+/// target must be known everywhere within two seconds.
+const DELAY_MAX: Duration = Duration::from_millis(400);
 
-/// When the next list may be taken in.
+/// Tracks when the next target list may be applied.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ListPace {
     not_before: Timestamp,
 }
 
 impl ListPace {
-    /// A list was taken in; it took `spent`.
-    pub fn record_applied(&mut self, spent: Duration, now: Timestamp) {
-        self.not_before = now + (spent * REST_FACTOR).min(REST_MAX);
+    /// Records that a list was applied until `now`, and that applying the list took `cost`.
+    pub fn record_applied(&mut self, cost: Duration, now: Timestamp) {
+        self.not_before = now + (cost * DELAY_FACTOR).min(DELAY_MAX);
     }
 
-    /// Time until the next one may be.
+    /// Returns the time until the next list may be applied, or zero.
     pub fn remaining_delay(&self, now: Timestamp) -> Duration {
         now.until(self.not_before)
     }
