--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -1,21 +1,21 @@
-//! Coordination without I/O and without shared state: how processes that cannot write
-//! anywhere agree.
+//! Coordination of processes without I/O, shared state or a coordinator.
 //!
-//! * [`Adoption`]: which published revision is in force; it never goes down.
-//! * [`History`] and [`Delta`]: what is sent to a process that runs an older revision.
-//! * [`WatcherSelection`]: who reads the platform, a few at a time, without an election.
-//! * [`LeavingRegister`]: targets that get no new work, sticky for each incarnation.
-//! * [`Members`]: who else is there, from direct evidence and passed-on heartbeats; all of the
-//!   own data hall, a few of every other.
-//! * [`Readers`]: who reads the source, a few at a time, by rank.
-//! * [`relay_position`]: how a document reaches all processes of a data hall.
-//! * [`Quarantine`]: requests that crash the targets which run them.
-//! * [`Orders`]: operators' temporary orders, the same everywhere in any order of arrival.
+//! * [`Adoption`]: the revision of a document that is in force; the revision never decreases.
+//! * [`History`] and [`Delta`]: transfers to processes that run an older revision.
+//! * [`WatcherSelection`]: the few processes that watch the platform, without an election.
+//! * [`LeavingRegister`]: targets that receive no new work, marked per incarnation.
+//! * [`Members`]: the known processes, from direct contact and gossiped heartbeats: all members of
+//!   the own data hall, and a few of every other hall.
+//! * [`Readers`]: the few processes that read the source of configuration and targets, by rank.
+//! * [`relay_position`]: the relay tree that distributes documents within a data hall.
+//! * [`Quarantine`]: requests that are refused because they crash the targets that run them.
+//! * [`Orders`]: operators' temporary orders, which converge in any order of arrival.
 //!
-//! Times are arguments; after a pause of its own a process calls `paused` on what has such
-//! a method, so that it does not blame the others for its own absence.
+//! All functions take the time as an argument. After a pause of its own, a process calls `paused`
+//! on the types that have this method, so that its own absence does not count as silence of the
+//! others.
 //!
-//! Messages go in and come out as plain data; `thymeshift_wire` carries them.
+//! Messages are plain data; `thymeshift_wire` sends and receives them.
 
 mod adoption;
 mod delta;
