--- a/crates/thymeshift_fleet/src/member.rs
+++ b/crates/thymeshift_fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One process as it describes itself, and what others believe of it.
+//! Self-descriptions of processes, and the liveness that other processes assign to them.
 
 use std::net::SocketAddr;
 
@@ -12,72 +12,73 @@
 
 use crate::Candidate;
 
-/// Tells two starts of a process on one VM apart. Larger is later.
+/// Distinguishes successive starts of a process on the same VM; a later start has a larger value.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 pub struct Boot(u64);
 
 impl Boot {
-    /// A start with this number; processes take the wall clock in milliseconds.
+    /// Creates a boot identifier; processes use the wall clock in milliseconds.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The number.
+    /// Returns the boot identifier as a number.
     pub const fn as_u64(self) -> u64 {
         self.0
     }
 }
 
-/// What a process says of itself.
+/// Lifecycle phase that a process reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It is starting and serves nobody yet.
+    /// The process is starting and accepts no requests yet.
     #[display("starting")]
     Starting,
-    /// It serves.
+    /// The process accepts requests.
     #[display("serving")]
     Serving,
-    /// It is stopping.
+    /// The process is shutting down.
     #[display("stopping")]
     Stopping,
 }
 
-/// One process as it describes itself; passed on unchanged.
+/// Self-description of a process, relayed unchanged by other processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its VM.
+    /// VM that the process runs on.
     pub vm: VmName,
-    /// Its start.
+    /// Boot of the process; larger for a later start on the same VM.
     pub boot: Boot,
-    /// Counts up while it runs.
+    /// Counter that the process increments while it runs.
     pub heartbeat: u64,
-    /// Where peers connect to it.
+    /// Address that peers connect to.
     pub peer_address: SocketAddr,
-    /// Where the operators' program connects to it.
+    /// Address that `thymeshiftctl` connects to.
     pub control_address: SocketAddr,
-    /// Where its datagrams arrive, if it takes any.
+    /// Address that receives the process's datagrams; `None` if the process accepts none.
     pub datagram_address: Option<SocketAddr>,
-    /// Its data hall.
+    /// Data hall that the process runs in.
     pub data_hall: DataHallName,
-    /// Its VM's capacity.
+    /// Capacity of the process's VM.
     pub capacity: Capacity,
-    /// What it says of itself.
+    /// Lifecycle phase of the process.
     pub phase: Phase,
-    /// The configuration's revision in force there.
+    /// Revision of the configuration in force at the process.
     pub revision: Option<Revision>,
 }
 
 impl Member {
-    /// This process as one that may be given a task.
+    /// Returns this process as a candidate for rankings.
     pub fn candidate(&self) -> Candidate<'_> {
         Candidate { vm: &self.vm, capacity: self.capacity }
     }
 
-    /// Whether `other`, a later word of the same process, may be given other tasks.
-    pub(crate) fn has_another_part(&self, other: &Self) -> bool {
+    /// Returns whether `other`, a later description of the same process, may change rankings or
+    /// assignments.
+    pub(crate) fn differs_for_ranking(&self, other: &Self) -> bool {
         (self.boot, self.phase, self.datagram_address)
             != (other.boot, other.phase, other.datagram_address)
     }
@@ -87,28 +88,28 @@
     }
 }
 
-/// What this process believes of another.
+/// Liveness that this process assigns to another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Liveness {
-    /// Its heartbeat goes on.
+    /// The process's heartbeat counter advances.
     #[display("alive")]
     Alive,
-    /// Its heartbeat stands still, or it did not answer.
+    /// The heartbeat counter has stopped advancing, or a call to the process was not answered.
     #[display("suspect")]
     Suspect,
-    /// It has been silent for long, or it stopped as planned.
+    /// The process has been silent for a long time, or has stopped as planned.
     #[display("gone")]
     Gone,
 }
 
-/// A member and what is believed of it, for people and programs to read.
+/// A member with its assigned liveness, as shown in the state dump.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDump {
-    /// What it said of itself.
+    /// Last self-description received from the member.
     pub member: Member,
-    /// What this process believes.
+    /// Liveness that this process assigns to the member.
     pub liveness: Liveness,
-    /// Time since its heartbeat was last seen to go on, in milliseconds.
+    /// Time since the member's heartbeat was last seen to advance, in milliseconds.
     pub silent_ms: u64,
 }
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -109,7 +109,7 @@
         }
         if let Some(known) = self.known.get_mut(&member.vm) {
             if member.is_newer_than(&known.member) {
-                self.changes += u64::from(known.member.has_another_part(member));
+                self.changes += u64::from(known.member.differs_for_ranking(member));
                 known.member = member.clone();
                 known.last_seen_at = now;
                 known.unanswered = 0;
