--- a/crates/thymeshift_fleet/src/forwarding.rs
+++ b/crates/thymeshift_fleet/src/forwarding.rs
@@ -1,44 +1,47 @@
-//! When a reader's news is passed on within a data hall.
+//! Decides which heartbeats of source readers are forwarded within a data hall.
 //!
-//! Two readers call about once a second each, and some processes of a hall hear of both. Each
-//! call that was answered says the same unless documents changed, so that the hall needs to hear
-//! of one in [`REPEATED_AFTER`]; a changed document is passed on at once.
+//! Two readers call the source about once a second each, and some processes of a hall receive the
+//! heartbeats of both. Successful calls carry the same information unless a document changed, so
+//! the hall needs only one such heartbeat per [`REPEAT_INTERVAL`]. A heartbeat that announces a
+//! changed document is forwarded at once.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Time after which news that says nothing new is passed on again: half of the silence after
-/// which a process reads the source itself.
-const REPEATED_AFTER: Duration = Duration::from_millis(600);
+/// Time after which an unchanged heartbeat is forwarded again: half of the silence after which a
+/// process reads the source itself.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(600);
 
-/// What was passed on last; `H` is what a reader tells of its documents.
+/// Filter that remembers the last forwarded heartbeats; `H` describes the reader's documents.
 #[derive(Debug, Clone)]
 pub struct ForwardingFilter<H> {
-    answered: Option<(H, Timestamp)>,
-    failed_at: Option<Timestamp>,
+    last_answer: Option<(H, Timestamp)>,
+    last_failure_at: Option<Timestamp>,
 }
 
 impl<H> Default for ForwardingFilter<H> {
     fn default() -> Self {
-        Self { answered: None, failed_at: None }
+        Self { last_answer: None, last_failure_at: None }
     }
 }
 
 impl<H: Copy + PartialEq> ForwardingFilter<H> {
-    /// Whether news that arrives now is to be passed on; if so, it counts as passed on.
+    /// Returns whether a heartbeat that arrives now is to be forwarded, and records it as
+    /// forwarded if so.
     pub fn is_due(&mut self, is_answered: bool, heads: H, now: Timestamp) -> bool {
-        let is_old = |at: Timestamp| now.since(at) >= REPEATED_AFTER;
+        let is_old = |at: Timestamp| now.since(at) >= REPEAT_INTERVAL;
         if !is_answered {
-            let is_due = self.failed_at.is_none_or(is_old);
+            let is_due = self.last_failure_at.is_none_or(is_old);
             if is_due {
-                self.failed_at = Some(now);
+                self.last_failure_at = Some(now);
             }
             return is_due;
         }
-        let is_due = self.answered.is_none_or(|(told, at)| told != heads || is_old(at));
+        let is_due =
+            self.last_answer.is_none_or(|(forwarded, at)| forwarded != heads || is_old(at));
         if is_due {
-            self.answered = Some((heads, now));
+            self.last_answer = Some((heads, now));
         }
         is_due
     }
