--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -1,22 +1,24 @@
-//! Who else is there.
+//! Membership of the fleet as seen by one process.
 //!
-//! Each process counts a heartbeat. Processes pass on the heartbeats they know of, a
-//! bounded number in each message; a member whose heartbeat goes on is alive. A call
-//! that got an answer is direct evidence and counts more than what others say.
+//! Each process increments a heartbeat counter. Processes gossip the heartbeats that they know of,
+//! a bounded number per message, and a member whose heartbeat advances is alive. An answered call
+//! is direct evidence and counts more than gossip.
 //!
-//! A process knows all members of its own data hall, and of every other hall a few
-//! *contacts*: those that rank first there. So what it keeps and passes on grows with the
-//! hall and the number of halls, not with the fleet. Two processes of one hall compare a
-//! digest of it in each exchange; if they differ, all that one knows is told. (Members drawn at
-//! random from the whole fleet, ten a message, left a process of a fleet of 473 with 79
-//! known members, and 5.9 allocators for a group of targets where one is meant.)
+//! A process knows all members of its own data hall, and of every other hall a few *contacts*: the
+//! members that rank first in that hall. The state and the messages therefore grow with the size
+//! of a hall and the number of halls, not with the fleet. Two processes of one hall compare
+//! digests of the hall in each exchange; if the digests differ, the answer lists all members known
+//! to the answering process. Gossiping ten random members of the whole fleet per message is not
+//! enough: in a fleet of 473 it left a process with 79 known members, and a group of targets with
+//! 5.9 allocators on average instead of one.
 //!
-//! Nobody ever says that somebody else is dead. A paused, flapping or half cut-off
-//! process may hold wrong opinions, but it cannot spread them. (SWIM's suspicion messages
-//! find a failure sooner in a large fleet; here nothing waits for that: a peer that does
-//! not answer is simply not asked, and leases decide about watchers.)
+//! No process ever reports another one as dead. A paused, flapping or partly unreachable process
+//! may hold wrong opinions about others, but cannot spread them. SWIM's suspicion messages would
+//! detect a failure sooner in a large fleet, but nothing here waits for failure detection: a peer
+//! that does not answer is skipped, and leases decide about watchers.
 //!
-//! The platform's list is a hint: it names addresses to try, and it ends nothing.
+//! The platform's list of VMs is only a hint: it provides addresses to try, and a VM that is
+//! missing from the list is not removed from the members.
 
 mod contacts;
 mod gossip;
@@ -39,71 +41,73 @@
 use crate::Member;
 use crate::MemberDump;
 use crate::Phase;
-use crate::members::known::Known;
-use crate::members::known::MEMBERS_PER_PATIENCE;
+use crate::members::known::KnownMember;
+use crate::members::known::MEMBERS_PER_TIMEOUT_FACTOR;
 
 pub use gossip::GossipMember;
 pub use gossip::GossipScope;
 pub use gossip::ReceivedSummary;
 pub use visibility::VisibleMembers;
 
-/// Members kept at most.
+/// Maximum number of other processes that a process remembers.
 const MEMBERS_MAX: usize = 4_096;
-/// Messages of peers until which a process counts as new. Those it finds first may have started
-/// together with it, and know as little.
-const NEW_UNTIL_HEARD: u32 = 5;
-/// Time after which a member that is gone is forgotten.
+/// Peer answers that a process needs before it stops counting as new. The first peers it finds may
+/// have started at the same time and know equally little.
+const NEW_UNTIL_ANSWERS: u32 = 5;
+/// Silence after which a gone member is forgotten.
 const FORGET_AFTER: Duration = Duration::from_mins(10);
 
-/// One in so many picks of peers goes beyond the own data hall.
+/// One in this many selections of peers picks from other data halls instead of the own hall.
 const PICKS_PER_OTHER_HALL: u32 = 4;
 
-/// All processes known to this one.
+/// All processes known to this one, with their last self-description and last sign of life.
 #[derive(Debug)]
 pub struct Members {
     own: Member,
-    known: BTreeMap<VmName, Known>,
-    /// Addresses from settings and the platform's list, tried while nobody is known there.
+    known: BTreeMap<VmName, KnownMember>,
+    /// Addresses from the settings and the platform's list, tried while no known member uses them.
     hints: Vec<SocketAddr>,
     changes: u64,
-    /// Messages of peers so far.
-    heard: u32,
+    /// Peer answers received since this process started.
+    answer_count: u32,
 }
 
 impl Members {
-    /// Members as seen by `own`.
+    /// Creates the membership of the process `own`, with `hints` as the first addresses to try.
     pub fn new(own: Member, hints: Vec<SocketAddr>) -> Self {
-        Self { own, known: BTreeMap::new(), hints, changes: 0, heard: 0 }
+        Self { own, known: BTreeMap::new(), hints, changes: 0, answer_count: 0 }
     }
 
-    fn patience(&self) -> u32 {
-        u32::try_from(1 + self.known.len() / MEMBERS_PER_PATIENCE).unwrap_or(u32::MAX)
+    fn timeout_factor(&self) -> u32 {
+        u32::try_from(1 + self.known.len() / MEMBERS_PER_TIMEOUT_FACTOR).unwrap_or(u32::MAX)
     }
 
-    /// This process's own entry.
+    /// Returns this process's own self-description.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Counts a heartbeat and says what holds now.
+    /// Increments this process's heartbeat and updates the reported phase and configuration
+    /// revision.
     pub fn advance_heartbeat(&mut self, phase: Phase, revision: Option<Revision>) {
         self.own.heartbeat += 1;
         self.own.phase = phase;
         self.own.revision = revision;
     }
 
-    /// Replaces the addresses to try.
+    /// Replaces the addresses to try while no known member uses them.
     pub fn set_hints(&mut self, hints: Vec<SocketAddr>) {
         self.hints = hints;
     }
 
-    /// Takes in what a peer passed on.
-    pub fn merge(&mut self, told: &GossipMember, now: Timestamp) {
-        self.learn_from(&told.member, Duration::from_millis(told.silent_ms.into()), now);
+    /// Merges a member that a peer gossiped.
+    pub fn merge(&mut self, gossiped: &GossipMember, now: Timestamp) {
+        self.merge_member(&gossiped.member, Duration::from_millis(gossiped.silent_ms.into()), now);
     }
 
-    /// `silent` is what the teller knows; one that was unknown here is not younger for that.
-    fn learn_from(&mut self, member: &Member, silent: Duration, now: Timestamp) {
+    /// Merges a self-description that is `silent` old. A member that was unknown here starts with
+    /// that age, so that gossip about a dead member does not make it look alive.
+    fn merge_member(&mut self, member: &Member, silent: Duration, now: Timestamp) {
         if member.vm == self.own.vm {
             return;
         }
@@ -112,75 +116,79 @@
                 self.changes += u64::from(known.member.differs_for_ranking(member));
                 known.member = member.clone();
                 known.last_seen_at = now;
-                known.unanswered = 0;
+                known.unanswered_calls = 0;
             }
-        } else if self.known.len() < MEMBERS_MAX && self.makes_room(member, now) {
-            self.known.insert(member.vm.clone(), Known::new(member, now.minus(silent)));
+        } else if self.known.len() < MEMBERS_MAX && self.make_capacity(member, now) {
+            self.known.insert(member.vm.clone(), KnownMember::new(member, now.minus(silent)));
             self.changes += 1;
         }
     }
 
-    /// A peer answered: direct evidence.
+    /// Records that a peer answered a call, which is direct evidence that the peer is alive.
     pub fn record_answer(&mut self, member: &Member, now: Timestamp) {
-        self.heard = self.heard.saturating_add(1);
+        self.answer_count = self.answer_count.saturating_add(1);
         self.record_announcement(member, now);
         if let Some(known) = self.known.get_mut(&member.vm) {
             known.last_seen_at = now;
-            known.unanswered = 0;
+            known.unanswered_calls = 0;
         }
     }
 
-    /// A member said something of itself.
+    /// Records a self-description that was received directly from the member.
     pub fn record_announcement(&mut self, member: &Member, now: Timestamp) {
-        self.learn_from(member, Duration::ZERO, now);
+        self.merge_member(member, Duration::ZERO, now);
     }
 
-    /// A process sent something by itself: direct evidence, if it is the start known here.
+    /// Records a message from a process, which is direct evidence that the process is alive if
+    /// `boot` is the one known here.
     pub fn record_message(&mut self, vm: &VmName, boot: Boot, now: Timestamp) {
         if let Some(known) = self.known.get_mut(vm).filter(|known| known.member.boot == boot) {
             known.last_seen_at = now;
-            known.unanswered = 0;
+            known.unanswered_calls = 0;
         }
     }
 
-    /// A peer did not answer.
+    /// Records that the peer at `address` did not answer a call.
     pub fn record_no_answer(&mut self, address: SocketAddr) {
         for known in self.known.values_mut() {
             if known.member.peer_address == address {
-                known.unanswered += 1;
+                known.unanswered_calls += 1;
             }
         }
     }
 
-    /// Counts up whenever another process appears, starts anew or changes its phase: what was
-    /// worked out from the members before is old then.
+    /// Returns a counter that increases whenever another process appears, restarts, or changes its
+    /// phase or datagram address. Results derived from an earlier state of the members are
+    /// outdated when the counter has changed.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Whether this process has hardly heard of others since its start.
+    /// Returns whether this process has received only a few peer answers since its start.
     pub fn is_new(&self) -> bool {
-        self.heard < NEW_UNTIL_HEARD
+        self.answer_count < NEW_UNTIL_ANSWERS
     }
 
-    fn is_near(&self, known: &Known) -> bool {
+    fn is_in_own_hall(&self, known: &KnownMember) -> bool {
         known.member.data_hall == self.own.data_hall
     }
 
-    /// Up to `count` addresses to talk to next. Suspects are tried now and then; an
-    /// address from settings or the platform's list that belongs to no known member is
-    /// tried like a member. In a large fleet most talk stays within the data hall: the ways
-    /// between halls are longer and may cost.
+    /// Picks up to `count` addresses for the next exchanges. Suspect members are tried
+    /// occasionally, and hint addresses that belong to no known member are tried like members. In
+    /// a large fleet most exchanges stay within the own data hall, because links between halls are
+    /// slower and may cost money.
     pub fn pick_peers(&self, count: usize, now: Timestamp, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let patience = self.patience();
-        let is_large = self.known.len() >= MEMBERS_PER_PATIENCE;
-        let is_local = !rng.random_ratio(1, PICKS_PER_OTHER_HALL);
-        let is_wanted = move |known: &&Known| !is_large || self.is_near(known) == is_local;
-        let members = self.known.values().filter(|known| match known.liveness(patience, now) {
-            Liveness::Alive => true,
-            Liveness::Suspect => known.unanswered < 3 || rng.random_ratio(1, 8),
-            Liveness::Gone => false,
-        });
+        let timeout_factor = self.timeout_factor();
+        let is_large = self.known.len() >= MEMBERS_PER_TIMEOUT_FACTOR;
+        let is_own_hall_pick = !rng.random_ratio(1, PICKS_PER_OTHER_HALL);
+        let is_wanted =
+            move |known: &&KnownMember| !is_large || self.is_in_own_hall(known) == is_own_hall_pick;
+        let members =
+            self.known.values().filter(|known| match known.liveness(timeout_factor, now) {
+                Liveness::Alive => true,
+                Liveness::Suspect => known.unanswered_calls < 3 || rng.random_ratio(1, 8),
+                Liveness::Gone => false,
+            });
         let members: Vec<SocketAddr> =
             members.filter(is_wanted).map(|known| known.member.peer_address).collect();
         let is_unknown = |hint: &&SocketAddr| {
@@ -191,76 +199,80 @@
         members.into_iter().chain(hints).choose_multiple(rng, count)
     }
 
-    /// Up to `count` addresses of members that hold documents, for a process that has none:
-    /// those of the own data hall, if there are any.
+    /// Picks up to `count` addresses of members that hold documents, for a process that has none.
+    /// Members of the own data hall are preferred.
     pub fn pick_document_holders(&self, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let informed = || self.known.values().filter(|known| known.member.revision.is_some());
-        let mut drawn = informed().filter(|known| self.is_near(known)).choose_multiple(rng, count);
-        if drawn.is_empty() {
-            drawn = informed().choose_multiple(rng, count);
+        let mut picked =
+            informed().filter(|known| self.is_in_own_hall(known)).choose_multiple(rng, count);
+        if picked.is_empty() {
+            picked = informed().choose_multiple(rng, count);
         }
-        drawn.into_iter().map(|known| known.member.peer_address).collect()
+        picked.into_iter().map(|known| known.member.peer_address).collect()
     }
 
-    /// The other processes that are believed to be there and serve.
+    /// Returns the other processes that are alive and serving.
     pub fn serving(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
-        let patience = self.patience();
-        let serving = self.known.values().filter(move |known| known.is_serving(patience, now));
+        let timeout_factor = self.timeout_factor();
+        let serving =
+            self.known.values().filter(move |known| known.is_serving(timeout_factor, now));
         serving.map(|known| &known.member)
     }
 
-    /// The processes that serve in `hall`, this one included: all of the own data hall, and
-    /// contacts of another.
+    /// Returns the serving processes in `hall`, including this one: all members of the own data
+    /// hall, or the known contacts of another hall.
     pub fn serving_in(&self, hall: &DataHallName, now: Timestamp) -> Vec<&Member> {
         let own = (*hall == self.own.data_hall).then_some(&self.own);
         let serving = self.serving(now).filter(|member| member.data_hall == *hall);
         serving.chain(own).collect()
     }
 
-    /// The other processes of the own data hall that are not known to be gone: news is worth
-    /// telling them, also those that have not answered for a moment.
+    /// Returns the other processes of the own data hall that are not gone. Announcements also go
+    /// to suspect members, because a suspect may only have missed a few messages.
     pub fn hall_peers(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
-        let patience = self.patience();
-        let is_present = move |known: &&Known| known.liveness(patience, now) != Liveness::Gone;
-        let near = self.known.values().filter(|known| self.is_near(known));
-        near.filter(is_present).map(|known| &known.member)
+        let timeout_factor = self.timeout_factor();
+        let is_present =
+            move |known: &&KnownMember| known.liveness(timeout_factor, now) != Liveness::Gone;
+        let in_own_hall = self.known.values().filter(|known| self.is_in_own_hall(known));
+        in_own_hall.filter(is_present).map(|known| &known.member)
     }
 
-    /// The member on `vm`.
+    /// Returns the last known self-description of the process on `vm`.
     pub fn find(&self, vm: &VmName) -> Option<&Member> {
         self.known.get(vm).map(|known| &known.member)
     }
 
-    /// Number of processes believed to be there, this one included.
+    /// Returns the number of processes that are alive, including this one.
     pub fn count_alive(&self, now: Timestamp) -> usize {
-        let patience = self.patience();
-        let alive = |known: &&Known| known.liveness(patience, now) == Liveness::Alive;
+        let timeout_factor = self.timeout_factor();
+        let alive = |known: &&KnownMember| known.liveness(timeout_factor, now) == Liveness::Alive;
         1 + self.known.values().filter(alive).count()
     }
 
-    /// Whether no other process is believed to be there.
+    /// Returns whether no other process is alive.
     pub fn is_alone(&self, now: Timestamp) -> bool {
         self.count_alive(now) == 1
     }
 
-    /// Forgets members that have been silent for very long.
+    /// Forgets members that have been silent for at least `FORGET_AFTER`.
     pub fn forget_old(&mut self, now: Timestamp) {
         self.known.retain(|_, known| now.since(known.last_seen_at) < FORGET_AFTER);
     }
 
-    /// This process was paused for `gap`: the silence of others was its own.
+    /// Shifts all observations by `gap`, the time that this process was paused, so that its own
+    /// pause does not count as silence of the other members.
     pub fn paused(&mut self, gap: Duration) {
         for known in self.known.values_mut() {
             known.last_seen_at = known.last_seen_at + gap;
         }
     }
 
-    /// All known members, for people and programs to read.
+    /// Returns all known members with their liveness, for the state dump.
     pub fn dump(&self, now: Timestamp) -> Vec<MemberDump> {
-        let patience = self.patience();
-        let dump = |known: &Known| MemberDump {
+        let timeout_factor = self.timeout_factor();
+        let dump = |known: &KnownMember| MemberDump {
             member: known.member.clone(),
-            liveness: known.liveness(patience, now),
+            liveness: known.liveness(timeout_factor, now),
             silent_ms: now.since(known.last_seen_at).as_millis() as u64,
         };
         self.known.values().map(dump).collect()
--- a/crates/thymeshift_fleet/src/members/contacts.rs
+++ b/crates/thymeshift_fleet/src/members/contacts.rs
@@ -1,4 +1,4 @@
-//! The contacts of each data hall: the part of the fleet that all processes know.
+//! Contacts of each data hall, the part of the fleet that all processes know.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,35 @@
 use crate::Liveness;
 use crate::Member;
 use crate::Members;
-use crate::members::known::Known;
+use crate::members::known::KnownMember;
 use crate::rank::contact_score;
 
-/// Members of one data hall that others know: enough for some of them to be dead, and all of a
-/// small hall.
+/// Members of one data hall that processes of other halls know. Eight cover a small hall
+/// completely, and leave live contacts when several are dead.
 const CONTACTS_PER_HALL: usize = 8;
-/// Contacts of a hall that are told of what concerns the whole hall, and pass it on there.
+/// Contacts of a hall that receive announcements for the whole hall and relay them to its members.
 const HUBS_PER_HALL: usize = 2;
 
 impl Members {
-    /// Whether a member that is not known yet is to be kept. Of another data hall only the
-    /// contacts are: one that ranks later is dropped for it. One that is gone stays known as
-    /// such, or whoever has not noticed yet would bring it back.
-    pub(super) fn makes_room(&mut self, member: &Member, now: Timestamp) -> bool {
+    /// Returns whether a member that is not known yet is to be kept, and drops a lower-ranked
+    /// member for it if necessary. Only contacts are kept of other data halls. A gone contact
+    /// stays known as gone and does not count towards the limit: gossip from a process that
+    /// has not noticed its end would otherwise bring it back as alive.
+    pub(super) fn make_capacity(&mut self, member: &Member, now: Timestamp) -> bool {
         if member.data_hall == self.own.data_hall {
             return true;
         }
-        let patience = self.patience();
-        let is_rival = |known: &&Known| {
+        let timeout_factor = self.timeout_factor();
+        let is_hall_contact = |known: &&KnownMember| {
             known.member.data_hall == member.data_hall
-                && known.liveness(patience, now) != Liveness::Gone
+                && known.liveness(timeout_factor, now) != Liveness::Gone
         };
-        let rivals = self.known.values().filter(is_rival);
-        if rivals.clone().count() < CONTACTS_PER_HALL {
+        let hall_contacts = self.known.values().filter(is_hall_contact);
+        if hall_contacts.clone().count() < CONTACTS_PER_HALL {
             return true;
         }
-        let last = rivals.max_by(|left, right| left.contact_score.total_cmp(&right.contact_score));
+        let last =
+            hall_contacts.max_by(|left, right| left.contact_score.total_cmp(&right.contact_score));
         let Some(last) = last else {
             return true;
         };
@@ -46,33 +48,41 @@
         true
     }
 
-    /// The contacts of all halls that serve, this process included if it is one: the part of
-    /// the fleet that all processes know.
+    /// Returns the serving contacts of all data halls, including this process if it is a contact
+    /// itself. All processes know this part of the fleet.
     pub fn contacts(&self, now: Timestamp) -> Vec<&Member> {
-        let patience = self.patience();
-        self.contacts_of(|known| known.is_serving(patience, now))
+        let timeout_factor = self.timeout_factor();
+        self.contacts_with_own(|known| known.is_serving(timeout_factor, now))
     }
 
-    /// The contacts of all halls among those that are `wanted`, this process included if it is
-    /// one.
-    pub(super) fn contacts_of(&self, is_wanted: impl Fn(&Known) -> bool) -> Vec<&Member> {
+    /// Returns the contacts of all data halls among the members that satisfy `is_wanted`,
+    /// including this process if it is a contact itself.
+    pub(super) fn contacts_with_own(
+        &self,
+        is_wanted: impl Fn(&KnownMember) -> bool,
+    ) -> Vec<&Member> {
         let own = contact_score(self.own.candidate());
-        let near = self.known.values().filter(|known| self.is_near(known) && is_wanted(known));
-        let before = near.filter(|known| known.contact_score < own).count();
-        let is_contact = before < CONTACTS_PER_HALL;
-        let mut near = 0;
-        let others = self.contacts_where(&is_wanted).into_iter().filter(|known| {
-            near += usize::from(self.is_near(known));
-            // The last one of a full hall makes room for this process.
-            !is_contact || !self.is_near(known) || near < CONTACTS_PER_HALL
+        let in_own_hall =
+            self.known.values().filter(|known| self.is_in_own_hall(known) && is_wanted(known));
+        let better_count = in_own_hall.filter(|known| known.contact_score < own).count();
+        let is_contact = better_count < CONTACTS_PER_HALL;
+        let mut own_hall_count = 0;
+        let others = self.contacts_among(&is_wanted).into_iter().filter(|known| {
+            own_hall_count += usize::from(self.is_in_own_hall(known));
+            // The lowest-ranked contact of a full hall is left out in favour of this process.
+            !is_contact || !self.is_in_own_hall(known) || own_hall_count < CONTACTS_PER_HALL
         });
         let others = others.map(|known| &known.member);
         others.chain(is_contact.then_some(&self.own)).collect()
     }
 
-    /// The first of each hall among those that `is_wanted`, best first within a hall.
-    pub(super) fn contacts_where(&self, is_wanted: impl Fn(&Known) -> bool) -> Vec<&Known> {
-        let mut halls: BTreeMap<&DataHallName, Vec<&Known>> = BTreeMap::new();
+    /// Returns the highest-ranked members of each data hall among those that satisfy `is_wanted`,
+    /// best first within a hall.
+    pub(super) fn contacts_among(
+        &self,
+        is_wanted: impl Fn(&KnownMember) -> bool,
+    ) -> Vec<&KnownMember> {
+        let mut halls: BTreeMap<&DataHallName, Vec<&KnownMember>> = BTreeMap::new();
         for known in self.known.values().filter(|known| is_wanted(known)) {
             halls.entry(&known.member.data_hall).or_default().push(known);
         }
@@ -83,33 +93,36 @@
         halls.into_values().flatten().collect()
     }
 
-    /// How many serving processes of the own data hall rank before this one as contacts.
+    /// Returns how many serving processes of the own data hall rank before this one as contacts.
     pub fn rank_in_hall(&self, now: Timestamp) -> usize {
-        let patience = self.patience();
+        let timeout_factor = self.timeout_factor();
         let own = contact_score(self.own.candidate());
-        let is_before = |known: &&Known| {
-            self.is_near(known) && known.is_serving(patience, now) && known.contact_score < own
+        let ranks_better = |known: &&KnownMember| {
+            self.is_in_own_hall(known)
+                && known.is_serving(timeout_factor, now)
+                && known.contact_score < own
         };
-        self.known.values().filter(is_before).count()
+        self.known.values().filter(ranks_better).count()
     }
 
-    /// Whether other processes know this one as a contact of its data hall.
+    /// Returns whether other processes know this one as a contact of its data hall.
     pub fn is_contact(&self, now: Timestamp) -> bool {
         self.rank_in_hall(now) < CONTACTS_PER_HALL
     }
 
-    /// Of each other data hall the contacts that pass on what concerns all there.
+    /// Returns the hubs of each other data hall: contacts that relay announcements to all members
+    /// of their hall.
     pub fn hubs(&self, now: Timestamp) -> Vec<&Member> {
-        let patience = self.patience();
-        let contacts = self.contacts_where(|known| {
-            !self.is_near(known) && known.liveness(patience, now) != Liveness::Gone
+        let timeout_factor = self.timeout_factor();
+        let contacts = self.contacts_among(|known| {
+            !self.is_in_own_hall(known) && known.liveness(timeout_factor, now) != Liveness::Gone
         });
-        let mut told: BTreeMap<&DataHallName, usize> = BTreeMap::new();
+        let mut hub_count: BTreeMap<&DataHallName, usize> = BTreeMap::new();
         let contacts = contacts.into_iter().filter(|known| {
-            let told = told.entry(&known.member.data_hall).or_default();
-            // One that may be dead is told beside those that are surely there.
-            *told += usize::from(known.is_serving(patience, now));
-            *told <= HUBS_PER_HALL
+            let hub_count = hub_count.entry(&known.member.data_hall).or_default();
+            // Suspect contacts are notified in addition and do not use up the limit of hubs.
+            *hub_count += usize::from(known.is_serving(timeout_factor, now));
+            *hub_count <= HUBS_PER_HALL
         });
         contacts.map(|known| &known.member).collect()
     }
--- a/crates/thymeshift_fleet/src/members/gossip.rs
+++ b/crates/thymeshift_fleet/src/members/gossip.rs
@@ -1,4 +1,4 @@
-//! What a process tells another of the members that it knows.
+//! Selects the members that a process includes in its messages to peers.
 
 use rand::Rng;
 use rand::seq::IteratorRandom;
@@ -12,105 +12,113 @@
 use crate::Members;
 use crate::digest::FleetDigest;
 use crate::digest::MembersDigest;
-use crate::members::known::Known;
+use crate::members::known::KnownMember;
 
-/// Other members passed on in one regular message. With two exchanges a second it keeps the
-/// members of a small fleet fresh; a larger hall is heard of more slowly, and the message
-/// stays as long as it is.
-const PASSED_ON_MAX: usize = 5;
-/// Further ones for each so many members known, and the most.
-const MEMBERS_PER_PASSED_ON: usize = 16;
-const PASSED_ON_MOST: usize = 10;
+/// Number of other members in a regular message. With two exchanges per second, five members keep
+/// the heartbeats of a small fleet fresh. In a larger hall heartbeats spread more slowly, while
+/// the message size stays bounded.
+const GOSSIP_MEMBERS_BASE: usize = 5;
+/// Known members per additional member in a regular message, up to [`GOSSIP_MEMBERS_MAX`].
+const KNOWN_PER_EXTRA_MEMBER: usize = 16;
+const GOSSIP_MEMBERS_MAX: usize = 10;
 
-/// How much a message says of members.
+/// Which members a message to a peer contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GossipScope<'a> {
-    /// The sender and a few others.
+    /// The sender and a few randomly chosen members.
     Regular,
-    /// The sender, the contacts of all data halls, and all known members of this one, if one is
-    /// named: the receiver is new, or knows others than the sender.
+    /// The sender, the contacts of all data halls, and all known members of the given hall, if
+    /// any. This is sent to a receiver that is new or whose digest differs from the sender's.
     Wide(Option<&'a DataHallName>),
-    /// The sender alone: the message is about something that changed.
+    /// The sender alone, because the message announces a single change.
     SenderOnly,
 }
 
-/// What a peer's message shows of the sender.
+/// Information about the sender in a message received from a peer.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedSummary<'a> {
-    /// The sender.
+    /// Self-description of the peer that sent the message.
     pub sender: &'a Member,
-    /// The fleet as it knows it.
+    /// Digests of the members that the sender knows.
     pub digest: FleetDigest,
-    /// Whether it has hardly heard of others since its start.
+    /// Whether the sender has received only a few peer answers since its start.
     pub is_new: bool,
-    /// Whether the message tells of others, too.
+    /// Whether the message includes members other than the sender.
     pub is_regular: bool,
 }
 
-/// A member as it is passed on.
+/// A member as included in gossip messages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMember {
-    /// What it said of itself.
+    /// Last self-description that the sender of the message has of the member.
     pub member: Member,
-    /// How long ago that was news to the sender, in milliseconds.
+    /// Time since the sender last saw the member's heartbeat advance, in milliseconds.
     pub silent_ms: u32,
 }
 
 impl Members {
-    /// How much to answer to a peer's message. One that is new, or knows other members of its
-    /// data hall than this process does, is told of all.
-    pub fn answer_scope<'a>(&self, asked: &ReceivedSummary<'a>, now: Timestamp) -> GossipScope<'a> {
-        let hall = &asked.sender.data_hall;
-        let is_near = *hall == self.own.data_hall;
-        if asked.is_new {
+    /// Returns which members to include in the answer to a peer's message. A peer that is new, or
+    /// whose digest of its data hall differs, receives all known members of its hall.
+    pub fn answer_scope<'a>(
+        &self,
+        received: &ReceivedSummary<'a>,
+        now: Timestamp,
+    ) -> GossipScope<'a> {
+        let hall = &received.sender.data_hall;
+        let is_in_own_hall = *hall == self.own.data_hall;
+        if received.is_new {
             return GossipScope::Wide(Some(hall));
         }
-        if !asked.is_regular {
+        if !received.is_regular {
             return GossipScope::SenderOnly;
         }
         let own = self.digest(now);
-        if is_near && asked.digest.hall != own.hall {
+        if is_in_own_hall && received.digest.hall != own.hall {
             GossipScope::Wide(Some(hall))
-        } else if asked.digest.contacts != own.contacts {
+        } else if received.digest.contacts != own.contacts {
             GossipScope::Wide(None)
         } else {
             GossipScope::Regular
         }
     }
 
-    /// The fleet as known here.
+    /// Returns the digests of the members known to this process.
     pub fn digest(&self, now: Timestamp) -> FleetDigest {
-        let neighbours = self.hall_peers(now).chain([&self.own]);
-        let patience = self.patience();
-        let contacts = self.contacts_of(|known| known.liveness(patience, now) != Liveness::Gone);
+        let hall_members = self.hall_peers(now).chain([&self.own]);
+        let timeout_factor = self.timeout_factor();
+        let contacts =
+            self.contacts_with_own(|known| known.liveness(timeout_factor, now) != Liveness::Gone);
         FleetDigest {
-            hall: MembersDigest::of(neighbours),
+            hall: MembersDigest::of(hall_members),
             contacts: MembersDigest::of(contacts.into_iter()),
         }
     }
 
-    /// The members to pass on: this process first, then others as `breadth` says.
+    /// Returns the members to include in a message: this process first, then others according to
+    /// `scope`.
     pub fn members_to_send(
         &self,
-        breadth: GossipScope<'_>,
+        scope: GossipScope<'_>,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Vec<GossipMember> {
-        let patience = self.patience();
-        let heard = || {
-            self.known.values().filter(move |known| known.liveness(patience, now) != Liveness::Gone)
+        let timeout_factor = self.timeout_factor();
+        let present = || {
+            self.known
+                .values()
+                .filter(move |known| known.liveness(timeout_factor, now) != Liveness::Gone)
         };
-        let others: Vec<&Known> = match breadth {
+        let others: Vec<&KnownMember> = match scope {
             GossipScope::SenderOnly => Vec::new(),
             GossipScope::Regular => {
-                let most = PASSED_ON_MAX + self.known.len() / MEMBERS_PER_PASSED_ON;
-                heard().choose_multiple(rng, most.min(PASSED_ON_MOST))
+                let member_count = GOSSIP_MEMBERS_BASE + self.known.len() / KNOWN_PER_EXTRA_MEMBER;
+                present().choose_multiple(rng, member_count.min(GOSSIP_MEMBERS_MAX))
             }
             GossipScope::Wide(hall) => {
-                let is_of_hall = |known: &Known| Some(&known.member.data_hall) == hall;
-                let of_hall = heard().filter(|known| is_of_hall(known));
-                let contacts = self.contacts_where(|known| {
-                    !is_of_hall(known) && known.liveness(patience, now) != Liveness::Gone
+                let is_of_hall = |known: &KnownMember| Some(&known.member.data_hall) == hall;
+                let of_hall = present().filter(|known| is_of_hall(known));
+                let contacts = self.contacts_among(|known| {
+                    !is_of_hall(known) && known.liveness(timeout_factor, now) != Liveness::Gone
                 });
                 of_hall.chain(contacts).collect()
             }
--- a/crates/thymeshift_fleet/src/members/known.rs
+++ b/crates/thymeshift_fleet/src/members/known.rs
@@ -1,4 +1,4 @@
-//! What one process knows of another, and when it takes it for dead.
+//! State that a process keeps about another one, and the rules for its liveness.
 
 use std::time::Duration;
 
@@ -9,48 +9,52 @@
 use crate::Phase;
 use crate::rank::contact_score;
 
-/// Time without a new heartbeat after which a member is suspected, while up to
-/// [`MEMBERS_PER_PATIENCE`] are known. Heartbeats take longer among more of them, and the time
-/// grows with it: whoever needs a member that is dead finds that out by asking.
+/// Time without a new heartbeat after which a member is suspected, while fewer than
+/// [`MEMBERS_PER_TIMEOUT_FACTOR`] members are known. Heartbeats take longer to spread among more
+/// members, so the timeout grows with their number. A slow detection is acceptable, because a
+/// process that calls a dead member notices it by the missing answer.
 const SUSPECT_AFTER: Duration = Duration::from_secs(5);
-pub(super) const MEMBERS_PER_PATIENCE: usize = 24;
-/// Time without a new heartbeat after which a member is taken as gone, grown alike.
+pub(super) const MEMBERS_PER_TIMEOUT_FACTOR: usize = 24;
+/// Time without a new heartbeat after which a member is considered gone; grows with the number of
+/// members like [`SUSPECT_AFTER`].
 const GONE_AFTER: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
-pub(super) struct Known {
+pub(super) struct KnownMember {
     pub(super) member: Member,
     pub(super) last_seen_at: Timestamp,
-    pub(super) unanswered: u32,
-    /// Place among the contacts of its hall; the smaller, the earlier.
+    pub(super) unanswered_calls: u32,
+    /// Ranking score among the contacts of the member's hall; the lowest score ranks first.
     pub(super) contact_score: f64,
 }
 
-impl Known {
+impl KnownMember {
     pub(super) fn new(member: &Member, now: Timestamp) -> Self {
         let contact_score = contact_score(member.candidate());
-        Self { member: member.clone(), last_seen_at: now, unanswered: 0, contact_score }
+        Self { member: member.clone(), last_seen_at: now, unanswered_calls: 0, contact_score }
     }
 
-    /// `patience` is how many times as long as in a small fleet heartbeats take.
-    pub(super) fn liveness(&self, patience: u32, now: Timestamp) -> Liveness {
+    /// Returns the member's liveness; `timeout_factor` scales the timeouts to the number of known
+    /// members.
+    pub(super) fn liveness(&self, timeout_factor: u32, now: Timestamp) -> Liveness {
         let silent = now.since(self.last_seen_at);
         let has_stopped = self.member.phase == Phase::Stopping && silent > SUSPECT_AFTER;
-        if silent > GONE_AFTER * patience || has_stopped {
+        if silent > GONE_AFTER * timeout_factor || has_stopped {
             Liveness::Gone
-        } else if silent > SUSPECT_AFTER * patience || self.unanswered > 0 {
+        } else if silent > SUSPECT_AFTER * timeout_factor || self.unanswered_calls > 0 {
             Liveness::Suspect
         } else {
             Liveness::Alive
         }
     }
 
-    /// Whether its heartbeat goes on, whoever passes it on.
-    pub(super) fn is_heard(&self, patience: u32, now: Timestamp) -> bool {
-        now.since(self.last_seen_at) <= SUSPECT_AFTER * patience
+    /// Returns whether the member's heartbeat advances, whether received directly or through
+    /// gossip.
+    pub(super) fn is_visible(&self, timeout_factor: u32, now: Timestamp) -> bool {
+        now.since(self.last_seen_at) <= SUSPECT_AFTER * timeout_factor
     }
 
-    pub(super) fn is_serving(&self, patience: u32, now: Timestamp) -> bool {
-        self.member.phase == Phase::Serving && self.liveness(patience, now) == Liveness::Alive
+    pub(super) fn is_serving(&self, timeout_factor: u32, now: Timestamp) -> bool {
+        self.member.phase == Phase::Serving && self.liveness(timeout_factor, now) == Liveness::Alive
     }
 }
--- a/crates/thymeshift_fleet/src/members/visibility.rs
+++ b/crates/thymeshift_fleet/src/members/visibility.rs
@@ -1,4 +1,4 @@
-//! How much of the fleet a process still hears of.
+//! Members whose heartbeats this process still receives, compared to all members it knows.
 
 use thymeshift_types::DataHallName;
 use thymeshift_types::Timestamp;
@@ -6,37 +6,39 @@
 use crate::Member;
 use crate::Members;
 use crate::Phase;
-use crate::members::known::Known;
+use crate::members::known::KnownMember;
 
-/// The processes that may be given a task, as far as their heartbeats tell.
+/// Candidates for a task, split by whether their heartbeats still arrive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VisibleMembers<'a> {
-    /// Those whose heartbeats arrive, directly or passed on by others, and this one if it may be
-    /// given the task. Whether they answered this process the last time does not matter.
+    /// Serving members whose heartbeats arrive directly or through gossip, and this process itself
+    /// if it is a candidate. Unanswered calls are not considered.
     pub visible: Vec<&'a Member>,
-    /// How many there are with those that fell silent and did not say that they stop: they may
-    /// still serve others, behind a cut.
+    /// Number of all serving members, including silent ones that did not announce a shutdown. A
+    /// silent member may be on the other side of a network partition and still serve callers
+    /// there.
     pub known_count: usize,
 }
 
 impl Members {
-    /// The contacts of all data halls.
+    /// Returns the visible members among the contacts of all data halls.
     pub fn visible_contacts(&self, now: Timestamp) -> VisibleMembers<'_> {
-        let patience = self.patience();
-        let is_serving = |known: &Known| known.member.phase == Phase::Serving;
-        let visible = self.contacts_of(|known| is_serving(known) && known.is_heard(patience, now));
-        VisibleMembers { visible, known_count: self.contacts_of(is_serving).len() }
+        let timeout_factor = self.timeout_factor();
+        let is_serving = |known: &KnownMember| known.member.phase == Phase::Serving;
+        let visible = self
+            .contacts_with_own(|known| is_serving(known) && known.is_visible(timeout_factor, now));
+        VisibleMembers { visible, known_count: self.contacts_with_own(is_serving).len() }
     }
 
-    /// The processes of one data hall.
+    /// Returns the visible members of one data hall.
     pub fn visible_in(&self, hall: &DataHallName, now: Timestamp) -> VisibleMembers<'_> {
-        let patience = self.patience();
+        let timeout_factor = self.timeout_factor();
         let own = (self.own.data_hall == *hall).then_some(&self.own);
         let serving = self.known.values().filter(|known| {
             known.member.phase == Phase::Serving && known.member.data_hall == *hall
         });
         let known_count = serving.clone().count() + usize::from(own.is_some());
-        let visible = serving.filter(|known| known.is_heard(patience, now));
+        let visible = serving.filter(|known| known.is_visible(timeout_factor, now));
         VisibleMembers {
             visible: visible.map(|known| &known.member).chain(own).collect(),
             known_count,
