--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -1,17 +1,17 @@
-//! Requests that crash the targets which run them, and are refused once that is known.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! A process sees only what arrives at itself, and each arrival has another id. So requests are
-//! known by their fingerprints, crashes are told to the whole fleet, and each process decides by
-//! all of them.
+//! A process sees only its own share of the traffic, and each arrival of a request has another id.
+//! Requests are therefore identified by fingerprints, crashes are reported to the whole fleet, and
+//! each process decides from all reports.
 //!
-//! A target that ends takes all requests with it that it runs, of which one at most is to blame.
-//! What tells them apart is what happens next: an innocent request is answered by the target that
-//! runs it then, which clears it. Only crashes *in a row* count, each run begun after the end of
-//! the one before: an innocent request that many callers repeat may run on several targets of a
-//! rack when that loses power, and all these runs count once.
+//! A target that ends takes all requests that it was running with it, and at most one of them is
+//! to blame. The next run tells them apart: an innocent request is answered by the next target
+//! that runs it, which clears the request. Only consecutive crashes count, where each run began
+//! after the previous target had ended. An innocent request that many callers repeat may run on
+//! several targets of a rack that loses power, and all these runs count as one crash.
 //!
-//! Crashes are a set, and of answers the latest counts, so that the order and number of messages
-//! do not matter. Ages are sent, not moments.
+//! Crashes are merged as a set, and only the latest answer counts, so the order and number of
+//! messages do not matter. Messages carry ages instead of absolute times.
 
 mod crash;
 mod rules;
@@ -31,21 +31,24 @@
 pub use rules::QuarantineRules;
 pub use suspect::SuspectDump;
 
-/// Suspects kept at most, in number. Each takes a target's end to make, and about 3 KB at most.
+/// Maximum number of suspect requests. Each one requires the crash of a target, and takes at most
+/// about 3 KB.
 const SUSPECTS_MAX: usize = 1_024;
 
-/// Whether a request may be sent to a target.
+/// Decision whether a request may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is held against it.
+    /// No crash counts against the request.
     Free,
-    /// A target ended while it ran, and it was not answered since.
+    /// At least one target ended while it ran the request, and no target has answered the request
+    /// since. The crashes are too few for a refusal, or the refusal has expired.
     Suspected,
-    /// Several did, one after the other: it is refused for as long.
+    /// Several targets in a row ended while they ran the request; it is refused for the given
+    /// time.
     Refused(Duration),
 }
 
-/// All suspects known to this process.
+/// All suspect requests known to this process.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     rules: QuarantineRules,
@@ -53,81 +56,85 @@
 }
 
 impl Quarantine {
-    /// A register with other rules than the usual ones.
+    /// Creates an empty quarantine with rules other than the defaults.
     pub fn with_rules(rules: QuarantineRules) -> Self {
         Self { rules, suspects: BTreeMap::new() }
     }
 
-    /// Whether no request is suspected.
+    /// Returns whether no request is suspect.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Number of suspects.
+    /// Returns the number of suspect requests.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether the request may be sent to a target now.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Timestamp) -> Verdict {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(Verdict::Free, |suspect| suspect.verdict(&self.rules, now))
     }
 
-    /// A target ended while it ran the request. Returns whether that is news.
+    /// Records that a target ended while it ran the request. Returns whether the crash was not
+    /// known yet.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
         crash: &Crash,
         now: Timestamp,
     ) -> bool {
-        if !self.suspects.contains_key(&fingerprint) && !self.make_room(now) {
+        if !self.suspects.contains_key(&fingerprint) && !self.make_capacity(now) {
             return false;
         }
         self.suspects.entry(fingerprint).or_default().add_crash(crash, now)
     }
 
-    /// A target answered the request. Returns whether that clears it of anything.
+    /// Records that a target answered the request. Returns whether the answer cleared any crashes.
     pub fn record_answer(&mut self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.add_answer(now))
     }
 
-    /// Takes in what a peer tells. Returns whether any of it is news.
-    pub fn merge(&mut self, told: &SuspectReport, now: Timestamp) -> bool {
-        if !self.suspects.contains_key(&told.fingerprint) && !self.make_room(now) {
+    /// Merges a peer's report. Returns whether it contained anything new.
+    pub fn merge(&mut self, report: &SuspectReport, now: Timestamp) -> bool {
+        if !self.suspects.contains_key(&report.fingerprint) && !self.make_capacity(now) {
             return false;
         }
-        let suspect = self.suspects.entry(told.fingerprint).or_default();
-        let mut is_news = false;
-        for crash in &told.crashes {
-            is_news |= suspect.add_crash(crash, now);
+        let suspect = self.suspects.entry(report.fingerprint).or_default();
+        let mut is_new = false;
+        for crash in &report.crashes {
+            is_new |= suspect.add_crash(crash, now);
         }
-        if let Some(answered_ago_ms) = told.answered_ago_ms {
+        if let Some(answered_ago_ms) = report.answered_ago_ms {
             let answered_at = now.minus(Duration::from_millis(answered_ago_ms));
-            is_news |= suspect.add_answer(answered_at);
+            is_new |= suspect.add_answer(answered_at);
         }
-        is_news
+        is_new
     }
 
-    /// One suspect as it is told to peers.
+    /// Returns the report about one suspect request to send to peers.
     pub fn report(&self, fingerprint: Fingerprint, now: Timestamp) -> Option<SuspectReport> {
         self.suspects.get(&fingerprint).map(|suspect| suspect.report(fingerprint, now))
     }
 
-    /// Up to `count` suspects behind `after`, in a fixed order, as they are told to peers.
+    /// Returns the reports of up to `count` suspect requests that sort after `after`, in a fixed
+    /// order.
     pub fn page(
         &self,
         after: Option<Fingerprint>,
         count: usize,
         now: Timestamp,
     ) -> Vec<SuspectReport> {
-        let is_behind = |fingerprint: &Fingerprint| after.is_none_or(|after| *fingerprint > after);
-        let suspects = self.suspects.iter().filter(|(fingerprint, _)| is_behind(fingerprint));
+        let is_after_cursor =
+            |fingerprint: &Fingerprint| after.is_none_or(|after| *fingerprint > after);
+        let suspects = self.suspects.iter().filter(|(fingerprint, _)| is_after_cursor(fingerprint));
         suspects.take(count).map(|(key, suspect)| suspect.report(*key, now)).collect()
     }
 
-    /// What operators are shown, the longest refused first.
+    /// Returns all suspect requests for the state dump, those with the longest remaining refusal
+    /// first.
     pub fn dump(&self, now: Timestamp) -> Vec<SuspectDump> {
         let suspects = self.suspects.iter();
         let mut dump: Vec<_> =
@@ -136,15 +143,16 @@
         dump
     }
 
-    /// Forgets suspects whose time is over.
+    /// Drops suspect requests whose last crash and last answer are older than the retention time.
     pub fn forget_old(&mut self, now: Timestamp) {
         let rules = self.rules;
-        self.suspects.retain(|_, suspect| !suspect.is_over(&rules, now));
+        self.suspects.retain(|_, suspect| !suspect.is_expired(&rules, now));
     }
 
-    /// Makes room for another suspect. If there is none, the one that crashed fewest targets goes,
-    /// among those the one that did so longest ago; a request that is refused never makes way.
-    fn make_room(&mut self, now: Timestamp) -> bool {
+    /// Makes capacity for another suspect request. At the limit, the request with the fewest
+    /// crashed targets is evicted, and among equals the one whose last crash is oldest. Requests
+    /// that are currently refused are never evicted. Returns `false` if nothing could be evicted.
+    fn make_capacity(&mut self, now: Timestamp) -> bool {
         if self.suspects.len() < SUSPECTS_MAX {
             return true;
         }
@@ -153,10 +161,11 @@
             return true;
         }
         let is_refused =
-            |held: &Suspect| matches!(held.verdict(&self.rules, now), Verdict::Refused(_));
-        let may_go = self.suspects.iter().filter(|(_, held)| !is_refused(held));
-        let first = may_go.min_by_key(|(_, held)| (held.strikes(), held.last_ended_at()));
-        let Some(fingerprint) = first.map(|(fingerprint, _)| *fingerprint) else {
+            |suspect: &Suspect| matches!(suspect.verdict(&self.rules, now), Verdict::Refused(_));
+        let evictable = self.suspects.iter().filter(|(_, suspect)| !is_refused(suspect));
+        let evicted =
+            evictable.min_by_key(|(_, suspect)| (suspect.strikes(), suspect.last_ended_at()));
+        let Some(fingerprint) = evicted.map(|(fingerprint, _)| *fingerprint) else {
             return false;
         };
         self.suspects.remove(&fingerprint);
--- a/crates/thymeshift_fleet/src/quarantine/crash.rs
+++ b/crates/thymeshift_fleet/src/quarantine/crash.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of requests that crash targets.
+//! Messages about requests that crash targets, exchanged between processes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,41 +10,42 @@
 
 use crate::Boot;
 
-/// Which report of a crash it is: the same in whatever way it arrives.
+/// Identifies a crash report, so that copies that arrive over different paths count once.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId {
-    /// The VM whose request it was.
+    /// VM of the process that had sent the request to the target.
     pub vm: VmName,
-    /// The start of its process.
+    /// Boot of the process that had sent the request to the target.
     pub boot: Boot,
-    /// Counted by that process.
+    /// Sequence number of the crash report at the process that created it.
     pub number: u64,
 }
 
-/// A target ended while it ran a request.
+/// Report of a target that ended while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Which report it is.
+    /// Identifier that is the same in all copies of this report.
     pub id: CrashId,
-    /// The target's service.
+    /// Service that the crashed target belongs to.
     pub service: ServiceName,
-    /// The target.
+    /// Name of the crashed target.
     pub target: TargetName,
-    /// The target's start.
+    /// Incarnation of the target that crashed.
     pub incarnation: Incarnation,
-    /// How long ago the request was sent there, in milliseconds.
+    /// Time since the request was sent to the target, in milliseconds.
     pub began_ago_ms: u64,
-    /// How long ago the target ended, in milliseconds.
+    /// Time since the target ended, in milliseconds.
     pub ended_ago_ms: u64,
 }
 
-/// What is held against a request, and what speaks for it.
+/// Crashes and answers that a process knows of a suspect request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The request.
+    /// Fingerprint of the suspect request.
     pub fingerprint: Fingerprint,
-    /// Targets that ended while they ran it.
+    /// Crashes of targets that were running the request.
     pub crashes: Vec<Crash>,
-    /// How long ago a target answered it, in milliseconds, if one did since the first crash.
+    /// Time since a target last answered the request, in milliseconds; `None` if no target has
+    /// answered the request since its first crash.
     pub answered_ago_ms: Option<u64>,
 }
--- a/crates/thymeshift_fleet/src/quarantine/rules.rs
+++ b/crates/thymeshift_fleet/src/quarantine/rules.rs
@@ -1,31 +1,33 @@
-//! For how long a request is refused, by the number of targets that it crashed in a row.
+//! Rules for how long a request is refused, depending on how many targets in a row it has crashed.
 
 use std::time::Duration;
 
-/// How long a single crash is remembered. A request that comes less often crashes a target each
-/// time; one that comes as often as that is caught at its second arrival.
-const CRASH_KEPT: Duration = Duration::from_hours(1);
-/// Longest time for which a request is refused: as long as an operator's order holds at most.
-const BAR_MAX: Duration = Duration::from_hours(24);
+/// Minimum time that a crash is remembered. A request that arrives less often than this crashes
+/// one target each time; a request that arrives more often is caught at its second arrival.
+const CRASH_RETENTION: Duration = Duration::from_hours(1);
+/// Longest time that a request is refused, equal to the longest lifetime of an operator's order.
+const REFUSAL_MAX: Duration = Duration::from_hours(24);
 const DOUBLINGS_MAX: usize = 16;
 
-/// When a request is refused, and for how long.
+/// Rules that decide when a request is refused, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineRules {
-    /// Crashes from which on it is refused, in number.
+    /// Number of counted crashes from which on a request is refused.
     pub refusal_strikes_min: usize,
-    /// For how long at first. It may still be an innocent one that met two crashes by chance, which
-    /// its next run shows.
+    /// Duration of the first refusal. It is short because an innocent request may have met two
+    /// crashes by chance, which its next run shows.
     pub first_refusal: Duration,
-    /// For how long after one more crash; each further one doubles it.
+    /// Duration of the refusal after one more crash; each further crash doubles it.
     pub second_refusal: Duration,
 }
 
-/// Chosen by replays of a request that comes 2.5 times a second in the mean to 13 processes and 7
-/// targets, among 70 innocent ones a second (100 days of a minute): it crashes 3.3 targets a day in
-/// place of 64.7, and is not sent after all can know of three crashes. From three crashes on in
-/// place of two: 4.2 targets, and 3 such sends on the worst day. The first time long at once: 2.5
-/// targets, and ten times as many innocent requests refused (1.67 a day of 4,200, in place of 0.16).
+/// Default rules, compared with others in replays of 100 days of one minute each: a guilty request
+/// arrives 2.5 times per second on average among 70 innocent ones, with 13 processes and 7
+/// targets. The defaults reduce crashed targets from 64.7 to 3.3 per day, and the guilty request
+/// is never sent again once all processes may know of three crashes. Refusing from three crashes
+/// instead of two crashes 4.2 targets per day, and sends the guilty request up to 3 times per day
+/// after that point. A first refusal as long as the second one crashes 2.5 targets per day, but
+/// refuses ten times as many innocent requests (1.67 instead of 0.16 per day of 4,200 requests).
 impl Default for QuarantineRules {
     fn default() -> Self {
         Self {
@@ -37,21 +39,21 @@
 }
 
 impl QuarantineRules {
-    /// How long a request is refused after the last of its crashes, of which `strikes` count.
-    pub(super) fn bar(&self, strikes: usize) -> Duration {
-        let Some(beyond) = strikes.checked_sub(self.refusal_strikes_min) else {
+    /// Returns how long a request with `strikes` counted crashes is refused after its last crash.
+    pub(super) fn refusal(&self, strikes: usize) -> Duration {
+        let Some(excess) = strikes.checked_sub(self.refusal_strikes_min) else {
             return Duration::ZERO;
         };
-        let Some(doublings) = beyond.checked_sub(1) else {
+        let Some(doublings) = excess.checked_sub(1) else {
             return self.first_refusal;
         };
         let factor = 1 << doublings.min(DOUBLINGS_MAX);
-        (self.second_refusal * factor).min(BAR_MAX)
+        (self.second_refusal * factor).min(REFUSAL_MAX)
     }
 
-    /// How long after the last of them crashes are remembered: so long that a request
-    /// that was let through again and crashes another target is refused again for longer.
-    pub(super) fn kept(&self, strikes: usize) -> Duration {
-        CRASH_KEPT.max(self.bar(strikes) * 2)
+    /// Returns how long crashes are remembered after the last one: at least twice the refusal, so
+    /// that a request that crashes another target after its refusal is refused for longer.
+    pub(super) fn retention(&self, strikes: usize) -> Duration {
+        CRASH_RETENTION.max(self.refusal(strikes) * 2)
     }
 }
--- a/crates/thymeshift_fleet/src/quarantine/suspect.rs
+++ b/crates/thymeshift_fleet/src/quarantine/suspect.rs
@@ -1,4 +1,4 @@
-//! One request during which targets ended.
+//! Crash history of one suspect request.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,30 +18,33 @@
 use crate::quarantine::SuspectReport;
 use crate::quarantine::Verdict;
 
-/// Crashes kept for one request: more than run at the same moment before it is refused.
+/// Maximum number of crashes kept per request; more than can run concurrently before a refusal.
 const CRASHES_MAX: usize = 16;
-/// Crashes told to peers at a time: with the longest names they fit one datagram.
-const CRASHES_TOLD_MAX: usize = 5;
+/// Maximum number of crashes in a report to peers; with the longest names they still fit into one
+/// datagram.
+const CRASHES_REPORTED_MAX: usize = 5;
 
-/// A suspect as operators see it.
+/// A suspect request as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectDump {
-    /// The request.
+    /// Fingerprint of the suspect request.
     pub fingerprint: Fingerprint,
-    /// Targets that count against it.
+    /// Crashed targets that count against the request.
     pub strikes: u64,
-    /// For how much longer it is refused, in milliseconds.
+    /// Remaining time that the request is refused, in milliseconds; 0 if the request is not
+    /// refused.
     pub refused_for_ms: u64,
-    /// Time since the first of these crashes, in milliseconds.
+    /// Time since the first consecutive crash, in milliseconds.
     pub first_crash_ms: u64,
-    /// Time since the last one, in milliseconds.
+    /// Time since the last crash, in milliseconds.
     pub last_crash_ms: u64,
-    /// The targets, as service and name, in the order of their ends.
+    /// Consecutively crashed targets as `service/target@incarnation`, in the order in which they
+    /// ended.
     pub targets: Vec<String>,
 }
 
 #[derive(Debug, Clone)]
-struct HeldCrash {
+struct RecordedCrash {
     service: ServiceName,
     target: TargetName,
     incarnation: Incarnation,
@@ -49,15 +52,15 @@
     ended_at: Timestamp,
 }
 
-/// Crashes during one request, and its latest answer.
+/// Crashes of targets during one request, and the time of the request's latest answer.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Suspect {
-    crashes: BTreeMap<CrashId, HeldCrash>,
+    crashes: BTreeMap<CrashId, RecordedCrash>,
     answered_at: Option<Timestamp>,
 }
 
 impl Suspect {
-    /// Adds a crash. Returns whether it is news.
+    /// Adds a crash. Returns whether the crash is new and more recent than the latest answer.
     pub(super) fn add_crash(&mut self, crash: &Crash, now: Timestamp) -> bool {
         let is_full = self.crashes.len() >= CRASHES_MAX;
         if is_full || self.crashes.contains_key(&crash.id) {
@@ -67,19 +70,18 @@
         if self.answered_at.is_some_and(|answered_at| ended_at <= answered_at) {
             return false;
         }
-        let held = HeldCrash {
+        let recorded = RecordedCrash {
             service: crash.service.clone(),
             target: crash.target.clone(),
             incarnation: crash.incarnation,
             began_at: now.minus(Duration::from_millis(crash.began_ago_ms)),
             ended_at,
         };
-        self.crashes.insert(crash.id.clone(), held);
+        self.crashes.insert(crash.id.clone(), recorded);
         true
     }
 
-    /// A target answered: what ended before is not held against the request any more. Returns
-    /// whether anything was.
+    /// Records an answer, which clears all earlier crashes. Returns whether any crash was cleared.
     pub(super) fn add_answer(&mut self, answered_at: Timestamp) -> bool {
         self.answered_at = self.answered_at.max(Some(answered_at));
         let before = self.crashes.len();
@@ -91,63 +93,66 @@
         let Some(last_ended_at) = self.last_ended_at() else {
             return Verdict::Free;
         };
-        let left = now.until(last_ended_at + rules.bar(self.strikes()));
+        let left = now.until(last_ended_at + rules.refusal(self.strikes()));
         if left.is_zero() { Verdict::Suspected } else { Verdict::Refused(left) }
     }
 
-    /// What is held against the request, in targets. Ends at one moment count once, because a rack
-    /// may have lost power. If others followed, all of them count: copies of a guilty request run at
-    /// the same time, too.
+    /// Returns the number of crashed targets that count against the request. Targets that end at
+    /// the same time count once, because a rack may have lost power. If another run crashes after
+    /// them, all of them count: copies of a guilty request may run concurrently, too.
     pub(super) fn strikes(&self) -> usize {
-        let in_a_row = self.row().len();
-        if in_a_row < 2 {
-            return in_a_row;
+        let consecutive_count = self.consecutive().len();
+        if consecutive_count < 2 {
+            return consecutive_count;
         }
         let crashes = self.crashes.values();
         let targets: BTreeSet<_> =
             crashes.map(|crash| (&crash.service, &crash.target, crash.incarnation)).collect();
-        in_a_row.max(targets.len())
+        consecutive_count.max(targets.len())
     }
 
     pub(super) fn last_ended_at(&self) -> Option<Timestamp> {
         self.crashes.values().map(|crash| crash.ended_at).max()
     }
 
-    pub(super) fn is_over(&self, rules: &QuarantineRules, now: Timestamp) -> bool {
+    pub(super) fn is_expired(&self, rules: &QuarantineRules, now: Timestamp) -> bool {
         let last = self.last_ended_at().max(self.answered_at);
-        last.is_none_or(|last| now.since(last) >= rules.kept(self.strikes()))
+        last.is_none_or(|last| now.since(last) >= rules.retention(self.strikes()))
     }
 
-    /// Runs that end earliest are taken first, which gives the longest row.
-    fn row(&self) -> Vec<(&CrashId, &HeldCrash)> {
+    /// Returns the longest sequence of consecutive runs that ended in a crash. Taking the run that
+    /// ends earliest first gives the longest sequence.
+    fn consecutive(&self) -> Vec<(&CrashId, &RecordedCrash)> {
         let mut crashes: Vec<_> = self.crashes.iter().collect();
         crashes.sort_by_key(|(_, crash)| crash.ended_at);
-        let mut row: Vec<(&CrashId, &HeldCrash)> = Vec::new();
+        let mut consecutive: Vec<(&CrashId, &RecordedCrash)> = Vec::new();
         for (id, crash) in crashes {
-            if row.last().is_none_or(|(_, last)| crash.began_at >= last.ended_at) {
-                row.push((id, crash));
+            if consecutive.last().is_none_or(|(_, last)| crash.began_at >= last.ended_at) {
+                consecutive.push((id, crash));
             }
         }
-        row
+        consecutive
     }
 
-    /// The last crash, and before it those that follow each other, then all others.
-    fn most_telling(&self) -> Vec<(&CrashId, &HeldCrash)> {
-        let mut row = self.row();
-        row.reverse();
-        let is_in_row = |id: &CrashId| row.iter().any(|(known, _)| *known == id);
-        let mut others: Vec<_> = self.crashes.iter().filter(|(id, _)| !is_in_row(id)).collect();
+    /// Returns the crashes to report to peers: the most recent consecutive ones, then the most
+    /// recent others.
+    fn crashes_to_report(&self) -> Vec<(&CrashId, &RecordedCrash)> {
+        let mut consecutive = self.consecutive();
+        consecutive.reverse();
+        let is_consecutive = |id: &CrashId| consecutive.iter().any(|(known, _)| *known == id);
+        let mut others: Vec<_> =
+            self.crashes.iter().filter(|(id, _)| !is_consecutive(id)).collect();
         others.sort_by_key(|(_, crash)| std::cmp::Reverse(crash.ended_at));
-        let mut telling = row;
-        telling.truncate(CRASHES_TOLD_MAX - 1);
-        telling.extend(others);
-        telling.truncate(CRASHES_TOLD_MAX);
-        telling
+        let mut reported = consecutive;
+        reported.truncate(CRASHES_REPORTED_MAX - 1);
+        reported.extend(others);
+        reported.truncate(CRASHES_REPORTED_MAX);
+        reported
     }
 
     pub(super) fn report(&self, fingerprint: Fingerprint, now: Timestamp) -> SuspectReport {
         let ago_ms = |at: Timestamp| now.since(at).as_millis() as u64;
-        let told = |(id, crash): &(&CrashId, &HeldCrash)| Crash {
+        let to_crash = |(id, crash): &(&CrashId, &RecordedCrash)| Crash {
             id: (*id).clone(),
             service: crash.service.clone(),
             target: crash.target.clone(),
@@ -157,7 +162,7 @@
         };
         SuspectReport {
             fingerprint,
-            crashes: self.most_telling().iter().map(told).collect(),
+            crashes: self.crashes_to_report().iter().map(to_crash).collect(),
             answered_ago_ms: self.answered_at.map(ago_ms),
         }
     }
@@ -168,22 +173,22 @@
         rules: &QuarantineRules,
         now: Timestamp,
     ) -> SuspectDump {
-        let row = self.row();
+        let consecutive = self.consecutive();
         let ago_ms = |at: Option<Timestamp>| at.map_or(0, |at| now.since(at).as_millis() as u64);
         let refused_for_ms = match self.verdict(rules, now) {
             Verdict::Refused(left) => left.as_millis() as u64,
             Verdict::Free | Verdict::Suspected => 0,
         };
-        let name = |(_, crash): &(&CrashId, &HeldCrash)| {
+        let name = |(_, crash): &(&CrashId, &RecordedCrash)| {
             format!("{}/{}@{}", crash.service, crash.target, crash.incarnation)
         };
         SuspectDump {
             fingerprint,
             strikes: self.strikes() as u64,
             refused_for_ms,
-            first_crash_ms: ago_ms(row.first().map(|(_, crash)| crash.ended_at)),
+            first_crash_ms: ago_ms(consecutive.first().map(|(_, crash)| crash.ended_at)),
             last_crash_ms: ago_ms(self.last_ended_at()),
-            targets: row.iter().map(name).collect(),
+            targets: consecutive.iter().map(name).collect(),
         }
     }
 }
