--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -1,15 +1,17 @@
-//! Who reads the source of configuration and targets: a few processes at a time, without an
-//! election.
+//! Decides which processes read the source of configuration and targets. A few processes read at a
+//! time, without an election.
 //!
-//! The contacts of all data halls, whom everybody knows, are ranked by a hash; the first
-//! [`READERS`] of them read all the time. After each call a reader tells all others whether the
-//! source answered. A process that has not heard of an answer for [`SILENCE_MAX`] reads itself,
-//! those that come later in their hall a little later. A reader whose calls fail is passed over
-//! for a while, so that the next rank takes its place.
+//! The contacts of all data halls, which every process knows, are ranked by a hash, and the first
+//! [`READER_COUNT`] of them read continuously. After each call a reader reports to all other
+//! processes whether the source answered. A process that has received no report of an answer for
+//! [`SILENCE_MAX`] reads by itself; a process with a higher rank in its hall waits a little
+//! longer. A reader whose call failed is excluded from the ranking for a while, so that the next
+//! process takes over.
 //!
-//! Nothing has to be agreed on: if two processes rank differently, a few more calls are
-//! made. Failed calls are repeated after a pause that grows with failures and with the
-//! fleet, so that an outage of the source costs the whole fleet a few calls a second.
+//! The ranking needs no agreement: two processes that rank differently cause only a few extra
+//! calls. Failed calls are retried after a backoff that grows with the failures and with the size
+//! of the fleet, so that the whole fleet makes only a few calls per second during an outage of the
+//! source.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,80 +23,83 @@
 use crate::Candidate;
 use crate::ranked;
 
-/// Processes that read all the time: one may be cut off without anybody noticing at once.
-const READERS: usize = 2;
-/// Time without news of an answer after which anybody reads.
+/// Processes that read continuously: two, so that an unreachable reader does not delay changes.
+const READER_COUNT: usize = 2;
+/// Time without a report of an answer after which any process reads the source.
 const SILENCE_MAX: Duration = Duration::from_millis(1_200);
-/// Added to that for each process that comes before in the data hall, up to
-/// [`PLACE_DELAY_MAX`], so that not all read at once: the first tells the hall.
-const PLACE_DELAY: Duration = Duration::from_millis(40);
-const PLACE_DELAY_MAX: Duration = Duration::from_millis(1_600);
-/// How long a reader whose call failed is passed over by others.
-const PASSED_OVER: Duration = Duration::from_secs(3);
-/// Pause after the first failed call; it doubles with each further one.
-const PAUSE_MIN: Duration = Duration::from_millis(150);
-/// It is that much longer for each so many others whose calls have just failed too: then the
-/// source is down for all, and any of them will notice its return.
-const FAILED_OTHERS_PER_PAUSE: u32 = 8;
-/// Longest pause, for each member: the fleet's failed calls a second stay the same.
-const PAUSE_MAX_PER_MEMBER: Duration = Duration::from_millis(120);
-/// Bounds of the longest pause.
-const PAUSE_MAX_LEAST: Duration = Duration::from_millis(600);
-const PAUSE_MAX_MOST: Duration = Duration::from_secs(10);
-/// Doublings of the pause at most.
+/// Additional silence per rank in the data hall, up to [`RANK_DELAY_MAX`], before a process reads
+/// the source by itself. The first process to read informs the others, so that not all of them
+/// read.
+const DELAY_PER_RANK: Duration = Duration::from_millis(40);
+const RANK_DELAY_MAX: Duration = Duration::from_millis(1_600);
+/// Time that a reader whose call failed is excluded from the ranking by other processes.
+const READER_EXCLUSION: Duration = Duration::from_secs(3);
+/// Backoff after the first failed call; it doubles with each further failure.
+const BACKOFF_MIN: Duration = Duration::from_millis(150);
+/// Number of other processes with recent failures that lengthens the backoff by another
+/// [`BACKOFF_MIN`]. When many calls fail, the source is down for all processes, and any of them
+/// notices its return.
+const FAILED_OTHERS_PER_BACKOFF_STEP: u32 = 8;
+/// Longest backoff per known member, so that the fleet's rate of failed calls does not depend on
+/// its size.
+const BACKOFF_MAX_PER_MEMBER: Duration = Duration::from_millis(120);
+/// Limits of the longest backoff, whatever the number of members.
+const BACKOFF_MAX_LOWER_BOUND: Duration = Duration::from_millis(600);
+const BACKOFF_MAX_UPPER_BOUND: Duration = Duration::from_secs(10);
+/// Maximum number of doublings of the backoff.
 const DOUBLINGS_MAX: u32 = 7;
-/// For so long after its start a process hardly knows who else is there, and does not take
-/// itself for one of the first.
-const YOUNG: Duration = Duration::from_millis(1_500);
-/// Others whose calls have just failed from which on the source counts as down for all, and is
-/// left to the contacts, who try on.
+/// Time after its start in which a process knows too few members to consider itself one of the
+/// readers.
+const STARTUP_GRACE: Duration = Duration::from_millis(1_500);
+/// Number of other processes with recent failures from which on the source counts as down for all.
+/// Only the contacts then keep calling the source.
 const FAILED_OTHERS_MIN: usize = 6;
-/// Time without an answer to anybody from which on the source counts as having been away.
+/// Time without an answer to any process from which on the source counts as having had an outage.
 const OUTAGE_MIN: Duration = Duration::from_millis(2_200);
-/// Time after its return within which the source lists again what it forgot meanwhile, if it
-/// is still there.
+/// Time after an outage within which the source lists again the targets that it forgot, if they
+/// still run.
 const LISTED_AGAIN_WITHIN: Duration = Duration::from_millis(2_300);
-/// Name of the task in the ranking.
-const TASK: &str = "read the source";
+/// Task name that ranks the readers.
+const RANKING_TASK: &str = "read the source";
 
-/// What a process should do about the source now.
+/// Next step of a process regarding the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadAction {
-    /// Read, and let the source hold the call until something changes.
+    /// Call the source, and let it hold the call until a document changes.
     LongPoll,
-    /// Read at once, without waiting for a change.
+    /// Call the source without waiting for a change.
     Poll,
-    /// Look again after this time.
+    /// Decide again after this time.
     Wait(Duration),
 }
 
-/// A process's place among those of its data hall.
+/// A process's rank among the processes of its data hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HallRank {
-    /// How many come before it.
+    /// Number of processes of the data hall that rank before this one.
     pub rank: usize,
-    /// Whether it is a contact, and so may read all the time.
+    /// Whether the process is a contact of its hall, which makes it eligible as a reader.
     pub is_contact: bool,
 }
 
-/// What one process knows of the readers.
+/// State that one process keeps to decide when to read the source.
 #[derive(Debug, Clone)]
 pub struct Readers {
     own: VmName,
     capacity: Capacity,
     started_at: Timestamp,
     confirmed_at: Option<Timestamp>,
-    /// When the source was back after an outage.
+    /// Time at which the source answered again after its last outage.
     returned_at: Option<Timestamp>,
-    passed_over: BTreeMap<VmName, Timestamp>,
-    /// When another process last told that its call failed.
+    excluded_until: BTreeMap<VmName, Timestamp>,
+    /// Time of the last report that another process's call failed.
     failure_seen_at: Option<Timestamp>,
     failures: u32,
     not_before: Timestamp,
 }
 
 impl Readers {
-    /// The knowledge of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(own: VmName, capacity: Capacity, now: Timestamp) -> Self {
         Self {
             own,
@@ -102,101 +107,104 @@
             started_at: now,
             confirmed_at: None,
             returned_at: None,
-            passed_over: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
             failure_seen_at: None,
             failures: 0,
             not_before: Timestamp::default(),
         }
     }
 
-    /// What to do now; `contacts` are the other processes that may read all the time, `place`
-    /// is this process's own.
+    /// Returns the next step. `contacts` are the other processes that are eligible as readers, and
+    /// `hall_rank` is this process's own rank.
     pub fn next_action(
         &self,
         contacts: &[Candidate<'_>],
-        place: HallRank,
+        hall_rank: HallRank,
         now: Timestamp,
     ) -> ReadAction {
         if now < self.not_before {
             return ReadAction::Wait(now.until(self.not_before));
         }
-        let is_young = !contacts.is_empty() && now.since(self.started_at) < YOUNG;
-        let is_rested = self.failures == 0 && !is_young;
-        if place.is_contact && is_rested && self.rank(contacts, now) < READERS {
+        let is_starting = !contacts.is_empty() && now.since(self.started_at) < STARTUP_GRACE;
+        let is_healthy = self.failures == 0 && !is_starting;
+        if hall_rank.is_contact && is_healthy && self.rank(contacts, now) < READER_COUNT {
             return ReadAction::LongPoll;
         }
-        let before = u32::try_from(place.rank).unwrap_or(u32::MAX);
-        let delay = PLACE_DELAY.saturating_mul(before).min(PLACE_DELAY_MAX);
+        let rank = u32::try_from(hall_rank.rank).unwrap_or(u32::MAX);
+        let delay = DELAY_PER_RANK.saturating_mul(rank).min(RANK_DELAY_MAX);
         let mut last_seen_at = self.confirmed_at.unwrap_or(self.started_at);
-        if !place.is_contact && self.passed_over.len() >= FAILED_OTHERS_MIN {
-            // Somebody tries on, and would tell. Played in virtual time, 142 processes make at
-            // most 20 calls a second in an outage of 10 s; where all of a hall try, 38.
+        if !hall_rank.is_contact && self.excluded_until.len() >= FAILED_OTHERS_MIN {
+            // The contacts keep calling the source and would report an answer. In simulated time,
+            // a fleet of 142 processes makes at most 20 calls per second during an outage of 10 s;
+            // with all processes of a hall calling the source it makes 38.
             last_seen_at = last_seen_at.max(self.failure_seen_at.unwrap_or(last_seen_at));
         }
-        let due = last_seen_at + SILENCE_MAX + delay;
-        if now >= due { ReadAction::Poll } else { ReadAction::Wait(now.until(due)) }
+        let read_at = last_seen_at + SILENCE_MAX + delay;
+        if now >= read_at { ReadAction::Poll } else { ReadAction::Wait(now.until(read_at)) }
     }
 
-    fn rank(&self, alive: &[Candidate<'_>], now: Timestamp) -> usize {
+    fn rank(&self, contacts: &[Candidate<'_>], now: Timestamp) -> usize {
         let is_eligible = |other: &Candidate<'_>| {
-            self.passed_over.get(other.vm).is_none_or(|until| *until <= now)
+            self.excluded_until.get(other.vm).is_none_or(|until| *until <= now)
         };
-        let others = alive.iter().copied().filter(is_eligible);
+        let others = contacts.iter().copied().filter(is_eligible);
         let own = Candidate { vm: &self.own, capacity: self.capacity };
-        let order = ranked(TASK, others.chain([own]));
+        let order = ranked(RANKING_TASK, others.chain([own]));
         order.iter().position(|vm| **vm == self.own).unwrap_or(0)
     }
 
-    /// An own call was answered.
+    /// Records that the source answered this process's own call.
     pub fn succeeded(&mut self, now: Timestamp) {
         self.failures = 0;
         self.confirm(now);
     }
 
     fn confirm(&mut self, now: Timestamp) {
-        let before = self.confirmed_at.unwrap_or(self.started_at);
-        if now.since(before) >= OUTAGE_MIN {
+        let last_confirmed_at = self.confirmed_at.unwrap_or(self.started_at);
+        if now.since(last_confirmed_at) >= OUTAGE_MIN {
             self.returned_at = Some(now);
         }
         self.confirmed_at = Some(now);
     }
 
-    /// Whether the source has just returned from an outage, so that what it no longer lists
-    /// may still be there.
+    /// Returns whether the source has just recovered from an outage, so that targets missing from
+    /// its list may still be running.
     pub fn has_just_recovered(&self, now: Timestamp) -> bool {
         self.returned_at.is_some_and(|at| now.since(at) < LISTED_AGAIN_WITHIN)
     }
 
-    /// This process was paused for `gap`: the silence of the source was its own.
+    /// Shifts the last answer by `gap`, the time that this process was paused, so that its own
+    /// pause does not count as silence of the source.
     pub fn paused(&mut self, gap: Duration) {
         self.confirmed_at = self.confirmed_at.map(|at| at + gap);
     }
 
-    /// An own call failed. `spread`, from 0 to 1, keeps processes apart.
-    pub fn failed(&mut self, member_count: usize, spread: f64, now: Timestamp) {
+    /// Records that this process's own call failed. `jitter`, from 0 to 1, spreads the retries of
+    /// different processes.
+    pub fn failed(&mut self, member_count: usize, jitter: f64, now: Timestamp) {
         let doublings = self.failures.min(DOUBLINGS_MAX);
-        let most = PAUSE_MAX_PER_MEMBER * u32::try_from(member_count).unwrap_or(u32::MAX);
-        let most = most.clamp(PAUSE_MAX_LEAST, PAUSE_MAX_MOST);
-        let others = u32::try_from(self.passed_over.len()).unwrap_or(u32::MAX);
-        let first = PAUSE_MIN * (1 + others / FAILED_OTHERS_PER_PAUSE);
-        let pause = (first * 2_u32.pow(doublings)).min(most);
+        let backoff_max = BACKOFF_MAX_PER_MEMBER * u32::try_from(member_count).unwrap_or(u32::MAX);
+        let backoff_max = backoff_max.clamp(BACKOFF_MAX_LOWER_BOUND, BACKOFF_MAX_UPPER_BOUND);
+        let others = u32::try_from(self.excluded_until.len()).unwrap_or(u32::MAX);
+        let backoff_base = BACKOFF_MIN * (1 + others / FAILED_OTHERS_PER_BACKOFF_STEP);
+        let backoff = (backoff_base * 2_u32.pow(doublings)).min(backoff_max);
         self.failures += 1;
-        self.not_before = now + pause.mul_f64(0.5 + spread);
+        self.not_before = now + backoff.mul_f64(0.5 + jitter);
     }
 
-    /// Another process told that its call was answered, or failed.
+    /// Records another process's report that its call was answered or failed.
     pub fn record_report(&mut self, vm: &VmName, is_answered: bool, now: Timestamp) {
         if is_answered {
             self.confirm(now);
-            self.passed_over.remove(vm);
+            self.excluded_until.remove(vm);
         } else {
-            self.passed_over.retain(|_, until| *until > now);
-            self.passed_over.insert(vm.clone(), now + PASSED_OVER);
+            self.excluded_until.retain(|_, until| *until > now);
+            self.excluded_until.insert(vm.clone(), now + READER_EXCLUSION);
             self.failure_seen_at = Some(now);
         }
     }
 
-    /// When the source was last known to answer anybody.
+    /// Returns the time at which the source last answered any process, as far as known here.
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         self.confirmed_at
     }
