--- a/crates/thymeshift_fleet/src/delta.rs
+++ b/crates/thymeshift_fleet/src/delta.rs
@@ -1,11 +1,13 @@
-//! The difference between two revisions of a document.
+//! Deltas between two revisions of a document.
 //!
-//! A difference keeps parts of the old text and puts new text between them. What the texts have in
-//! common at both ends is kept first; if several lines lie between, they are compared line by line.
+//! A delta keeps parts of the old text and inserts new text between them. The common start and the
+//! common end of both texts are kept; if several lines differ between them, these are compared
+//! line by line.
 //!
-//! Load pattern: targets of a large fleet that change a few at a time, anywhere in a long list.
-//! Everything between the first and the last change is nearly the whole list: 226,590 bytes of
-//! 226,741 for eleven lines of 6,000, to every process. The lines alone are below 1,000.
+//! In a large fleet a few targets change at a time, anywhere in a long list. A delta that replaces
+//! everything between the first and the last change would contain nearly the whole list: 226,590
+//! of 226,741 bytes for eleven changed lines of 6,000, sent to every process. A line-by-line delta
+//! takes less than 1,000 bytes.
 
 use std::collections::HashMap;
 
@@ -17,44 +19,45 @@
 use crate::Head;
 use crate::Published;
 
-/// Turns the document at `from` into the one at `to`.
+/// Delta that turns the document at `from` into the one at `to`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The document it applies to.
+    /// Revision and digest of the document that the delta applies to.
     pub from: Head,
-    /// The document it makes.
+    /// Revision and digest of the resulting document.
     pub to: Head,
-    /// From the start to the end; what stands behind the last one is kept.
+    /// Edits from the start to the end of the text; the text after the last edit is kept.
     edits: Vec<Edit>,
 }
 
-/// One change, behind a part that is kept.
+/// One replacement, preceded by a part of the old text that is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Edit {
-    /// Bytes kept before it.
+    /// Bytes of the old text to keep before the replacement.
     kept_bytes: u32,
-    /// Bytes left out.
+    /// Bytes of the old text to drop.
     dropped_bytes: u32,
-    /// Text put in their place.
+    /// New text to insert at the position of the dropped bytes.
     text: String,
 }
 
-/// Bytes that an edit takes beside its text.
-const EDIT_BYTES: usize = 10;
+/// Bytes that an edit takes in addition to its text.
+const EDIT_OVERHEAD_BYTES: usize = 10;
 
-/// Why a difference was not applied. Nothing was changed; ask for the whole document.
+/// Error that prevents a delta from being applied. The base document is unchanged, and the
+/// receiver asks for the whole document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum DeltaError {
-    /// It belongs to another document.
+    /// The delta was made for another base document.
     #[display("the difference applies to another document")]
     OtherBase,
-    /// Its lengths do not fit the document, or the result has another digest.
+    /// The delta's lengths exceed the base document, or the resulting text has another digest.
     #[display("the difference is damaged")]
     Damaged,
 }
 
 impl Delta {
-    /// The difference between two documents.
+    /// Creates the delta between two documents.
     pub fn between(from: &Published, to: &Published) -> Self {
         let (old, new) = (from.text(), to.text());
         let prefix = common_prefix(old, new);
@@ -64,28 +67,28 @@
         Self { from: from.head(), to: to.head(), edits: edits(prefix, old, new) }
     }
 
-    /// The document that this difference makes of `base`.
+    /// Applies this delta to `base`, and verifies the digest of the result.
     pub fn apply(&self, base: &Published) -> Result<Published, DeltaError> {
         if base.head() != self.from {
             return Err(DeltaError::OtherBase);
         }
         let mut rest = base.text();
-        let mut made = String::with_capacity(rest.len());
+        let mut patched = String::with_capacity(rest.len());
         for edit in &self.edits {
-            let (kept, behind) = split(rest, edit.kept_bytes)?;
-            let (_, behind) = split(behind, edit.dropped_bytes)?;
-            made.push_str(kept);
-            made.push_str(&edit.text);
-            rest = behind;
+            let (kept, after) = split(rest, edit.kept_bytes)?;
+            let (_, after) = split(after, edit.dropped_bytes)?;
+            patched.push_str(kept);
+            patched.push_str(&edit.text);
+            rest = after;
         }
-        made.push_str(rest);
-        let published = Published::new(self.to.revision, &made);
+        patched.push_str(rest);
+        let published = Published::new(self.to.revision, &patched);
         if published.head() == self.to { Ok(published) } else { Err(DeltaError::Damaged) }
     }
 
-    /// Bytes that it carries.
+    /// Returns the approximate size of the delta in bytes.
     pub fn len_bytes(&self) -> usize {
-        self.edits.iter().map(|edit| EDIT_BYTES + edit.text.len()).sum()
+        self.edits.iter().map(|edit| EDIT_OVERHEAD_BYTES + edit.text.len()).sum()
     }
 }
 
@@ -93,32 +96,33 @@
     text.split_at_checked(length_bytes as usize).ok_or(DeltaError::Damaged)
 }
 
-/// The edits that turn `old` into `new`, both behind `prefix` bytes that are kept. A line of the old
-/// text that stands in the new one, behind those found before, is kept.
+/// Returns the edits that turn `old` into `new`, which both follow `prefix` bytes to keep. A line
+/// of `old` is kept if it occurs in `new` after the previously kept lines.
 fn edits(prefix: usize, old: &str, new: &str) -> Vec<Edit> {
-    let mut places = HashMap::new();
-    let mut begin = 0;
+    let mut positions = HashMap::new();
+    let mut offset = 0;
     for line in old.split_inclusive('\n') {
-        places.entry(line).or_insert(begin);
-        begin += line.len();
+        positions.entry(line).or_insert(offset);
+        offset += line.len();
     }
     let mut edits = Vec::new();
-    let (mut kept, mut passed) = (prefix, 0);
+    let (mut kept, mut consumed) = (prefix, 0);
     let mut text = String::new();
     for line in new.split_inclusive('\n') {
-        let Some(place) = places.get(line).copied().filter(|place| *place >= passed) else {
+        let Some(position) = positions.get(line).copied().filter(|position| *position >= consumed)
+        else {
             text.push_str(line);
             continue;
         };
-        if place > passed || !text.is_empty() {
-            edits.push(Edit::new(kept, place - passed, std::mem::take(&mut text)));
+        if position > consumed || !text.is_empty() {
+            edits.push(Edit::new(kept, position - consumed, std::mem::take(&mut text)));
             kept = 0;
         }
         kept += line.len();
-        passed = place + line.len();
+        consumed = position + line.len();
     }
-    if passed < old.len() || !text.is_empty() {
-        edits.push(Edit::new(kept, old.len() - passed, text));
+    if consumed < old.len() || !text.is_empty() {
+        edits.push(Edit::new(kept, old.len() - consumed, text));
     }
     edits
 }
@@ -129,7 +133,7 @@
     }
 }
 
-/// Length of the longest common start that ends between characters.
+/// Returns the length of the longest common prefix that ends on a character boundary.
 fn common_prefix(a: &str, b: &str) -> usize {
     let mut length = a.bytes().zip(b.bytes()).take_while(|(a, b)| a == b).count();
     while !a.is_char_boundary(length) || !b.is_char_boundary(length) {
@@ -138,7 +142,7 @@
     length
 }
 
-/// Length of the longest common end that begins between characters.
+/// Returns the length of the longest common suffix that starts on a character boundary.
 fn common_suffix(a: &str, b: &str) -> usize {
     let pairs = a.bytes().rev().zip(b.bytes().rev());
     let mut length = pairs.take_while(|(a, b)| a == b).count();
