--- a/crates/thymeshift_fleet/src/watch.rs
+++ b/crates/thymeshift_fleet/src/watch.rs
@@ -1,17 +1,18 @@
-//! Who watches the platform: a few processes at a time, without an election.
+//! Decides which processes watch the platform. A few processes watch at a time, without an
+//! election.
 //!
-//! Each watching process passes on that it watches; others pass it on with its age. A
-//! process that knows of fewer than [`WATCHERS`] fresh watchers waits for its turn and
-//! then begins to watch itself. Turns follow a hash of name and boot, so that they differ
-//! from process to process and change with each start. A watcher that knows of enough
-//! others with an earlier turn stops at the end of its call.
+//! Each watching process announces itself in its messages, and other processes relay the
+//! announcement with its age. A process that knows of fewer than [`WATCHER_COUNT`] fresh watchers
+//! waits for its takeover delay and then watches by itself. The delays are derived from a hash of
+//! VM name and boot, so they differ between processes and change with each start. A watcher that
+//! knows of enough other watchers with lower hashes stops at the end of its current call.
 //!
-//! A dead, paused or cut-off watcher is not detected as such: its lease is no longer
-//! renewed and the next process takes over. Processes that cannot see each other each
-//! find their own watchers, which is what they need. The number of calls depends on the
-//! number of watchers and on the length of a call, not on the size of the fleet; only
-//! while a place is vacant do a few more processes try, about as many as turns pass while
-//! the news of a new watcher spreads, which grows with the logarithm of the fleet.
+//! A dead, paused or unreachable watcher needs no detection: its lease is no longer renewed, and
+//! another process takes over. Processes on different sides of a network partition choose their
+//! own watchers, as intended. The number of calls depends on the number of watchers and the
+//! duration of a call, not on the size of the fleet. Only while a watcher is missing do a few more
+//! processes call the platform: about as many as reach the end of their takeover delay while the
+//! announcement of a new watcher spreads, which takes time logarithmic in the size of the fleet.
 
 use std::time::Duration;
 
@@ -23,32 +24,34 @@
 
 use crate::Boot;
 
-/// Watchers wanted: one may be cut off or stale without anybody noticing.
-const WATCHERS: usize = 2;
-/// Watchers remembered and passed on.
-const WATCHERS_KEPT: usize = 4;
-/// Time after which a watcher that was not heard of is not counted, in a fleet of one.
+/// Number of concurrent watchers: two, so that an unreachable or outdated one does not delay
+/// changes.
+const WATCHER_COUNT: usize = 2;
+/// Maximum number of other watchers that a process remembers and relays.
+const KNOWN_WATCHERS_MAX: usize = 4;
+/// Lease of a watcher's announcement in a fleet of one process.
 const LEASE_BASE: Duration = Duration::from_secs(2);
-/// What is added to it each time the fleet doubles: news needs that much longer to reach
-/// everybody. A shorter lease looks vacant to processes that the news has not reached.
+/// Extension of the lease each time the fleet doubles in size, because announcements take longer
+/// to reach all processes. With a shorter lease, processes that an announcement has not reached
+/// yet would see a watcher as missing.
 const LEASE_PER_DOUBLING: Duration = Duration::from_millis(900);
-/// Failures in a row after which a watcher stands back.
+/// Consecutive failed calls after which a watcher stops watching.
 const FAILURES_MAX: u32 = 2;
-/// How long it stands back the first time.
-const STAND_BACK: Duration = Duration::from_secs(5);
-/// Doublings of that time at most.
+/// Time for which a watcher does not watch after [`FAILURES_MAX`] failures, the first time.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(5);
+/// Maximum number of doublings of [`FAILURE_BACKOFF`].
 const DOUBLINGS_MAX: u32 = 5;
-/// Time between two turns.
-const TURN: Duration = Duration::from_millis(250);
+/// Mean time between the takeover delays of two processes of the fleet.
+const TAKEOVER_SLOT: Duration = Duration::from_millis(250);
 
-/// A process that watches the platform, and when it was last known to.
+/// Announcement of a process that watches the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watcher {
-    /// Its VM.
+    /// VM of the process that watches the platform.
     pub vm: VmName,
-    /// Its start.
+    /// Boot of the process that watches the platform.
     pub boot: Boot,
-    /// How long ago it was known to watch, in milliseconds.
+    /// Time since the process was last known to watch, in milliseconds.
     pub age_ms: u64,
 }
 
@@ -56,44 +59,44 @@
 struct Lease {
     vm: VmName,
     boot: Boot,
-    turn: u64,
+    takeover_hash: u64,
     renewed_at: Timestamp,
 }
 
-/// Decides whether this process watches.
+/// Decides whether this process watches the platform.
 #[derive(Debug)]
 pub struct WatcherSelection {
     vm: VmName,
     boot: Boot,
-    turn: u64,
+    takeover_hash: u64,
     others: Vec<Lease>,
     vacant_since: Option<Timestamp>,
     is_watching: bool,
     failures: u32,
     doublings: u32,
-    stands_back_until: Timestamp,
+    backoff_until: Timestamp,
     lease: Duration,
 }
 
 impl WatcherSelection {
-    /// The election as seen by the process `vm` started as `boot`.
+    /// Creates the selection for the process on `vm` that was started as `boot`.
     pub fn new(vm: VmName, boot: Boot) -> Self {
-        let turn = turn_of(&vm, boot);
+        let takeover_hash = takeover_hash_of(&vm, boot);
         Self {
             vm,
             boot,
-            turn,
+            takeover_hash,
             others: Vec::new(),
             vacant_since: None,
             is_watching: false,
             failures: 0,
             doublings: 0,
-            stands_back_until: Timestamp::default(),
+            backoff_until: Timestamp::default(),
             lease: LEASE_BASE,
         }
     }
 
-    /// Takes in a watcher that a peer named.
+    /// Merges a watcher's announcement that a peer sent or relayed.
     pub fn merge(&mut self, watcher: &Watcher, now: Timestamp) {
         if watcher.vm == self.vm {
             return;
@@ -104,34 +107,35 @@
         if now.since(renewed_at) >= lease {
             return;
         }
-        let same = |known: &&mut Lease| known.vm == watcher.vm && known.boot == watcher.boot;
-        if let Some(known) = self.others.iter_mut().find(same) {
+        let is_same = |known: &&mut Lease| known.vm == watcher.vm && known.boot == watcher.boot;
+        if let Some(known) = self.others.iter_mut().find(is_same) {
             known.renewed_at = known.renewed_at.max(renewed_at);
             return;
         }
-        let turn = turn_of(&watcher.vm, watcher.boot);
-        let lease = Lease { vm: watcher.vm.clone(), boot: watcher.boot, turn, renewed_at };
+        let takeover_hash = takeover_hash_of(&watcher.vm, watcher.boot);
+        let lease = Lease { vm: watcher.vm.clone(), boot: watcher.boot, takeover_hash, renewed_at };
         self.others.push(lease);
-        self.others.sort_by_key(|known| known.turn);
-        self.others.truncate(WATCHERS_KEPT);
+        self.others.sort_by_key(|known| known.takeover_hash);
+        self.others.truncate(KNOWN_WATCHERS_MAX);
     }
 
-    /// Whether to begin a call to the platform now, or to go on with another. `fleet` is
-    /// the number of processes that this one believes in.
+    /// Returns whether to start a call to the platform now, or to continue with another one.
+    /// `fleet` is the number of processes that are alive, as far as known here.
     pub fn should_watch(&mut self, fleet: usize, now: Timestamp) -> bool {
         self.lease = lease(fleet);
         let fresh = self.fresh(now).count();
-        let earlier = self.fresh(now).filter(|known| known.turn < self.turn).count();
+        let earlier =
+            self.fresh(now).filter(|known| known.takeover_hash < self.takeover_hash).count();
         if self.is_watching {
-            self.is_watching = earlier < WATCHERS;
+            self.is_watching = earlier < WATCHER_COUNT;
             return self.is_watching;
         }
-        if fresh >= WATCHERS || now < self.stands_back_until {
+        if fresh >= WATCHER_COUNT || now < self.backoff_until {
             self.vacant_since = None;
             return false;
         }
         let vacant_since = *self.vacant_since.get_or_insert(now);
-        if now.since(vacant_since) < self.delay(fleet) {
+        if now.since(vacant_since) < self.takeover_delay(fleet) {
             return false;
         }
         self.vacant_since = None;
@@ -139,9 +143,10 @@
         true
     }
 
-    /// The platform did not answer. After a second failure in a row this process stands
-    /// back, so that another one tries: the fault may be its own. Each time longer, so that
-    /// an outage of the platform does not make the whole fleet call it.
+    /// Records that the platform did not answer. After `FAILURES_MAX` failures in a row this
+    /// process stops watching for a while so that another one tries, because the fault may be
+    /// local. The time doubles with each repetition, so that not the whole fleet calls the
+    /// platform during an outage.
     pub fn failed(&mut self, now: Timestamp) {
         self.failures += 1;
         if self.failures < FAILURES_MAX {
@@ -150,22 +155,22 @@
         self.failures = 0;
         self.is_watching = false;
         self.vacant_since = None;
-        self.stands_back_until = now + STAND_BACK * (1 << self.doublings);
+        self.backoff_until = now + FAILURE_BACKOFF * (1 << self.doublings);
         self.doublings = (self.doublings + 1).min(DOUBLINGS_MAX);
     }
 
-    /// The platform answered.
+    /// Records that the platform answered.
     pub fn succeeded(&mut self) {
         self.failures = 0;
         self.doublings = 0;
     }
 
-    /// Whether this process watches.
+    /// Returns whether this process watches the platform.
     pub fn is_watching(&self) -> bool {
         self.is_watching
     }
 
-    /// The watchers to name to a peer.
+    /// Returns the watchers to announce to a peer, including this process if it watches.
     pub fn watchers(&self, now: Timestamp) -> Vec<Watcher> {
         let own = Watcher { vm: self.vm.clone(), boot: self.boot, age_ms: 0 };
         let others = self.fresh(now).map(|known| Watcher {
@@ -176,7 +181,8 @@
         self.is_watching.then_some(own).into_iter().chain(others).collect()
     }
 
-    /// Forgets leases from before this process's own pause.
+    /// Forgets the leases of other watchers after a pause of this process, because they are
+    /// outdated.
     pub fn paused(&mut self) {
         self.others.clear();
         self.vacant_since = None;
@@ -186,10 +192,10 @@
         self.others.iter().filter(move |known| now.since(known.renewed_at) < self.lease)
     }
 
-    /// How long a place must have been vacant before this process takes it.
-    fn delay(&self, fleet: usize) -> Duration {
-        let fraction = self.turn as f64 / u64::MAX as f64;
-        TURN.mul_f64(fraction * fleet.max(1) as f64)
+    /// Returns how long a watcher must have been missing before this process takes over.
+    fn takeover_delay(&self, fleet: usize) -> Duration {
+        let fraction = self.takeover_hash as f64 / u64::MAX as f64;
+        TAKEOVER_SLOT.mul_f64(fraction * fleet.max(1) as f64)
     }
 }
 
@@ -197,6 +203,6 @@
     LEASE_BASE + LEASE_PER_DOUBLING.mul_f64((fleet.max(1) as f64).log2())
 }
 
-fn turn_of(vm: &VmName, boot: Boot) -> u64 {
+fn takeover_hash_of(vm: &VmName, boot: Boot) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), boot.as_u64())
 }
