--- a/crates/thymeshift_fleet/src/orders.rs
+++ b/crates/thymeshift_fleet/src/orders.rs
@@ -1,11 +1,11 @@
-//! Operators' temporary orders, held in the fleet's memory until they expire.
+//! Operators' temporary orders, held in the memory of the fleet's processes until they expire.
 //!
-//! For each subject the order with the largest stamp holds. Taking the larger of two
-//! stamps does not depend on the order or number of messages, so two operators who give
-//! opposite orders at two VMs end with the same one everywhere, and both can see which.
+//! For each subject the order with the largest stamp holds. Taking the larger of two stamps does
+//! not depend on the order or number of messages. If two operators give opposite orders at two
+//! VMs, the same order wins at every process, and both operators can see which one.
 //!
-//! An order is lost if every process that knows it is replaced before it is passed on, or
-//! at its expiry. What must outlive the fleet belongs into the configuration.
+//! An order is lost when it expires, or if every process that knows it is replaced before relaying
+//! it. Settings that must outlive the fleet's processes belong in the configuration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,84 +21,85 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 
-/// Orders kept and passed on at most.
+/// Maximum number of orders that a process keeps and relays.
 const ORDERS_MAX: usize = 128;
-/// Longest time an order may hold.
-const EXPIRY_MAX: Duration = Duration::from_hours(24);
+/// Longest lifetime of an order.
+const LIFETIME_MAX: Duration = Duration::from_hours(24);
 
-/// What an order is about.
+/// Subject that an order changes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderSubject {
-    /// Whether a target gets new work.
+    /// Whether a target receives new work.
     #[display("target {_0}/{_1}")]
     Target(ServiceName, TargetName),
-    /// Whether a service's targets are probed.
+    /// Whether the targets of a service are probed.
     #[display("probing {_0}")]
     Probing(ServiceName),
-    /// Whether the targets of a data hall get new work.
+    /// Whether the targets of a data hall receive new work.
     #[display("hall {_0}")]
     DataHall(DataHallName),
-    /// Whether a request is refused, whatever is known of it.
+    /// Whether a request is refused, regardless of its crashes in the quarantine.
     #[display("request {_0}")]
     Request(Fingerprint),
 }
 
-/// What an order says about its subject.
+/// Change that an order makes to its subject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderChange {
-    /// Stop: drain the target, pause the probing.
+    /// Drains the target or data hall, pauses the probing, or refuses the request.
     #[display("stop")]
     Stop,
-    /// As configured: undrain the target, go on probing.
+    /// Undrains the target or data hall, resumes the probing, or lets the request through despite
+    /// its crashes.
     #[display("resume")]
     Resume,
 }
 
-/// Decides between two orders on one subject. Larger holds.
+/// Version of an order; of two orders on one subject the one with the larger stamp holds.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderStamp {
-    /// Counts up: larger than every counter its VM knew.
+    /// Counter that is larger than all counters known to the issuing VM.
     pub counter: u64,
-    /// The VM that took the order; decides between equal counters.
+    /// VM at which the order was given; decides between equal counters.
     pub vm: VmName,
 }
 
-/// An order as it travels.
+/// An order as sent between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// What it is about.
+    /// Subject that the order changes.
     pub subject: OrderSubject,
-    /// What it says.
+    /// Change that the order makes to its subject.
     pub change: OrderChange,
-    /// Which of two orders holds.
+    /// Stamp that decides between several orders on the same subject.
     pub stamp: OrderStamp,
-    /// Who gave it.
+    /// Operator who gave the order.
     pub operator: String,
-    /// The configuration's revision in force where it was given.
+    /// Configuration revision in force at the process where the order was given.
     pub revision: Option<Revision>,
-    /// Time left, in milliseconds.
+    /// Remaining lifetime of the order, in milliseconds.
     pub expires_in_ms: u64,
 }
 
-/// An order before it has a stamp.
+/// An operator's order before it has received a stamp.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderDraft {
-    /// What it is about.
+    /// Subject that the order is to change.
     pub subject: OrderSubject,
-    /// What it says.
+    /// Change that the order is to make to its subject.
     pub change: OrderChange,
-    /// Who gives it.
+    /// Operator who gives the order.
     pub operator: String,
-    /// The configuration's revision in force where it is given.
+    /// Configuration revision in force at the process where the order is given.
     pub revision: Option<Revision>,
-    /// How long it shall hold.
+    /// Requested lifetime of the order.
     pub expires_in: Duration,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldOrder {
     order: Order,
     expires_at: Timestamp,
 }
@@ -106,37 +107,37 @@
 /// All orders known to this process.
 #[derive(Debug, Clone, Default)]
 pub struct Orders {
-    held: BTreeMap<OrderSubject, Held>,
+    held: BTreeMap<OrderSubject, HeldOrder>,
     counter: u64,
 }
 
 impl Orders {
-    /// A new order taken at `vm`, with a stamp larger than that of every order known here.
+    /// Creates an order given at `vm`, with a stamp larger than those of all orders known here.
     ///
-    /// It holds at least as long as the order it ends. Otherwise a process that was cut
-    /// off could bring the ended one back after the new one has expired.
+    /// The order lives at least as long as the order that it replaces. Otherwise a process that
+    /// was unreachable could bring the replaced order back after the new one has expired.
     pub fn issue(&mut self, vm: VmName, draft: OrderDraft, now: Timestamp) -> Order {
         self.counter += 1;
-        let ended = self.held.get(&draft.subject).map(|held| now.until(held.expires_at));
-        let expiry = draft.expires_in.max(ended.unwrap_or_default()).min(EXPIRY_MAX);
+        let replaced = self.held.get(&draft.subject).map(|held| now.until(held.expires_at));
+        let lifetime = draft.expires_in.max(replaced.unwrap_or_default()).min(LIFETIME_MAX);
         Order {
             subject: draft.subject,
             change: draft.change,
             stamp: OrderStamp { counter: self.counter, vm },
             operator: draft.operator,
             revision: draft.revision,
-            expires_in_ms: expiry.as_millis() as u64,
+            expires_in_ms: lifetime.as_millis() as u64,
         }
     }
 
-    /// Takes in an order. Returns whether it holds now and did not before.
+    /// Merges an order. Returns whether the order is now in effect and was not before.
     pub fn add(&mut self, order: &Order, now: Timestamp) -> bool {
         self.counter = self.counter.max(order.stamp.counter);
-        let expiry = Duration::from_millis(order.expires_in_ms).min(EXPIRY_MAX);
-        if expiry.is_zero() {
+        let lifetime = Duration::from_millis(order.expires_in_ms).min(LIFETIME_MAX);
+        if lifetime.is_zero() {
             return false;
         }
-        let held = Held { order: order.clone(), expires_at: now + expiry };
+        let held = HeldOrder { order: order.clone(), expires_at: now + lifetime };
         let is_full = self.held.len() >= ORDERS_MAX;
         match self.held.get_mut(&order.subject) {
             Some(known) if known.order.stamp >= order.stamp => false,
@@ -152,18 +153,18 @@
         }
     }
 
-    /// Whether no order is held.
+    /// Returns whether no orders are held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Whether the order that holds for `subject` says stop.
+    /// Returns whether the order in effect for `subject` is [`OrderChange::Stop`].
     pub fn is_stopped(&self, subject: &OrderSubject, now: Timestamp) -> bool {
         let held = self.held.get(subject).filter(|held| now < held.expires_at);
         held.is_some_and(|held| held.order.change == OrderChange::Stop)
     }
 
-    /// What the order that holds for `subject` says, and for how long.
+    /// Returns the change and remaining lifetime of the order in effect for `subject`.
     pub fn holding(
         &self,
         subject: &OrderSubject,
@@ -174,7 +175,7 @@
         (!left.is_zero()).then_some((held.order.change, left))
     }
 
-    /// Data halls that orders which hold say to drain.
+    /// Returns the data halls that the orders in effect drain.
     pub fn drained_halls(&self, now: Timestamp) -> Vec<DataHallName> {
         let stopped = self.held.keys().filter(|subject| self.is_stopped(subject, now));
         let hall = |subject: &OrderSubject| match subject {
@@ -184,7 +185,7 @@
         stopped.filter_map(hall).collect()
     }
 
-    /// The orders that hold, with the time they have left.
+    /// Returns the orders in effect, with their remaining lifetimes.
     pub fn list(&self, now: Timestamp) -> Vec<Order> {
         let holding = self.held.values().filter(|held| now < held.expires_at);
         let with_time_left = holding.map(|held| Order {
@@ -194,7 +195,7 @@
         with_time_left.collect()
     }
 
-    /// Forgets expired orders. Returns whether there were any.
+    /// Drops expired orders. Returns whether any order was dropped.
     pub fn forget_expired(&mut self, now: Timestamp) -> bool {
         let before = self.held.len();
         self.held.retain(|_, held| now < held.expires_at);
