--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! What processes agree on without a coordinator: leaving targets, orders, members, and who
-//! watches the platform.
+//! Agreement between processes without a coordinator: leaving targets, orders, members, and the
+//! selection of platform watchers.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::collections::BTreeSet;
@@ -77,7 +77,7 @@
     let mut register = LeavingRegister::default();
     for target in 0..100 {
         assert!(register.add(&mark(target, 2)));
-        assert!(!register.add(&mark(target, 1)), "older news");
+        assert!(!register.add(&mark(target, 1)), "an older incarnation is not new");
     }
     let one = mark(7, 3);
     assert!(!register.is_leaving(&one.service, &one.target, one.incarnation));
@@ -92,24 +92,33 @@
     assert_eq!(seen.len(), 100);
 }
 
-/// An entry that lapses is back for the same start, and must not serve again.
+/// Guards against a leaving target that returns to service: its entry in the target list may
+/// expire and be listed again for the same incarnation.
 #[test]
 fn a_mark_is_kept_while_its_target_is_unlisted_for_a_while() {
     struct Case {
         name: &'static str,
-        /// The incarnation with which the target is listed, and when, in seconds.
+        /// Times of the target lists in seconds, each with the incarnation that the list contains.
         lists: &'static [(u64, Option<u64>)],
         is_kept: bool,
     }
     let cases = [
         Case { name: "listed", lists: &[(0, Some(2))], is_kept: true },
-        Case { name: "listed, earlier start", lists: &[(0, Some(1))], is_kept: true },
-        Case { name: "listed, later start", lists: &[(0, Some(3))], is_kept: false },
-        Case { name: "off and back", lists: &[(0, None), (60, Some(2))], is_kept: true },
-        Case { name: "off, later start", lists: &[(0, None), (1, Some(3))], is_kept: false },
-        Case { name: "off for long", lists: &[(0, None), (601, None)], is_kept: false },
+        Case { name: "listed with an earlier incarnation", lists: &[(0, Some(1))], is_kept: true },
+        Case { name: "listed with a later incarnation", lists: &[(0, Some(3))], is_kept: false },
         Case {
-            name: "off twice",
+            name: "unlisted, then listed again",
+            lists: &[(0, None), (60, Some(2))],
+            is_kept: true,
+        },
+        Case {
+            name: "unlisted, then a later incarnation",
+            lists: &[(0, None), (1, Some(3))],
+            is_kept: false,
+        },
+        Case { name: "unlisted for too long", lists: &[(0, None), (601, None)], is_kept: false },
+        Case {
+            name: "unlisted twice",
             lists: &[(0, None), (500, Some(2)), (550, None), (700, None)],
             is_kept: true,
         },
@@ -141,20 +150,20 @@
     }
 }
 
-/// An order given at one of three VMs, and messages between them.
+/// An order given at one of three VMs, or an exchange of orders between two VMs.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Give { vm: usize, stop: bool },
-    Tell { from: usize, to: usize },
+    Issue { vm: usize, stop: bool },
+    Send { from: usize, to: usize },
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let any = |g: &mut Gen| usize::from(u8::arbitrary(g) % 3);
         if u8::arbitrary(g) % 3 == 0 {
-            Self::Give { vm: any(g), stop: bool::arbitrary(g) }
+            Self::Issue { vm: any(g), stop: bool::arbitrary(g) }
         } else {
-            Self::Tell { from: any(g), to: any(g) }
+            Self::Send { from: any(g), to: any(g) }
         }
     }
 }
@@ -163,24 +172,24 @@
 fn racing_operators_end_with_the_same_order_everywhere() {
     fn holds(steps: Vec<Step>) -> bool {
         let mut fleet = vec![Orders::default(); 3];
-        let tell = |fleet: &mut Vec<Orders>, from: usize, to: usize| {
+        let send = |fleet: &mut Vec<Orders>, from: usize, to: usize| {
             for order in fleet[from].list(at(0)) {
                 fleet[to].add(&order, at(0));
             }
         };
         for step in steps {
             match step {
-                Step::Give { vm: number, stop } => {
+                Step::Issue { vm: number, stop } => {
                     let change = if stop { OrderChange::Stop } else { OrderChange::Resume };
                     let order = fleet[number].issue(vm(number), draft(change, 60), at(0));
                     fleet[number].add(&order, at(0));
                 }
-                Step::Tell { from, to } => tell(&mut fleet, from, to),
+                Step::Send { from, to } => send(&mut fleet, from, to),
             }
         }
-        // Once everybody has heard everybody, all hold the same.
+        // After every VM has exchanged orders with every other, all of them hold the same orders.
         for from in [0, 1, 2, 0, 1, 2] {
-            (0..3).for_each(|to| tell(&mut fleet, from, to));
+            (0..3).for_each(|to| send(&mut fleet, from, to));
         }
         let lists: Vec<Vec<Order>> = fleet.iter().map(|orders| orders.list(at(0))).collect();
         lists[0] == lists[1] && lists[1] == lists[2]
@@ -193,19 +202,19 @@
 
 #[test]
 fn an_ended_order_does_not_come_back_after_the_one_that_ended_it_expired() {
-    let mut here = Orders::default();
-    let stop = here.issue(vm(0), draft(OrderChange::Stop, 3_600), at(0));
-    here.add(&stop, at(0));
-    let resume = here.issue(vm(0), draft(OrderChange::Resume, 1), at(1_000));
-    here.add(&resume, at(1_000));
-    // A process that was cut off still holds the first order and tells it.
-    let mut late = stop.clone();
-    late.expires_in_ms -= 60_000;
-    here.add(&late, at(60_000));
-    assert!(!here.is_stopped(&subject(), at(60_000)));
-    // Both are over after the hour.
-    here.forget_expired(at(3_700_000));
-    assert!(here.list(at(3_700_000)).is_empty());
+    let mut orders = Orders::default();
+    let stop = orders.issue(vm(0), draft(OrderChange::Stop, 3_600), at(0));
+    orders.add(&stop, at(0));
+    let resume = orders.issue(vm(0), draft(OrderChange::Resume, 1), at(1_000));
+    orders.add(&resume, at(1_000));
+    // A process that was unreachable still holds the first order and sends it again.
+    let mut outdated = stop.clone();
+    outdated.expires_in_ms -= 60_000;
+    orders.add(&outdated, at(60_000));
+    assert!(!orders.is_stopped(&subject(), at(60_000)));
+    // Both orders have expired after one hour.
+    orders.forget_expired(at(3_700_000));
+    assert!(orders.list(at(3_700_000)).is_empty());
 }
 
 #[test]
@@ -247,12 +256,13 @@
     };
     beat(&mut members, 5, at(0));
     assert_eq!(liveness(&members, 1, at(4_000)), Some(Liveness::Alive));
-    // Old news passed on by others is not a sign of life.
+    // Gossip that repeats a known heartbeat is not a sign of life.
     beat(&mut members, 5, at(4_500));
     assert_eq!(liveness(&members, 1, at(5_500)), Some(Liveness::Suspect));
     beat(&mut members, 6, at(5_600));
     assert_eq!(liveness(&members, 1, at(5_600)), Some(Liveness::Alive));
-    // A call without answer is direct evidence, and so is one with an answer.
+    // An unanswered call is direct evidence against a member, and an answered call is evidence for
+    // it.
     members.record_no_answer(member(1).peer_address);
     assert_eq!(liveness(&members, 1, at(5_700)), Some(Liveness::Suspect));
     members.record_answer(&Member { heartbeat: 6, ..member(1) }, at(5_800));
@@ -272,21 +282,29 @@
 fn hints_are_tried_only_while_nobody_is_known_there() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut members = Members::new(member(0), vec![member(0).peer_address, member(1).peer_address]);
-    assert_eq!(members.pick_peers(5, at(0), &mut rng), [member(1).peer_address], "not itself");
+    assert_eq!(
+        members.pick_peers(5, at(0), &mut rng),
+        [member(1).peer_address],
+        "not its own address"
+    );
     members.record_announcement(&member(1), at(0));
-    assert_eq!(members.pick_peers(5, at(0), &mut rng), [member(1).peer_address], "once");
-    assert_eq!(members.pick_peers(5, at(60_000), &mut rng), [], "gone");
+    assert_eq!(
+        members.pick_peers(5, at(0), &mut rng),
+        [member(1).peer_address],
+        "each address only once"
+    );
+    assert_eq!(members.pick_peers(5, at(60_000), &mut rng), [], "a gone member is not picked");
 }
 
-/// Processes that tell one another at random, some of which cannot.
-struct Watching {
+/// Simulated processes that exchange watcher announcements at random; some of them may be stopped.
+struct WatcherFleet {
     elections: Vec<WatcherSelection>,
     is_running: Vec<bool>,
     rng: SmallRng,
     now: Timestamp,
 }
 
-impl Watching {
+impl WatcherFleet {
     const STEP: Duration = Duration::from_millis(100);
 
     fn new(count: usize) -> Self {
@@ -296,7 +314,8 @@
         Self { elections, is_running: vec![true; count], rng, now: at(0) }
     }
 
-    /// Each process takes its turn and, about once a second, tells another.
+    /// Runs the selection at every process and, about once a second, exchanges announcements with
+    /// a random peer.
     fn run(&mut self, seconds: u64) {
         let count = self.elections.len();
         for _ in 0..seconds * 10 {
@@ -308,14 +327,14 @@
                 self.elections[process].should_watch(count, self.now);
                 let peer = self.rng.random_range(0..count);
                 if self.rng.random_ratio(1, 10) && self.is_running[peer] {
-                    self.tell(process, peer);
-                    self.tell(peer, process);
+                    self.send(process, peer);
+                    self.send(peer, process);
                 }
             }
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
+    fn send(&mut self, from: usize, to: usize) {
         for watcher in self.elections[from].watchers(self.now) {
             self.elections[to].merge(&watcher, self.now);
         }
@@ -330,8 +349,8 @@
 
 #[test]
 fn few_processes_watch_whatever_the_size_and_a_dead_one_is_replaced_in_time() {
-    for (count, replaced_s) in [(1, 0), (4, 8), (16, 8), (64, 12), (256, 15)] {
-        let mut fleet = Watching::new(count);
+    for (count, takeover_s) in [(1, 0), (4, 8), (16, 8), (64, 12), (256, 15)] {
+        let mut fleet = WatcherFleet::new(count);
         fleet.run(60);
         let watching = fleet.watching();
         let wanted = count.min(2);
@@ -339,15 +358,15 @@
         for dead in watching {
             fleet.is_running[dead] = false;
         }
-        // All watchers at once: the worst that can happen to them.
-        fleet.run(replaced_s);
-        let is_replaced = replaced_s == 0 || !fleet.watching().is_empty();
-        assert!(is_replaced, "{count}: nobody within {replaced_s} s");
+        // All watchers fail at once, the worst case for the takeover.
+        fleet.run(takeover_s);
+        let has_watcher = takeover_s == 0 || !fleet.watching().is_empty();
+        assert!(has_watcher, "{count}: no watcher within {takeover_s} s");
     }
 }
 
 #[test]
-fn a_watcher_that_fails_stands_back_longer_each_time() {
+fn a_watcher_that_fails_backs_off_longer_each_time() {
     let mut election = WatcherSelection::new(vm(0), Boot::new(1));
     let mut calls = 0;
     for step in 0..3_000 {
@@ -364,41 +383,60 @@
 fn a_process_that_has_just_started_is_told_of_all_others_at_once() {
     struct Case {
         note: &'static str,
-        /// Messages of peers that this process has had.
-        heard: usize,
+        /// Peer answers that this process has received.
+        answer_count: usize,
         is_other_new: bool,
-        /// Whether the other one knows the same members.
-        is_same: bool,
-        passed_on: usize,
+        /// Whether the peer knows the same members as this process.
+        knows_same_members: bool,
+        sent_count: usize,
     }
     let cases = [
-        Case { note: "both settled", heard: 30, is_other_new: false, is_same: true, passed_on: 7 },
-        Case { note: "a new one", heard: 30, is_other_new: true, is_same: true, passed_on: 31 },
-        Case { note: "this is new", heard: 2, is_other_new: false, is_same: false, passed_on: 31 },
+        Case {
+            note: "both settled",
+            answer_count: 30,
+            is_other_new: false,
+            knows_same_members: true,
+            sent_count: 7,
+        },
+        Case {
+            note: "the peer is new",
+            answer_count: 30,
+            is_other_new: true,
+            knows_same_members: true,
+            sent_count: 31,
+        },
+        Case {
+            note: "this process is new",
+            answer_count: 2,
+            is_other_new: false,
+            knows_same_members: false,
+            sent_count: 31,
+        },
     ];
-    for Case { note, heard, is_other_new, is_same, passed_on } in cases {
+    for Case { note, answer_count, is_other_new, knows_same_members, sent_count } in cases {
         let mut members = Members::new(member(0), Vec::new());
         for number in 1..=30 {
             members.record_announcement(&member(number), at(0));
         }
-        for number in 1..=heard {
+        for number in 1..=answer_count {
             members.record_answer(&member(number), at(0));
         }
-        // Heartbeats while nobody answers do not make a process settled.
+        // A process whose exchanges are not answered stays new, however many heartbeats it has
+        // counted.
         for _ in 0..50 {
             members.advance_heartbeat(Phase::Serving, None);
         }
-        let alone = MembersDigest::of([member(1)].iter());
-        let other = FleetDigest { hall: alone, contacts: alone };
-        let asked = ReceivedSummary {
+        let sender_only = MembersDigest::of([member(1)].iter());
+        let other = FleetDigest { hall: sender_only, contacts: sender_only };
+        let received = ReceivedSummary {
             sender: &member(1),
-            digest: if is_same { members.digest(at(1)) } else { other },
+            digest: if knows_same_members { members.digest(at(1)) } else { other },
             is_new: is_other_new,
             is_regular: true,
         };
-        let breadth = members.answer_scope(&asked, at(1));
-        let passed = members.members_to_send(breadth, at(1), &mut SmallRng::seed_from_u64(3));
-        assert_eq!(passed.len(), passed_on, "{note}");
+        let scope = members.answer_scope(&received, at(1));
+        let sent = members.members_to_send(scope, at(1), &mut SmallRng::seed_from_u64(3));
+        assert_eq!(sent.len(), sent_count, "{note}");
     }
 }
 
@@ -406,31 +444,39 @@
 fn changes_among_members_are_counted_and_heartbeats_alone_are_none() {
     struct Case {
         note: &'static str,
-        told: Member,
+        announced: Member,
         is_change: bool,
     }
     let starting = Member { phase: Phase::Starting, ..member(1) };
     let cases = [
-        Case { note: "unknown before", told: starting.clone(), is_change: true },
-        Case { note: "the same again", told: starting.clone(), is_change: false },
+        Case { note: "unknown member", announced: starting.clone(), is_change: true },
+        Case { note: "same description again", announced: starting.clone(), is_change: false },
+        Case {
+            note: "heartbeat advances",
+            announced: Member { heartbeat: 1, ..starting.clone() },
+            is_change: false,
+        },
+        Case {
+            note: "phase changes to serving",
+            announced: Member { heartbeat: 2, ..member(1) },
+            is_change: true,
+        },
         Case {
-            note: "its heartbeat goes on",
-            told: Member { heartbeat: 1, ..starting.clone() },
+            note: "older description",
+            announced: Member { heartbeat: 1, ..starting },
             is_change: false,
         },
-        Case { note: "it serves", told: Member { heartbeat: 2, ..member(1) }, is_change: true },
-        Case { note: "old news", told: Member { heartbeat: 1, ..starting }, is_change: false },
         Case {
-            note: "it started anew",
-            told: Member { boot: Boot::new(2), ..member(1) },
+            note: "member restarted",
+            announced: Member { boot: Boot::new(2), ..member(1) },
             is_change: true,
         },
-        Case { note: "this process itself", told: member(0), is_change: false },
+        Case { note: "this process itself", announced: member(0), is_change: false },
     ];
     let mut members = Members::new(member(0), Vec::new());
-    for Case { note, told, is_change } in cases {
+    for Case { note, announced, is_change } in cases {
         let before = members.changes();
-        members.record_announcement(&told, at(0));
+        members.record_announcement(&announced, at(0));
         assert_eq!(members.changes() > before, is_change, "{note}");
     }
 }
