--- a/crates/thymeshift_fleet/tests/documents.rs
+++ b/crates/thymeshift_fleet/tests/documents.rs
@@ -1,5 +1,5 @@
-//! Configurations between processes: differences, adoption, and a search over every order
-//! of events in a small fleet.
+//! Distribution of documents between processes: deltas, adoption, and an exhaustive search over
+//! all orders of events in a small fleet.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::collections::BTreeSet;
@@ -23,7 +23,7 @@
     Published::new(Revision::new(revision), text)
 }
 
-/// The check of these tests: a text with "bad" in it is refused.
+/// Document check of these tests, which rejects texts that contain "bad".
 fn check(text: &str) -> Result<(), String> {
     if text.contains("bad") { Err("bad".to_owned()) } else { Ok(()) }
 }
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_difference_makes_the_new_text_and_only_of_its_own_base() {
+fn a_delta_makes_the_new_text_and_only_from_its_own_base() {
     fn holds(old: String, new: String, other: String) -> bool {
         let (from, to) = (published(1, &old), published(2, &new));
         let delta = Delta::between(&from, &to);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_small_change_of_a_long_text_is_a_small_difference() {
+fn a_small_change_of_a_long_text_is_a_small_delta() {
     let lines: Vec<String> = (0..2_000).map(|line| format!("target {line}: serving")).collect();
     let old = lines.join("\n");
     let new = old.replace("target 1234: serving", "target 1234: leaving");
@@ -60,9 +60,10 @@
     assert!(delta.len_bytes() <= 7 + 10, "{}", delta.len_bytes());
 }
 
-/// Ten targets of a fleet change at a time, anywhere in its list.
+/// Guards against deltas that grow to the size of the document when ten targets anywhere in a long
+/// list change at the same time.
 #[test]
-fn a_few_changes_anywhere_in_a_long_text_are_a_small_difference() {
+fn a_few_changes_anywhere_in_a_long_text_are_a_small_delta() {
     let line =
         |number: u32, state: &str| format!("- {{\"name\":\"i-{number}\",\"state\":\"{state}\"}}\n");
     let old: String = (0..6_000).map(|number| line(number, "serving")).collect();
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn differences_of_lines_in_any_order_make_the_new_text() {
+fn deltas_of_lines_in_any_order_make_the_new_text() {
     fn holds(old: Vec<u8>, new: Vec<u8>) -> bool {
         let text = |lines: &[u8]| -> String {
             let lines: Vec<String> =
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn who_is_behind_gets_differences_and_who_is_unknown_the_whole() {
+fn a_process_that_is_behind_gets_deltas_and_one_that_is_unknown_the_whole() {
     let base = "x".repeat(1_000);
     let texts: Vec<Published> =
         (1..=100).map(|number| published(number, &format!("{base}{number}"))).collect();
@@ -107,7 +108,7 @@
     let cases = [
         ("nothing", None, "whole"),
         ("up to date", Some(last.head()), "nothing"),
-        ("a few behind", Some(texts[90].head()), "differences"),
+        ("a few behind", Some(texts[90].head()), "deltas"),
         ("too far behind", Some(texts[3].head()), "whole"),
         ("other content", Some(published(95, "other").head()), "whole"),
     ];
@@ -116,12 +117,12 @@
         let kind = match &transfer {
             Transfer::UpToDate => "nothing",
             Transfer::Busy => "busy",
-            Transfer::Deltas(_) => "differences",
+            Transfer::Deltas(_) => "deltas",
             Transfer::Whole(_) => "whole",
         };
         assert_eq!(kind, expected, "{name}");
-        let have = theirs.and_then(|head| texts.iter().find(|text| text.head() == head));
-        let received = transfer.receive(have);
+        let base = theirs.and_then(|head| texts.iter().find(|text| text.head() == head));
+        let received = transfer.receive(base);
         assert_eq!(received.as_ref(), (kind != "nothing").then_some(last), "{name}");
     }
 }
@@ -158,7 +159,7 @@
         },
         Case { name: "still", offered: (6, "bad"), expected: OfferOutcome::Rejected, in_force: 5 },
         Case {
-            name: "mended",
+            name: "repaired",
             offered: (7, "seven"),
             expected: OfferOutcome::Adopted,
             in_force: 7,
@@ -181,12 +182,12 @@
 fn other_content_under_the_same_revision_at_a_peer_is_noticed_once() {
     let mut adoption = Adoption::default();
     let (one, other) = (published(5, "five"), published(5, "5"));
-    assert!(!adoption.observe_peer_head(other.head()), "nothing is in force");
+    assert!(!adoption.observe_peer_head(other.head()), "no document in force");
     offer(&mut adoption, &one);
     assert!(!adoption.observe_peer_head(one.head()));
     assert!(!adoption.observe_peer_head(published(4, "four").head()));
     assert!(adoption.observe_peer_head(other.head()));
-    assert!(!adoption.observe_peer_head(other.head()), "no news");
+    assert!(!adoption.observe_peer_head(other.head()), "already known");
     assert_eq!(adoption.conflict().map(|conflict| conflict.offered), Some(other.head()));
     offer(&mut adoption, &published(6, "six"));
     assert_eq!(adoption.conflict(), None, "ended by a larger revision");
@@ -222,27 +223,27 @@
         .quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
 }
 
-/// Processes of the small fleet.
+/// Number of processes in the exhaustive search.
 const PROCESSES: usize = 3;
-/// What the platform publishes in turn; the second is invalid.
+/// Revisions that the platform publishes one after the other; the second one is invalid.
 const REVISIONS: [(u64, &str); 4] = [(1, "one"), (2, "bad"), (3, "three"), (4, "four")];
 
 #[derive(Clone)]
 struct Fleet {
-    /// Number of revisions published.
-    platform: usize,
+    /// Number of revisions that the platform has published so far.
+    published_count: usize,
     processes: Vec<Adoption>,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Publish,
-    /// The platform answers with any revision up to its last: it may be stale.
+    /// A process reads any published revision, because the platform's answers may be stale.
     Read {
         process: usize,
         revision: usize,
     },
-    /// One process fetches from another what that one has newer.
+    /// One process fetches newer revisions from another process.
     Fetch {
         from: usize,
         to: usize,
@@ -253,16 +254,18 @@
     fn key(&self) -> (usize, Vec<u64>, Vec<bool>) {
         let revisions = self.processes.iter().map(revision).collect();
         let rejections = self.processes.iter().map(|p| p.rejection().is_some()).collect();
-        (self.platform, revisions, rejections)
+        (self.published_count, revisions, rejections)
     }
 
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
-        if self.platform < REVISIONS.len() {
+        if self.published_count < REVISIONS.len() {
             events.push(Event::Publish);
         }
         for process in 0..PROCESSES {
-            events.extend((0..self.platform).map(|revision| Event::Read { process, revision }));
+            events.extend(
+                (0..self.published_count).map(|revision| Event::Read { process, revision }),
+            );
             let others = (0..PROCESSES).filter(|other| *other != process);
             events.extend(others.map(|from| Event::Fetch { from, to: process }));
         }
@@ -272,14 +275,14 @@
     fn after(&self, event: Event) -> Self {
         let mut fleet = self.clone();
         match event {
-            Event::Publish => fleet.platform += 1,
+            Event::Publish => fleet.published_count += 1,
             Event::Read { process, revision } => {
                 let (number, text) = REVISIONS[revision];
                 offer(&mut fleet.processes[process], &published(number, text));
             }
             Event::Fetch { from, to } => {
-                let have = fleet.processes[to].head();
-                let transfer = fleet.processes[from].transfer(have);
+                let base = fleet.processes[to].head();
+                let transfer = fleet.processes[from].transfer(base);
                 let current = fleet.processes[to].in_force().cloned();
                 if let Some(received) = transfer.receive(current.as_ref()) {
                     offer(&mut fleet.processes[to], &received);
@@ -290,13 +293,14 @@
     }
 }
 
-/// Every reachable state of a small fleet, over the real code.
+/// Visits every reachable state of a small fleet and checks that no process returns to a smaller
+/// revision or adopts an invalid document.
 #[test]
 fn no_order_of_events_brings_a_revision_down_or_an_invalid_one_into_force() {
-    let first = Fleet { platform: 0, processes: vec![Adoption::default(); PROCESSES] };
+    let first = Fleet { published_count: 0, processes: vec![Adoption::default(); PROCESSES] };
     let mut seen = BTreeSet::from([first.key()]);
-    let mut open = VecDeque::from([first]);
-    while let Some(fleet) = open.pop_front() {
+    let mut unexplored = VecDeque::from([first]);
+    while let Some(fleet) = unexplored.pop_front() {
         for event in fleet.events() {
             let after = fleet.after(event);
             for (before, now) in fleet.processes.iter().zip(&after.processes) {
@@ -304,13 +308,15 @@
                 assert_ne!(revision(now), 2, "{event:?} at {:?}", fleet.key());
             }
             if seen.insert(after.key()) {
-                open.push_back(after);
+                unexplored.push_back(after);
             }
         }
     }
     let goal = (REVISIONS.len(), vec![4; PROCESSES]);
     assert!(
-        seen.iter().any(|(platform, revisions, _)| (*platform, revisions) == (goal.0, &goal.1))
+        seen.iter()
+            .any(|(published_count, revisions, _)| (*published_count, revisions)
+                == (goal.0, &goal.1))
     );
     assert!(seen.len() > 300, "{} states", seen.len());
 }
