--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Who knows whom in fleets of all sizes, played in virtual time: every process starts at once and
-//! knows three addresses, one of which is dead.
+//! Membership in simulated fleets of different sizes. All processes start at the same time, and
+//! each knows three addresses, one of which is unused.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,14 +21,14 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 
-/// Time between two exchanges of a process that is new, of a young one, and later.
-const NEW_MS: u64 = 50;
-const YOUNG_MS: u64 = 200;
-const SETTLED_MS: u64 = 2_300;
-const YOUNG_FOR_MS: u64 = 4_000;
-/// One step of the play.
+/// Interval between two exchanges of a process: while it is new, during its startup, and later.
+const NEW_EXCHANGE_INTERVAL_MS: u64 = 50;
+const STARTUP_EXCHANGE_INTERVAL_MS: u64 = 200;
+const SETTLED_EXCHANGE_INTERVAL_MS: u64 = 2_300;
+const STARTUP_MS: u64 = 4_000;
+/// Length of one simulation step.
 const STEP_MS: u64 = 10;
-/// Large VMs of a hall.
+/// Number of large VMs in each data hall.
 const LARGE_PER_HALL: usize = 3;
 
 fn at(millis: u64) -> Timestamp {
@@ -81,14 +81,14 @@
 struct Fleet {
     halls: usize,
     processes: Vec<Process>,
-    /// Members told in all messages.
-    told: u64,
+    /// Member descriptions sent in all messages so far.
+    members_sent: u64,
     rng: SmallRng,
 }
 
 impl Fleet {
     fn new(count: usize, halls: usize) -> Self {
-        // The last address belongs to nobody.
+        // No process uses the last address.
         let hints = vec![address(1), address(count / 2), address(60_000)];
         let new = |number| Process {
             members: Members::new(member(number, halls, 1), hints.clone()),
@@ -97,7 +97,7 @@
             next_ms: 0,
         };
         let processes = (0..count).map(new).collect();
-        Self { halls, processes, told: 0, rng: SmallRng::seed_from_u64(11) }
+        Self { halls, processes, members_sent: 0, rng: SmallRng::seed_from_u64(11) }
     }
 
     fn run(&mut self, from_ms: u64, to_ms: u64) {
@@ -115,14 +115,14 @@
         let now = at(now_ms);
         let process = &mut self.processes[number];
         process.members.advance_heartbeat(Phase::Serving, None);
-        let every = if process.members.is_new() {
-            NEW_MS
-        } else if now_ms - process.started_ms < YOUNG_FOR_MS {
-            YOUNG_MS
+        let interval_ms = if process.members.is_new() {
+            NEW_EXCHANGE_INTERVAL_MS
+        } else if now_ms - process.started_ms < STARTUP_MS {
+            STARTUP_EXCHANGE_INTERVAL_MS
         } else {
-            SETTLED_MS
+            SETTLED_EXCHANGE_INTERVAL_MS
         };
-        process.next_ms = now_ms + self.rng.random_range(every * 4 / 5..every * 6 / 5);
+        process.next_ms = now_ms + self.rng.random_range(interval_ms * 4 / 5..interval_ms * 6 / 5);
         let picked = process.members.pick_peers(1, now, &mut self.rng);
         let summary = process.members.members_to_send(GossipScope::Regular, now, &mut self.rng);
         let (digest, is_new) = (process.members.digest(now), process.members.is_new());
@@ -133,18 +133,18 @@
                 self.processes[number].members.record_no_answer(address);
                 continue;
             };
-            let asked = ReceivedSummary {
+            let received = ReceivedSummary {
                 sender: &summary[0].member,
                 digest,
                 is_new,
                 is_regular: summary.len() > 1,
             };
             let members = &mut self.processes[other].members;
-            take(members, &summary, now);
-            let breadth = members.answer_scope(&asked, now);
-            let answer = members.members_to_send(breadth, now, &mut self.rng);
-            self.told += (summary.len() + answer.len()) as u64;
-            take(&mut self.processes[number].members, &answer, now);
+            merge_message(members, &summary, now);
+            let scope = members.answer_scope(&received, now);
+            let answer = members.members_to_send(scope, now, &mut self.rng);
+            self.members_sent += (summary.len() + answer.len()) as u64;
+            merge_message(&mut self.processes[number].members, &answer, now);
         }
     }
 
@@ -152,7 +152,7 @@
         self.processes[number].is_up = is_up;
     }
 
-    /// A process starts anew and knows nothing.
+    /// Restarts a process, which loses all its state.
     fn restart(&mut self, number: usize, now_ms: u64) {
         let hints = vec![address(1), address(self.processes.len() / 2)];
         let own = member(number, self.halls, 2);
@@ -161,31 +161,31 @@
             Process { members, is_up: true, started_ms: now_ms, next_ms: now_ms };
     }
 
-    /// A process tells its hall by datagrams that it serves.
-    fn tell_phase(&mut self, number: usize, now_ms: u64) {
+    /// Announces to all members of the process's hall that it is serving.
+    fn announce_phase(&mut self, number: usize, now_ms: u64) {
         let members = &self.processes[number].members;
-        let near = members.hall_peers(at(now_ms)).map(|member| number_at(member.peer_address));
-        let near: Vec<usize> = near.collect();
+        let in_hall = members.hall_peers(at(now_ms)).map(|member| number_at(member.peer_address));
+        let in_hall: Vec<usize> = in_hall.collect();
         let own = members.own().clone();
-        for other in near {
+        for other in in_hall {
             self.processes[other].members.record_announcement(&own, at(now_ms));
         }
     }
 
-    /// How many different opinions there are in each hall about who allocates there.
-    fn opinions(&self, now_ms: u64) -> usize {
-        let mut opinions: BTreeMap<DataHallName, BTreeSet<VmName>> = BTreeMap::new();
+    /// Returns the largest number of different allocators that the processes of one hall choose.
+    fn distinct_allocators(&self, now_ms: u64) -> usize {
+        let mut allocators: BTreeMap<DataHallName, BTreeSet<VmName>> = BTreeMap::new();
         for process in self.processes.iter().filter(|process| process.is_up) {
             let hall = &process.members.own().data_hall;
             let serving = process.members.serving_in(hall, at(now_ms));
             let first = ranked("a group", serving.into_iter().map(Member::candidate))[0];
-            opinions.entry(hall.clone()).or_default().insert(first.clone());
+            allocators.entry(hall.clone()).or_default().insert(first.clone());
         }
-        opinions.values().map(BTreeSet::len).max().unwrap_or_default()
+        allocators.values().map(BTreeSet::len).max().unwrap_or_default()
     }
 
-    /// How many different opinions there are about the first of all contacts.
-    fn opinions_of_contacts(&self, now_ms: u64) -> usize {
+    /// Returns how many different processes are considered the highest-ranked reader.
+    fn distinct_readers(&self, now_ms: u64) -> usize {
         let up = self.processes.iter().filter(|process| process.is_up);
         let first = |process: &Process| {
             let contacts = process.members.contacts(at(now_ms));
@@ -200,7 +200,7 @@
     }
 }
 
-fn take(members: &mut Members, message: &[GossipMember], now: Timestamp) {
+fn merge_message(members: &mut Members, message: &[GossipMember], now: Timestamp) {
     let (sender, others) = message.split_first().expect("a sender");
     members.record_answer(&sender.member, now);
     for other in others {
@@ -211,7 +211,7 @@
 struct Size {
     count: usize,
     halls: usize,
-    /// Within this time of the start a hall has one opinion.
+    /// Time after the start by which all processes of a hall agree.
     agreed_within_ms: u64,
 }
 
@@ -228,8 +228,16 @@
     for Size { count, halls, agreed_within_ms } in SIZES {
         let mut fleet = Fleet::new(count, halls);
         fleet.run(0, agreed_within_ms);
-        assert_eq!(fleet.opinions(agreed_within_ms), 1, "{count}: who allocates");
-        assert_eq!(fleet.opinions_of_contacts(agreed_within_ms), 1, "{count}: who reads");
+        assert_eq!(
+            fleet.distinct_allocators(agreed_within_ms),
+            1,
+            "{count} processes: different allocators"
+        );
+        assert_eq!(
+            fleet.distinct_readers(agreed_within_ms),
+            1,
+            "{count} processes: different readers"
+        );
     }
 }
 
@@ -239,11 +247,11 @@
     fleet.run(0, 5_000);
     let most = 2_300 / 20 + 19 * 8;
     assert!(fleet.known_max() <= most, "{} members known", fleet.known_max());
-    let before = fleet.told;
+    let before = fleet.members_sent;
     fleet.run(5_000, 15_000);
-    let told_per_s = (fleet.told - before) as f64 / 10.0 / 2_300.0;
-    // A member takes about 70 bytes before compression: 2 KB a second.
-    assert!(told_per_s <= 28.0, "{told_per_s} members told a second and process");
+    let members_sent_per_s = (fleet.members_sent - before) as f64 / 10.0 / 2_300.0;
+    // A member takes about 70 bytes before compression, so 28 members take 2 KB per second.
+    assert!(members_sent_per_s <= 28.0, "{members_sent_per_s} members sent per second and process");
 }
 
 #[test]
@@ -253,9 +261,9 @@
     let first = first_of_hall(&fleet, 5_000);
     fleet.restart(first, 5_000);
     fleet.run(5_000, 5_300);
-    fleet.tell_phase(first, 5_300);
+    fleet.announce_phase(first, 5_300);
     fleet.run(5_300, 6_500);
-    assert_eq!(fleet.opinions(6_500), 1);
+    assert_eq!(fleet.distinct_allocators(6_500), 1);
     let boots: BTreeSet<u64> = fleet
         .processes
         .iter()
@@ -263,14 +271,14 @@
         .filter_map(|process| process.members.find(&vm(first)))
         .map(|member| member.boot.as_u64())
         .collect();
-    assert_eq!(boots, BTreeSet::from([2]), "the new start alone is known");
+    assert_eq!(boots, BTreeSet::from([2]), "only the new boot is known");
 }
 
 #[test]
 fn a_hall_whose_first_members_are_dead_is_still_known_to_the_others() {
     let mut fleet = Fleet::new(300, 6);
     fleet.run(0, 5_000);
-    // Beyond the contacts of the hall that others know.
+    // More processes than the contacts that other halls know are dead.
     let dead: Vec<usize> = (0..300).step_by(6).take(30).collect();
     for number in dead {
         fleet.set_up(number, false);
@@ -278,11 +286,11 @@
     fleet.run(5_000, 150_000);
     let other = &fleet.processes[1].members;
     let alive = other.serving_in(&hall(0, 6), at(150_000));
-    assert!(!alive.is_empty(), "contacts that live are known");
+    assert!(!alive.is_empty(), "live contacts are known");
     let is_up = |member: &&Member| {
         fleet.processes.iter().any(|process| process.is_up && process.members.own().vm == member.vm)
     };
-    assert!(alive.iter().all(is_up), "none of the dead is taken for alive");
+    assert!(alive.iter().all(is_up), "no dead process is considered alive");
 }
 
 fn first_of_hall(fleet: &Fleet, now_ms: u64) -> usize {
