--- a/crates/thymeshift_fleet/tests/quarantine.rs
+++ b/crates/thymeshift_fleet/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the targets which run them: what is held against whom, in any order of
-//! messages.
+//! Quarantine of requests that crash targets: which crashes count, and that the order of messages
+//! does not matter.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 
-/// The moment at which the verdict is asked for, unless a case says otherwise.
+/// Time at which the verdict is checked unless a case says otherwise.
 const NOW: Timestamp = Timestamp::from_millis(10_000_000);
 const GUILTY: Fingerprint = Fingerprint::from_bytes([7; 16]);
 
@@ -29,7 +29,8 @@
     Fingerprint::from_bytes(bytes)
 }
 
-/// A run that ended with its target, `began_ago_ms` to `ended_ago_ms` before `NOW`.
+/// Creates a run that began `began_ago_ms` before `NOW` and crashed its target `ended_ago_ms`
+/// before `NOW`.
 fn crash(number: u64, began_ago_ms: u64, ended_ago_ms: u64) -> Crash {
     let vm = VmName::new("vm-1").expect("a name");
     Crash {
@@ -46,7 +47,7 @@
 fn crashes_count_in_a_row_and_answers_clear() {
     struct Case {
         name: &'static str,
-        /// Runs that ended with their targets, as times before now, in milliseconds.
+        /// Runs that crashed their targets, as start and end in milliseconds before `NOW`.
         runs_ms: &'static [(u64, u64)],
         answered_ago_ms: Option<u64>,
         refused_for: Option<Duration>,
@@ -59,55 +60,55 @@
             refused_for: None,
         },
         Case {
-            name: "two, one after the other",
+            name: "two consecutive crashes",
             runs_ms: &[(1_000, 900), (890, 800)],
             answered_ago_ms: None,
             refused_for: Some(Duration::from_millis(2_200)),
         },
         Case {
-            name: "six at the same moment, as when a rack loses power",
+            name: "six at the same time, as when a rack loses power",
             runs_ms: &[(1_000, 900), (990, 900), (980, 899), (970, 901), (960, 900), (905, 898)],
             answered_ago_ms: None,
             refused_for: None,
         },
         Case {
-            name: "three in a row, told in another order",
+            name: "three consecutive crashes, reported in another order",
             runs_ms: &[(500, 400), (1_000, 900), (890, 800)],
             answered_ago_ms: None,
             refused_for: Some(Duration::from_millis(299_600)),
         },
         Case {
-            name: "four in a row",
+            name: "four consecutive crashes",
             runs_ms: &[(1_000, 900), (890, 800), (500, 400), (300, 0)],
             answered_ago_ms: None,
             refused_for: Some(Duration::from_mins(10)),
         },
         Case {
-            name: "copies at the same moment, and one more after them",
+            name: "concurrent copies, and one more crash after them",
             runs_ms: &[(1_000, 900), (990, 890), (880, 800)],
             answered_ago_ms: None,
             refused_for: Some(Duration::from_millis(299_200)),
         },
         Case {
-            name: "two, and answered between them",
+            name: "two crashes, with an answer in between",
             runs_ms: &[(1_000, 900), (500, 400)],
             answered_ago_ms: Some(600),
             refused_for: None,
         },
         Case {
-            name: "three, and answered after all",
+            name: "three crashes, then an answer",
             runs_ms: &[(1_000, 900), (890, 800), (500, 400)],
             answered_ago_ms: Some(300),
             refused_for: None,
         },
         Case {
-            name: "two after the answer",
+            name: "two crashes after the answer",
             runs_ms: &[(2_000, 1_900), (1_000, 900), (500, 400)],
             answered_ago_ms: Some(1_500),
             refused_for: Some(Duration::from_millis(2_600)),
         },
         Case {
-            name: "two, long ago",
+            name: "two crashes long ago",
             runs_ms: &[(61_000, 60_900), (60_500, 60_000)],
             answered_ago_ms: None,
             refused_for: None,
@@ -126,7 +127,8 @@
     }
 }
 
-/// What is known at the end of a history, in whatever order and however often it was told.
+/// Crashes and answers of one request, and an order in which their reports are delivered, some
+/// repeatedly.
 #[derive(Debug, Clone)]
 struct History {
     crashes: Vec<(u64, u64)>,
@@ -150,7 +152,7 @@
 }
 
 impl History {
-    fn told(&self) -> Vec<SuspectReport> {
+    fn reports(&self) -> Vec<SuspectReport> {
         let crashes = self.crashes.iter().zip(0..).map(|((began, ended), number)| SuspectReport {
             fingerprint: GUILTY,
             crashes: vec![crash(number, *began, *ended)],
@@ -165,38 +167,38 @@
     }
 }
 
-/// Messages are lost, late and doubled, and pass through others; whoever has all of them decides
-/// the same.
+/// Guards against verdicts that depend on lost, delayed, duplicated or relayed messages: every
+/// process that has received all reports reaches the same verdict.
 #[test]
 fn the_order_and_number_of_messages_do_not_matter() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands values over")]
     fn property(history: History) -> bool {
-        let told = history.told();
+        let reports = history.reports();
         let mut in_order = Quarantine::default();
-        for one in &told {
-            in_order.merge(one, NOW);
+        for report in &reports {
+            in_order.merge(report, NOW);
         }
         let mut shuffled = Quarantine::default();
         let mut relay = Quarantine::default();
         for index in &history.order {
-            relay.merge(&told[*index], NOW);
-            if let Some(passed_on) = relay.report(GUILTY, NOW) {
-                shuffled.merge(&passed_on, NOW);
+            relay.merge(&reports[*index], NOW);
+            if let Some(relayed) = relay.report(GUILTY, NOW) {
+                shuffled.merge(&relayed, NOW);
             }
         }
-        // Whatever was not drawn arrives at last.
-        for one in told.iter().rev() {
-            shuffled.merge(one, NOW);
+        // Reports that were never drawn are delivered at the end.
+        for report in reports.iter().rev() {
+            shuffled.merge(report, NOW);
         }
         shuffled.verdict(GUILTY, NOW) == in_order.verdict(GUILTY, NOW)
     }
     QuickCheck::new().tests(2_000).quickcheck(property as fn(History) -> bool);
 }
 
-/// A caller that crashes targets with ever other requests fills no memory, and does not free the
-/// one that is refused.
+/// A caller that crashes targets with ever new requests neither exhausts memory nor evicts a
+/// request that is currently refused.
 #[test]
-fn many_suspects_do_not_make_room_for_one_that_is_refused() {
+fn many_suspects_do_not_evict_one_that_is_refused() {
     let mut quarantine = Quarantine::default();
     quarantine.record_crash(GUILTY, &crash(0, 1_000, 900), NOW);
     quarantine.record_crash(GUILTY, &crash(1, 890, 800), NOW);
