--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -119,8 +119,8 @@
             }
             let alive: Vec<usize> =
                 order.iter().copied().filter(|other| is_up(*other, now_ms)).collect();
-            let before = alive.iter().position(|other| *other == index).unwrap_or(0);
-            let position = HallRank { rank: before, is_contact: before < CONTACTS_PER_HALL };
+            let rank = alive.iter().position(|other| *other == index).unwrap_or(0);
+            let position = HallRank { rank, is_contact: rank < CONTACTS_PER_HALL };
             let others = alive.iter().take(CONTACTS_PER_HALL).filter(|other| **other != index);
             let others: Vec<VmName> = others.copied().map(vm).collect();
             let contacts: Vec<Candidate<'_>> = others.iter().map(candidate).collect();
