--- a/crates/thymeshift_fleet/src/adoption.rs
+++ b/crates/thymeshift_fleet/src/adoption.rs
@@ -4,13 +4,13 @@
 //!
 //! * A smaller revision is ignored: the revision in force never decreases.
 //! * The same revision with the same digest is a confirmation.
-//! * The same revision with another digest is a conflict: the document in force stays, and the
-//!   conflict is reported until a larger revision is adopted. Picking one of the two documents by
-//!   some rule would change the document in force without a new revision that an operator could
-//!   see.
-//! * A larger revision that passes the check is adopted. A larger revision that fails the check is
-//!   rejected and remembered, and the last good document stays in force. The check depends only on
-//!   the document's bytes, so every process rejects the same documents.
+//! * The same revision with another digest is a conflict:
+//!   the document in force stays, and the conflict is reported until a larger revision is adopted.
+//!   Picking one of the two documents by some rule would change the document in force without
+//!   a new revision that an operator could see.
+//! * A larger revision that passes the check is adopted. A larger revision that fails
+//!   the check is rejected and remembered, and the last good document stays in force.
+//!   The check depends only on the document's bytes, so every process rejects the same documents.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -159,8 +159,8 @@
         self.rejection.as_ref()
     }
 
-    /// Returns the transfer for a process that runs `theirs`; [`Transfer::UpToDate`] if this
-    /// process has no document in force.
+    /// Returns the transfer for a process that runs `theirs`;
+    /// [`Transfer::UpToDate`] if this process has no document in force.
     pub fn transfer(&self, theirs: Option<Head>) -> Transfer {
         match &self.in_force {
             Some(current) => self.history.transfer(theirs, current),
--- a/crates/thymeshift_fleet/src/delta.rs
+++ b/crates/thymeshift_fleet/src/delta.rs
@@ -1,13 +1,13 @@
 //! Deltas between two revisions of a document.
 //!
-//! A delta keeps parts of the old text and inserts new text between them. The common start and the
-//! common end of both texts are kept; if several lines differ between them, these are compared
-//! line by line.
+//! A delta keeps parts of the old text and inserts new text between them.
+//! The common start and the common end of both texts are kept;
+//! if several lines differ between them, these are compared line by line.
 //!
-//! In a large fleet a few targets change at a time, anywhere in a long list. A delta that replaces
-//! everything between the first and the last change would contain nearly the whole list: 226,590
-//! of 226,741 bytes for eleven changed lines of 6,000, sent to every process. A line-by-line delta
-//! takes less than 1,000 bytes.
+//! In a large fleet a few targets change at a time, anywhere in a long list. A delta that
+//! replaces everything between the first and the last change would contain nearly the whole list:
+//! 226,590 of 226,741 bytes for eleven changed lines of 6,000, sent to every process.
+//! A line-by-line delta takes less than 1,000 bytes.
 
 use std::collections::HashMap;
 
@@ -44,8 +44,8 @@
 /// Bytes that an edit takes in addition to its text.
 const EDIT_OVERHEAD_BYTES: usize = 10;
 
-/// Error that prevents a delta from being applied. The base document is unchanged, and the
-/// receiver asks for the whole document.
+/// Error that prevents a delta from being applied. The base document is unchanged,
+/// and the receiver asks for the whole document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum DeltaError {
     /// The delta was made for another base document.
@@ -96,8 +96,8 @@
     text.split_at_checked(length_bytes as usize).ok_or(DeltaError::Damaged)
 }
 
-/// Returns the edits that turn `old` into `new`, which both follow `prefix` bytes to keep. A line
-/// of `old` is kept if it occurs in `new` after the previously kept lines.
+/// Returns the edits that turn `old` into `new`, which both follow `prefix` bytes to keep.
+/// A line of `old` is kept if it occurs in `new` after the previously kept lines.
 fn edits(prefix: usize, old: &str, new: &str) -> Vec<Edit> {
     let mut positions = HashMap::new();
     let mut offset = 0;
--- a/crates/thymeshift_fleet/src/digest.rs
+++ b/crates/thymeshift_fleet/src/digest.rs
@@ -1,5 +1,5 @@
-//! Digests of the known members, so that two processes can compare their views of the fleet
-//! without sending all members.
+//! Digests of the known members, so that two processes can compare their views of the
+//! fleet without sending all members.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,8 +8,8 @@
 use crate::Member;
 use crate::Phase;
 
-/// Digest of a set of members. Two digests are equal if both sets contain the same boots of the
-/// same members in the same phases.
+/// Digest of a set of members. Two digests are equal if both sets contain the same boots
+/// of the same members in the same phases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersDigest(u64);
 
--- a/crates/thymeshift_fleet/src/forwarding.rs
+++ b/crates/thymeshift_fleet/src/forwarding.rs
@@ -1,16 +1,16 @@
 //! Decides which heartbeats of source readers are forwarded within a data hall.
 //!
 //! Two readers call the source about once a second each, and some processes of a hall receive the
-//! heartbeats of both. Successful calls carry the same information unless a document changed, so
-//! the hall needs only one such heartbeat per [`REPEAT_INTERVAL`]. A heartbeat that announces a
-//! changed document is forwarded at once.
+//! heartbeats of both. Successful calls carry the same information unless a document changed,
+//! so the hall needs only one such heartbeat per [`REPEAT_INTERVAL`].
+//! A heartbeat that announces a changed document is forwarded at once.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Time after which an unchanged heartbeat is forwarded again: half of the silence after which a
-/// process reads the source itself.
+/// Time after which an unchanged heartbeat is forwarded again:
+/// half of the silence after which a process reads the source itself.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Filter that remembers the last forwarded heartbeats; `H` describes the reader's documents.
@@ -27,8 +27,8 @@
 }
 
 impl<H: Copy + PartialEq> ForwardingFilter<H> {
-    /// Returns whether a heartbeat that arrives now is to be forwarded, and records it as
-    /// forwarded if so.
+    /// Returns whether a heartbeat that arrives now is to be forwarded,
+    /// and records it as forwarded if so.
     pub fn is_due(&mut self, is_answered: bool, heads: H, now: Timestamp) -> bool {
         let is_old = |at: Timestamp| now.since(at) >= REPEAT_INTERVAL;
         if !is_answered {
--- a/crates/thymeshift_fleet/src/history.rs
+++ b/crates/thymeshift_fleet/src/history.rs
@@ -11,8 +11,8 @@
 
 /// Maximum number of deltas kept; the oldest one is dropped first.
 const DELTAS_MAX: usize = 64;
-/// Divisor of the document's length that limits a delta chain: a chain longer than half of the
-/// document is replaced by the whole document.
+/// Divisor of the document's length that limits a delta chain:
+/// a chain longer than half of the document is replaced by the whole document.
 const CHAIN_SHARE_DIVISOR: usize = 2;
 
 /// Reply to a process that asks for newer revisions of a document.
@@ -24,8 +24,8 @@
     Busy,
     /// Deltas that the receiver applies in order.
     Deltas(Vec<Delta>),
-    /// The whole document, because the receiver has none or the sender has no deltas from its
-    /// revision.
+    /// The whole document, because the receiver has none or the sender has
+    /// no deltas from its revision.
     Whole(Published),
 }
 
@@ -64,8 +64,8 @@
 }
 
 impl Transfer {
-    /// Returns the document that results from this transfer at a receiver that runs `base`, if
-    /// any.
+    /// Returns the document that results from this transfer at a
+    /// receiver that runs `base`, if any.
     pub fn receive(self, base: Option<&Published>) -> Option<Published> {
         match self {
             Self::UpToDate | Self::Busy => None,
--- a/crates/thymeshift_fleet/src/leaving.rs
+++ b/crates/thymeshift_fleet/src/leaving.rs
@@ -1,9 +1,9 @@
 //! Marks of targets that are leaving, kept for each target's incarnation.
 //!
 //! For each target the register keeps the largest incarnation that any source reported as leaving.
-//! Merging two registers takes the larger incarnation per target, so the order and number of
-//! messages do not matter, and a stale source cannot return a leaving target to service. A later
-//! incarnation of the target is not covered by the mark and serves again.
+//! Merging two registers takes the larger incarnation per target, so the order and number
+//! of messages do not matter, and a stale source cannot return a leaving target to service.
+//! A later incarnation of the target is not covered by the mark and serves again.
 //!
 //! A mark outlives the target's entry in the target list: entries expire while the source is
 //! unavailable, and the same incarnation is listed again once the source returns.
@@ -19,11 +19,11 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 
-/// Maximum number of marks. Beyond this limit a new mark replaces the mark of the target that has
-/// been unlisted for longest.
+/// Maximum number of marks. Beyond this limit a new mark replaces the mark of the target
+/// that has been unlisted for longest.
 const MARKS_MAX: usize = 65_536;
-/// Time that the mark of an unlisted target is kept; longer than a target takes to be listed again
-/// after an outage of the source.
+/// Time that the mark of an unlisted target is kept;
+/// longer than a target takes to be listed again after an outage of the source.
 const UNLISTED_MARK_TTL: Duration = Duration::from_mins(10);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -35,8 +35,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct MarkEntry {
     incarnation: Incarnation,
-    /// Time at which the target was first missing from the target list; `None` while the target is
-    /// listed.
+    /// Time at which the target was first missing from the target list;
+    /// `None` while the target is listed.
     unlisted_since: Option<Timestamp>,
 }
 
@@ -62,8 +62,8 @@
         true
     }
 
-    /// Drops the mark of the target that has been unlisted for longest. Returns `false` if all
-    /// marked targets are listed.
+    /// Drops the mark of the target that has been unlisted for longest.
+    /// Returns `false` if all marked targets are listed.
     fn drop_longest_unlisted(&mut self) -> bool {
         let unlisted =
             self.marks.iter().filter_map(|(key, mark)| Some((mark.unlisted_since?, key)));
@@ -85,9 +85,9 @@
         self.marks.get(&key).is_some_and(|mark| mark.incarnation >= incarnation)
     }
 
-    /// Drops marks of targets that are listed with a later incarnation, or that have been unlisted
-    /// for `UNLISTED_MARK_TTL`. `listed` returns the incarnation that a target is currently
-    /// listed with.
+    /// Drops marks of targets that are listed with a later incarnation,
+    /// or that have been unlisted for `UNLISTED_MARK_TTL`.
+    /// `listed` returns the incarnation that a target is currently listed with.
     pub fn prune(
         &mut self,
         listed: impl Fn(&ServiceName, &TargetName) -> Option<Incarnation>,
@@ -111,8 +111,8 @@
         marks.map(|(key, mark)| to_mark(key, mark))
     }
 
-    /// Returns up to `count` marks that sort after `after`, in a fixed order. Pass the last mark
-    /// of a page to get the next page.
+    /// Returns up to `count` marks that sort after `after`, in a fixed order.
+    /// Pass the last mark of a page to get the next page.
     pub fn page(&self, after: Option<&LeavingMark>, count: usize) -> Vec<LeavingMark> {
         let cursor = after
             .map(|mark| TargetKey { service: mark.service.clone(), target: mark.target.clone() });
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -4,16 +4,16 @@
 //! * [`History`] and [`Delta`]: transfers to processes that run an older revision.
 //! * [`WatcherSelection`]: the few processes that watch the platform, without an election.
 //! * [`LeavingRegister`]: targets that receive no new work, marked per incarnation.
-//! * [`Members`]: the known processes, from direct contact and gossiped heartbeats: all members of
-//!   the own data hall, and a few of every other hall.
+//! * [`Members`]: the known processes, from direct contact and gossiped heartbeats:
+//!   all members of the own data hall, and a few of every other hall.
 //! * [`Readers`]: the few processes that read the source of configuration and targets, by rank.
 //! * [`relay_position`]: the relay tree that distributes documents within a data hall.
 //! * [`Quarantine`]: requests that are refused because they crash the targets that run them.
 //! * [`Orders`]: operators' temporary orders, which converge in any order of arrival.
 //!
-//! All functions take the time as an argument. After a pause of its own, a process calls `paused`
-//! on the types that have this method, so that its own absence does not count as silence of the
-//! others.
+//! All functions take the time as an argument. After a pause of its own,
+//! a process calls `paused` on the types that have this method,
+//! so that its own absence does not count as silence of the others.
 //!
 //! Messages are plain data; `thymeshift_wire` sends and receives them.
 
--- a/crates/thymeshift_fleet/src/member.rs
+++ b/crates/thymeshift_fleet/src/member.rs
@@ -76,8 +76,8 @@
         Candidate { vm: &self.vm, capacity: self.capacity }
     }
 
-    /// Returns whether `other`, a later description of the same process, may change rankings or
-    /// assignments.
+    /// Returns whether `other`, a later description of the same process,
+    /// may change rankings or assignments.
     pub(crate) fn differs_for_ranking(&self, other: &Self) -> bool {
         (self.boot, self.phase, self.datagram_address)
             != (other.boot, other.phase, other.datagram_address)
--- a/crates/thymeshift_fleet/src/members.rs
+++ b/crates/thymeshift_fleet/src/members.rs
@@ -1,24 +1,24 @@
 //! Membership of the fleet as seen by one process.
 //!
 //! Each process increments a heartbeat counter. Processes gossip the heartbeats that they know of,
-//! a bounded number per message, and a member whose heartbeat advances is alive. An answered call
-//! is direct evidence and counts more than gossip.
+//! a bounded number per message, and a member whose heartbeat advances is alive.
+//! An answered call is direct evidence and counts more than gossip.
 //!
-//! A process knows all members of its own data hall, and of every other hall a few *contacts*: the
-//! members that rank first in that hall. The state and the messages therefore grow with the size
-//! of a hall and the number of halls, not with the fleet. Two processes of one hall compare
-//! digests of the hall in each exchange; if the digests differ, the answer lists all members known
-//! to the answering process. Gossiping ten random members of the whole fleet per message is not
-//! enough: in a fleet of 473 it left a process with 79 known members, and a group of targets with
-//! 5.9 allocators on average instead of one.
+//! A process knows all members of its own data hall, and of every other hall a few *contacts*:
+//! the members that rank first in that hall. The state and the messages therefore
+//! grow with the size of a hall and the number of halls, not with the fleet.
+//! Two processes of one hall compare digests of the hall in each exchange; if the digests differ,
+//! the answer lists all members known to the answering process. Gossiping ten random members of
+//! the whole fleet per message is not enough: in a fleet of 473 it left a process with 79 known
+//! members, and a group of targets with 5.9 allocators on average instead of one.
 //!
 //! No process ever reports another one as dead. A paused, flapping or partly unreachable process
-//! may hold wrong opinions about others, but cannot spread them. SWIM's suspicion messages would
-//! detect a failure sooner in a large fleet, but nothing here waits for failure detection: a peer
-//! that does not answer is skipped, and leases decide about watchers.
+//! may hold wrong opinions about others, but cannot spread them. SWIM's suspicion messages
+//! would detect a failure sooner in a large fleet, but nothing here waits for failure detection:
+//! a peer that does not answer is skipped, and leases decide about watchers.
 //!
-//! The platform's list of VMs is only a hint: it provides addresses to try, and a VM that is
-//! missing from the list is not removed from the members.
+//! The platform's list of VMs is only a hint: it provides addresses to try,
+//! and a VM that is missing from the list is not removed from the members.
 
 mod contacts;
 mod gossip;
@@ -51,8 +51,8 @@
 
 /// Maximum number of other processes that a process remembers.
 const MEMBERS_MAX: usize = 4_096;
-/// Peer answers that a process needs before it stops counting as new. The first peers it finds may
-/// have started at the same time and know equally little.
+/// Peer answers that a process needs before it stops counting as new.
+/// The first peers it finds may have started at the same time and know equally little.
 const NEW_UNTIL_ANSWERS: u32 = 5;
 /// Silence after which a gone member is forgotten.
 const FORGET_AFTER: Duration = Duration::from_mins(10);
@@ -87,8 +87,8 @@
         &self.own
     }
 
-    /// Increments this process's heartbeat and updates the reported phase and configuration
-    /// revision.
+    /// Increments this process's heartbeat and updates the reported
+    /// phase and configuration revision.
     pub fn advance_heartbeat(&mut self, phase: Phase, revision: Option<Revision>) {
         self.own.heartbeat += 1;
         self.own.phase = phase;
@@ -139,8 +139,8 @@
         self.merge_member(member, Duration::ZERO, now);
     }
 
-    /// Records a message from a process, which is direct evidence that the process is alive if
-    /// `boot` is the one known here.
+    /// Records a message from a process, which is direct evidence that the process is alive
+    /// if `boot` is the one known here.
     pub fn record_message(&mut self, vm: &VmName, boot: Boot, now: Timestamp) {
         if let Some(known) = self.known.get_mut(vm).filter(|known| known.member.boot == boot) {
             known.last_seen_at = now;
@@ -157,9 +157,9 @@
         }
     }
 
-    /// Returns a counter that increases whenever another process appears, restarts, or changes its
-    /// phase or datagram address. Results derived from an earlier state of the members are
-    /// outdated when the counter has changed.
+    /// Returns a counter that increases whenever another process appears, restarts,
+    /// or changes its phase or datagram address. Results derived from an earlier state of the
+    /// members are outdated when the counter has changed.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -174,9 +174,9 @@
     }
 
     /// Picks up to `count` addresses for the next exchanges. Suspect members are tried
-    /// occasionally, and hint addresses that belong to no known member are tried like members. In
-    /// a large fleet most exchanges stay within the own data hall, because links between halls are
-    /// slower and may cost money.
+    /// occasionally, and hint addresses that belong to no known member are tried like members.
+    /// In a large fleet most exchanges stay within the own data hall,
+    /// because links between halls are slower and may cost money.
     pub fn pick_peers(&self, count: usize, now: Timestamp, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let timeout_factor = self.timeout_factor();
         let is_large = self.known.len() >= MEMBERS_PER_TIMEOUT_FACTOR;
@@ -219,8 +219,8 @@
         serving.map(|known| &known.member)
     }
 
-    /// Returns the serving processes in `hall`, including this one: all members of the own data
-    /// hall, or the known contacts of another hall.
+    /// Returns the serving processes in `hall`, including this one:
+    /// all members of the own data hall, or the known contacts of another hall.
     pub fn serving_in(&self, hall: &DataHallName, now: Timestamp) -> Vec<&Member> {
         let own = (*hall == self.own.data_hall).then_some(&self.own);
         let serving = self.serving(now).filter(|member| member.data_hall == *hall);
@@ -259,8 +259,8 @@
         self.known.retain(|_, known| now.since(known.last_seen_at) < FORGET_AFTER);
     }
 
-    /// Shifts all observations by `gap`, the time that this process was paused, so that its own
-    /// pause does not count as silence of the other members.
+    /// Shifts all observations by `gap`, the time that this process was paused,
+    /// so that its own pause does not count as silence of the other members.
     pub fn paused(&mut self, gap: Duration) {
         for known in self.known.values_mut() {
             known.last_seen_at = known.last_seen_at + gap;
--- a/crates/thymeshift_fleet/src/members/contacts.rs
+++ b/crates/thymeshift_fleet/src/members/contacts.rs
@@ -11,17 +11,17 @@
 use crate::members::known::KnownMember;
 use crate::rank::contact_score;
 
-/// Members of one data hall that processes of other halls know. Eight cover a small hall
-/// completely, and leave live contacts when several are dead.
+/// Members of one data hall that processes of other halls know.
+/// Eight cover a small hall completely, and leave live contacts when several are dead.
 const CONTACTS_PER_HALL: usize = 8;
 /// Contacts of a hall that receive announcements for the whole hall and relay them to its members.
 const HUBS_PER_HALL: usize = 2;
 
 impl Members {
-    /// Returns whether a member that is not known yet is to be kept, and drops a lower-ranked
-    /// member for it if necessary. Only contacts are kept of other data halls. A gone contact
-    /// stays known as gone and does not count towards the limit: gossip from a process that
-    /// has not noticed its end would otherwise bring it back as alive.
+    /// Returns whether a member that is not known yet is to be kept, and drops a
+    /// lower-ranked member for it if necessary. Only contacts are kept of other data halls.
+    /// A gone contact stays known as gone and does not count towards the limit:
+    /// gossip from a process that has not noticed its end would otherwise bring it back as alive.
     pub(super) fn make_capacity(&mut self, member: &Member, now: Timestamp) -> bool {
         if member.data_hall == self.own.data_hall {
             return true;
@@ -48,8 +48,8 @@
         true
     }
 
-    /// Returns the serving contacts of all data halls, including this process if it is a contact
-    /// itself. All processes know this part of the fleet.
+    /// Returns the serving contacts of all data halls, including this process if it is a
+    /// contact itself. All processes know this part of the fleet.
     pub fn contacts(&self, now: Timestamp) -> Vec<&Member> {
         let timeout_factor = self.timeout_factor();
         self.contacts_with_own(|known| known.is_serving(timeout_factor, now))
@@ -76,8 +76,8 @@
         others.chain(is_contact.then_some(&self.own)).collect()
     }
 
-    /// Returns the highest-ranked members of each data hall among those that satisfy `is_wanted`,
-    /// best first within a hall.
+    /// Returns the highest-ranked members of each data hall among those that satisfy
+    /// `is_wanted`, best first within a hall.
     pub(super) fn contacts_among(
         &self,
         is_wanted: impl Fn(&KnownMember) -> bool,
@@ -110,8 +110,8 @@
         self.rank_in_hall(now) < CONTACTS_PER_HALL
     }
 
-    /// Returns the hubs of each other data hall: contacts that relay announcements to all members
-    /// of their hall.
+    /// Returns the hubs of each other data hall: contacts that relay announcements
+    /// to all members of their hall.
     pub fn hubs(&self, now: Timestamp) -> Vec<&Member> {
         let timeout_factor = self.timeout_factor();
         let contacts = self.contacts_among(|known| {
--- a/crates/thymeshift_fleet/src/members/gossip.rs
+++ b/crates/thymeshift_fleet/src/members/gossip.rs
@@ -14,9 +14,9 @@
 use crate::digest::MembersDigest;
 use crate::members::known::KnownMember;
 
-/// Number of other members in a regular message. With two exchanges per second, five members keep
-/// the heartbeats of a small fleet fresh. In a larger hall heartbeats spread more slowly, while
-/// the message size stays bounded.
+/// Number of other members in a regular message. With two exchanges per second,
+/// five members keep the heartbeats of a small fleet fresh.
+/// In a larger hall heartbeats spread more slowly, while the message size stays bounded.
 const GOSSIP_MEMBERS_BASE: usize = 5;
 /// Known members per additional member in a regular message, up to [`GOSSIP_MEMBERS_MAX`].
 const KNOWN_PER_EXTRA_MEMBER: usize = 16;
@@ -27,8 +27,8 @@
 pub enum GossipScope<'a> {
     /// The sender and a few randomly chosen members.
     Regular,
-    /// The sender, the contacts of all data halls, and all known members of the given hall, if
-    /// any. This is sent to a receiver that is new or whose digest differs from the sender's.
+    /// The sender, the contacts of all data halls, and all known members of the given hall,
+    /// if any. This is sent to a receiver that is new or whose digest differs from the sender's.
     Wide(Option<&'a DataHallName>),
     /// The sender alone, because the message announces a single change.
     SenderOnly,
@@ -57,8 +57,8 @@
 }
 
 impl Members {
-    /// Returns which members to include in the answer to a peer's message. A peer that is new, or
-    /// whose digest of its data hall differs, receives all known members of its hall.
+    /// Returns which members to include in the answer to a peer's message. A peer that is new,
+    /// or whose digest of its data hall differs, receives all known members of its hall.
     pub fn answer_scope<'a>(
         &self,
         received: &ReceivedSummary<'a>,
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Returns the members to include in a message: this process first, then others according to
-    /// `scope`.
+    /// Returns the members to include in a message: this process first,
+    /// then others according to `scope`.
     pub fn members_to_send(
         &self,
         scope: GossipScope<'_>,
--- a/crates/thymeshift_fleet/src/members/known.rs
+++ b/crates/thymeshift_fleet/src/members/known.rs
@@ -10,13 +10,13 @@
 use crate::rank::contact_score;
 
 /// Time without a new heartbeat after which a member is suspected, while fewer than
-/// [`MEMBERS_PER_TIMEOUT_FACTOR`] members are known. Heartbeats take longer to spread among more
-/// members, so the timeout grows with their number. A slow detection is acceptable, because a
-/// process that calls a dead member notices it by the missing answer.
+/// [`MEMBERS_PER_TIMEOUT_FACTOR`] members are known. Heartbeats take longer to spread among
+/// more members, so the timeout grows with their number. A slow detection is acceptable,
+/// because a process that calls a dead member notices it by the missing answer.
 const SUSPECT_AFTER: Duration = Duration::from_secs(5);
 pub(super) const MEMBERS_PER_TIMEOUT_FACTOR: usize = 24;
-/// Time without a new heartbeat after which a member is considered gone; grows with the number of
-/// members like [`SUSPECT_AFTER`].
+/// Time without a new heartbeat after which a member is considered gone;
+/// grows with the number of members like [`SUSPECT_AFTER`].
 const GONE_AFTER: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
@@ -34,8 +34,8 @@
         Self { member: member.clone(), last_seen_at: now, unanswered_calls: 0, contact_score }
     }
 
-    /// Returns the member's liveness; `timeout_factor` scales the timeouts to the number of known
-    /// members.
+    /// Returns the member's liveness; `timeout_factor` scales the timeouts to
+    /// the number of known members.
     pub(super) fn liveness(&self, timeout_factor: u32, now: Timestamp) -> Liveness {
         let silent = now.since(self.last_seen_at);
         let has_stopped = self.member.phase == Phase::Stopping && silent > SUSPECT_AFTER;
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Returns whether the member's heartbeat advances, whether received directly or through
-    /// gossip.
+    /// Returns whether the member's heartbeat advances,
+    /// whether received directly or through gossip.
     pub(super) fn is_visible(&self, timeout_factor: u32, now: Timestamp) -> bool {
         now.since(self.last_seen_at) <= SUSPECT_AFTER * timeout_factor
     }
--- a/crates/thymeshift_fleet/src/members/visibility.rs
+++ b/crates/thymeshift_fleet/src/members/visibility.rs
@@ -11,12 +11,12 @@
 /// Candidates for a task, split by whether their heartbeats still arrive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VisibleMembers<'a> {
-    /// Serving members whose heartbeats arrive directly or through gossip, and this process itself
-    /// if it is a candidate. Unanswered calls are not considered.
+    /// Serving members whose heartbeats arrive directly or through gossip,
+    /// and this process itself if it is a candidate. Unanswered calls are not considered.
     pub visible: Vec<&'a Member>,
-    /// Number of all serving members, including silent ones that did not announce a shutdown. A
-    /// silent member may be on the other side of a network partition and still serve callers
-    /// there.
+    /// Number of all serving members, including silent ones that did not announce a shutdown.
+    /// A silent member may be on the other side of a network partition
+    /// and still serve callers there.
     pub known_count: usize,
 }
 
--- a/crates/thymeshift_fleet/src/orders.rs
+++ b/crates/thymeshift_fleet/src/orders.rs
@@ -51,8 +51,8 @@
     /// Drains the target or data hall, pauses the probing, or refuses the request.
     #[display("stop")]
     Stop,
-    /// Undrains the target or data hall, resumes the probing, or lets the request through despite
-    /// its crashes.
+    /// Undrains the target or data hall, resumes the probing,
+    /// or lets the request through despite its crashes.
     #[display("resume")]
     Resume,
 }
--- a/crates/thymeshift_fleet/src/published.rs
+++ b/crates/thymeshift_fleet/src/published.rs
@@ -24,8 +24,8 @@
     text: Arc<str>,
 }
 
-/// Serialized form of [`Published`]. The digest is left out: the receiver computes it from the
-/// text.
+/// Serialized form of [`Published`]. The digest is left out:
+/// the receiver computes it from the text.
 #[derive(Serialize, Deserialize)]
 struct Raw {
     revision: Revision,
--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash the targets that run them.
 //!
 //! A process sees only its own share of the traffic, and each arrival of a request has another id.
-//! Requests are therefore identified by fingerprints, crashes are reported to the whole fleet, and
-//! each process decides from all reports.
+//! Requests are therefore identified by fingerprints, crashes are reported to the whole fleet,
+//! and each process decides from all reports.
 //!
 //! A target that ends takes all requests that it was running with it, and at most one of them is
 //! to blame. The next run tells them apart: an innocent request is answered by the next target
@@ -31,8 +31,8 @@
 pub use rules::QuarantineRules;
 pub use suspect::SuspectDump;
 
-/// Maximum number of suspect requests. Each one requires the crash of a target, and takes at most
-/// about 3 KB.
+/// Maximum number of suspect requests. Each one requires the crash of a target,
+/// and takes at most about 3 KB.
 const SUSPECTS_MAX: usize = 1_024;
 
 /// Decision whether a request may be sent to a target.
@@ -43,8 +43,8 @@
     /// At least one target ended while it ran the request, and no target has answered the request
     /// since. The crashes are too few for a refusal, or the refusal has expired.
     Suspected,
-    /// Several targets in a row ended while they ran the request; it is refused for the given
-    /// time.
+    /// Several targets in a row ended while they ran the request;
+    /// it is refused for the given time.
     Refused(Duration),
 }
 
@@ -77,8 +77,8 @@
         suspect.map_or(Verdict::Free, |suspect| suspect.verdict(&self.rules, now))
     }
 
-    /// Records that a target ended while it ran the request. Returns whether the crash was not
-    /// known yet.
+    /// Records that a target ended while it ran the request.
+    /// Returns whether the crash was not known yet.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -119,8 +119,8 @@
         self.suspects.get(&fingerprint).map(|suspect| suspect.report(fingerprint, now))
     }
 
-    /// Returns the reports of up to `count` suspect requests that sort after `after`, in a fixed
-    /// order.
+    /// Returns the reports of up to `count` suspect requests that sort
+    /// after `after`, in a fixed order.
     pub fn page(
         &self,
         after: Option<Fingerprint>,
@@ -133,8 +133,8 @@
         suspects.take(count).map(|(key, suspect)| suspect.report(*key, now)).collect()
     }
 
-    /// Returns all suspect requests for the state dump, those with the longest remaining refusal
-    /// first.
+    /// Returns all suspect requests for the state dump,
+    /// those with the longest remaining refusal first.
     pub fn dump(&self, now: Timestamp) -> Vec<SuspectDump> {
         let suspects = self.suspects.iter();
         let mut dump: Vec<_> =
--- a/crates/thymeshift_fleet/src/quarantine/crash.rs
+++ b/crates/thymeshift_fleet/src/quarantine/crash.rs
@@ -45,7 +45,7 @@
     pub fingerprint: Fingerprint,
     /// Crashes of targets that were running the request.
     pub crashes: Vec<Crash>,
-    /// Time since a target last answered the request, in milliseconds; `None` if no target has
-    /// answered the request since its first crash.
+    /// Time since a target last answered the request, in milliseconds;
+    /// `None` if no target has answered the request since its first crash.
     pub answered_ago_ms: Option<u64>,
 }
--- a/crates/thymeshift_fleet/src/quarantine/rules.rs
+++ b/crates/thymeshift_fleet/src/quarantine/rules.rs
@@ -14,20 +14,21 @@
 pub struct QuarantineRules {
     /// Number of counted crashes from which on a request is refused.
     pub refusal_strikes_min: usize,
-    /// Duration of the first refusal. It is short because an innocent request may have met two
-    /// crashes by chance, which its next run shows.
+    /// Duration of the first refusal. It is short because an innocent request may have met
+    /// two crashes by chance, which its next run shows.
     pub first_refusal: Duration,
     /// Duration of the refusal after one more crash; each further crash doubles it.
     pub second_refusal: Duration,
 }
 
-/// Default rules, compared with others in replays of 100 days of one minute each: a guilty request
-/// arrives 2.5 times per second on average among 70 innocent ones, with 13 processes and 7
-/// targets. The defaults reduce crashed targets from 64.7 to 3.3 per day, and the guilty request
-/// is never sent again once all processes may know of three crashes. Refusing from three crashes
-/// instead of two crashes 4.2 targets per day, and sends the guilty request up to 3 times per day
-/// after that point. A first refusal as long as the second one crashes 2.5 targets per day, but
-/// refuses ten times as many innocent requests (1.67 instead of 0.16 per day of 4,200 requests).
+/// Default rules, compared with others in replays of 100 days of one minute each:
+/// a guilty request arrives 2.5 times per second on average among 70 innocent ones,
+/// with 13 processes and 7 targets. The defaults reduce crashed targets from 64.7 to 3.3 per day,
+/// and the guilty request is never sent again once all processes may know of three crashes.
+/// Refusing from three crashes instead of two crashes 4.2 targets per day,
+/// and sends the guilty request up to 3 times per day after that point.
+/// A first refusal as long as the second one crashes 2.5 targets per day, but refuses ten times
+/// as many innocent requests (1.67 instead of 0.16 per day of 4,200 requests).
 impl Default for QuarantineRules {
     fn default() -> Self {
         Self {
@@ -51,8 +52,8 @@
         (self.second_refusal * factor).min(REFUSAL_MAX)
     }
 
-    /// Returns how long crashes are remembered after the last one: at least twice the refusal, so
-    /// that a request that crashes another target after its refusal is refused for longer.
+    /// Returns how long crashes are remembered after the last one: at least twice the refusal,
+    /// so that a request that crashes another target after its refusal is refused for longer.
     pub(super) fn retention(&self, strikes: usize) -> Duration {
         CRASH_RETENTION.max(self.refusal(strikes) * 2)
     }
--- a/crates/thymeshift_fleet/src/quarantine/suspect.rs
+++ b/crates/thymeshift_fleet/src/quarantine/suspect.rs
@@ -20,8 +20,8 @@
 
 /// Maximum number of crashes kept per request; more than can run concurrently before a refusal.
 const CRASHES_MAX: usize = 16;
-/// Maximum number of crashes in a report to peers; with the longest names they still fit into one
-/// datagram.
+/// Maximum number of crashes in a report to peers;
+/// with the longest names they still fit into one datagram.
 const CRASHES_REPORTED_MAX: usize = 5;
 
 /// A suspect request as shown to operators.
@@ -31,15 +31,15 @@
     pub fingerprint: Fingerprint,
     /// Crashed targets that count against the request.
     pub strikes: u64,
-    /// Remaining time that the request is refused, in milliseconds; 0 if the request is not
-    /// refused.
+    /// Remaining time that the request is refused, in milliseconds;
+    /// 0 if the request is not refused.
     pub refused_for_ms: u64,
     /// Time since the first consecutive crash, in milliseconds.
     pub first_crash_ms: u64,
     /// Time since the last crash, in milliseconds.
     pub last_crash_ms: u64,
-    /// Consecutively crashed targets as `service/target@incarnation`, in the order in which they
-    /// ended.
+    /// Consecutively crashed targets as `service/target@incarnation`,
+    /// in the order in which they ended.
     pub targets: Vec<String>,
 }
 
@@ -120,8 +120,8 @@
         last.is_none_or(|last| now.since(last) >= rules.retention(self.strikes()))
     }
 
-    /// Returns the longest sequence of consecutive runs that ended in a crash. Taking the run that
-    /// ends earliest first gives the longest sequence.
+    /// Returns the longest sequence of consecutive runs that ended in a crash.
+    /// Taking the run that ends earliest first gives the longest sequence.
     fn consecutive(&self) -> Vec<(&CrashId, &RecordedCrash)> {
         let mut crashes: Vec<_> = self.crashes.iter().collect();
         crashes.sort_by_key(|(_, crash)| crash.ended_at);
@@ -134,8 +134,8 @@
         consecutive
     }
 
-    /// Returns the crashes to report to peers: the most recent consecutive ones, then the most
-    /// recent others.
+    /// Returns the crashes to report to peers: the most recent consecutive ones,
+    /// then the most recent others.
     fn crashes_to_report(&self) -> Vec<(&CrashId, &RecordedCrash)> {
         let mut consecutive = self.consecutive();
         consecutive.reverse();
--- a/crates/thymeshift_fleet/src/rank.rs
+++ b/crates/thymeshift_fleet/src/rank.rs
@@ -1,11 +1,11 @@
-//! Rankings of processes for a task; processes that know the same members compute the same
-//! ranking.
+//! Rankings of processes for a task; processes that know the same
+//! members compute the same ranking.
 //!
-//! This is weighted rendezvous hashing: the score of a process depends only on its own name, the
-//! task's name and the capacity of its VM. A process that joins or leaves does not change the
-//! relative order of any two others, so little work moves. Work for the whole fleet should rarely
-//! be assigned to a small VM while large ones are available, so the weight is the cube of the
-//! capacity.
+//! This is weighted rendezvous hashing: the score of a process depends only on its own name,
+//! the task's name and the capacity of its VM. A process that joins or leaves
+//! does not change the relative order of any two others, so little work moves.
+//! Work for the whole fleet should rarely be assigned to a small VM while large ones are
+//! available, so the weight is the cube of the capacity.
 
 use thymeshift_types::Capacity;
 use thymeshift_types::VmName;
@@ -39,8 +39,8 @@
     scored.into_iter().map(|(_, vm)| vm).collect()
 }
 
-/// Returns the score of a process among the contacts of its data hall; the lowest score ranks
-/// first.
+/// Returns the score of a process among the contacts of its data hall;
+/// the lowest score ranks first.
 pub(crate) fn contact_score(candidate: Candidate<'_>) -> f64 {
     score(candidate, seed_of(CONTACT_TASK))
 }
@@ -50,8 +50,8 @@
     xxh3_64_with_seed(task.as_bytes(), 0)
 }
 
-/// Returns the score of a candidate; the lowest score ranks first. The score is an exponentially
-/// distributed value whose rate is the candidate's weight.
+/// Returns the score of a candidate; the lowest score ranks first.
+/// The score is an exponentially distributed value whose rate is the candidate's weight.
 fn score(candidate: Candidate<'_>, seed: u64) -> f64 {
     let hash = xxh3_64_with_seed(candidate.vm.as_str().as_bytes(), seed);
     let uniform = (hash as f64 + 0.5) / HASH_COUNT;
--- a/crates/thymeshift_fleet/src/readers.rs
+++ b/crates/thymeshift_fleet/src/readers.rs
@@ -1,17 +1,17 @@
-//! Decides which processes read the source of configuration and targets. A few processes read at a
-//! time, without an election.
+//! Decides which processes read the source of configuration and targets.
+//! A few processes read at a time, without an election.
 //!
-//! The contacts of all data halls, which every process knows, are ranked by a hash, and the first
-//! [`READER_COUNT`] of them read continuously. After each call a reader reports to all other
-//! processes whether the source answered. A process that has received no report of an answer for
-//! [`SILENCE_MAX`] reads by itself; a process with a higher rank in its hall waits a little
-//! longer. A reader whose call failed is excluded from the ranking for a while, so that the next
-//! process takes over.
+//! The contacts of all data halls, which every process knows,
+//! are ranked by a hash, and the first [`READER_COUNT`] of them read continuously.
+//! After each call a reader reports to all other processes whether the source answered.
+//! A process that has received no report of an answer for [`SILENCE_MAX`] reads by itself;
+//! a process with a higher rank in its hall waits a little longer. A reader whose call failed is
+//! excluded from the ranking for a while, so that the next process takes over.
 //!
-//! The ranking needs no agreement: two processes that rank differently cause only a few extra
-//! calls. Failed calls are retried after a backoff that grows with the failures and with the size
-//! of the fleet, so that the whole fleet makes only a few calls per second during an outage of the
-//! source.
+//! The ranking needs no agreement: two processes that rank differently
+//! cause only a few extra calls. Failed calls are retried after a
+//! backoff that grows with the failures and with the size of the fleet,
+//! so that the whole fleet makes only a few calls per second during an outage of the source.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,37 +27,37 @@
 const READER_COUNT: usize = 2;
 /// Time without a report of an answer after which any process reads the source.
 const SILENCE_MAX: Duration = Duration::from_millis(1_200);
-/// Additional silence per rank in the data hall, up to [`RANK_DELAY_MAX`], before a process reads
-/// the source by itself. The first process to read informs the others, so that not all of them
-/// read.
+/// Additional silence per rank in the data hall, up to [`RANK_DELAY_MAX`],
+/// before a process reads the source by itself. The first process to read informs the others,
+/// so that not all of them read.
 const DELAY_PER_RANK: Duration = Duration::from_millis(40);
 const RANK_DELAY_MAX: Duration = Duration::from_millis(1_600);
 /// Time that a reader whose call failed is excluded from the ranking by other processes.
 const READER_EXCLUSION: Duration = Duration::from_secs(3);
 /// Backoff after the first failed call; it doubles with each further failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(150);
-/// Number of other processes with recent failures that lengthens the backoff by another
-/// [`BACKOFF_MIN`]. When many calls fail, the source is down for all processes, and any of them
-/// notices its return.
+/// Number of other processes with recent failures that lengthens the backoff by
+/// another [`BACKOFF_MIN`]. When many calls fail, the source is down for all processes,
+/// and any of them notices its return.
 const FAILED_OTHERS_PER_BACKOFF_STEP: u32 = 8;
-/// Longest backoff per known member, so that the fleet's rate of failed calls does not depend on
-/// its size.
+/// Longest backoff per known member, so that the fleet's rate of failed calls
+/// does not depend on its size.
 const BACKOFF_MAX_PER_MEMBER: Duration = Duration::from_millis(120);
 /// Limits of the longest backoff, whatever the number of members.
 const BACKOFF_MAX_LOWER_BOUND: Duration = Duration::from_millis(600);
 const BACKOFF_MAX_UPPER_BOUND: Duration = Duration::from_secs(10);
 /// Maximum number of doublings of the backoff.
 const DOUBLINGS_MAX: u32 = 7;
-/// Time after its start in which a process knows too few members to consider itself one of the
-/// readers.
+/// Time after its start in which a process knows too few members to
+/// consider itself one of the readers.
 const STARTUP_GRACE: Duration = Duration::from_millis(1_500);
 /// Number of other processes with recent failures from which on the source counts as down for all.
 /// Only the contacts then keep calling the source.
 const FAILED_OTHERS_MIN: usize = 6;
 /// Time without an answer to any process from which on the source counts as having had an outage.
 const OUTAGE_MIN: Duration = Duration::from_millis(2_200);
-/// Time after an outage within which the source lists again the targets that it forgot, if they
-/// still run.
+/// Time after an outage within which the source lists again the targets that
+/// it forgot, if they still run.
 const LISTED_AGAIN_WITHIN: Duration = Duration::from_millis(2_300);
 /// Task name that ranks the readers.
 const RANKING_TASK: &str = "read the source";
@@ -69,7 +69,7 @@
     LongPoll,
     /// Call the source without waiting for a change.
     Poll,
-    /// Decide again after this time.
+    /// Wait this long before deciding again.
     Wait(Duration),
 }
 
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Returns the next step. `contacts` are the other processes that are eligible as readers, and
-    /// `hall_rank` is this process's own rank.
+    /// Returns the next step. `contacts` are the other processes that are eligible as readers,
+    /// and `hall_rank` is this process's own rank.
     pub fn next_action(
         &self,
         contacts: &[Candidate<'_>],
@@ -167,20 +167,20 @@
         self.confirmed_at = Some(now);
     }
 
-    /// Returns whether the source has just recovered from an outage, so that targets missing from
-    /// its list may still be running.
+    /// Returns whether the source has just recovered from an outage,
+    /// so that targets missing from its list may still be running.
     pub fn has_just_recovered(&self, now: Timestamp) -> bool {
         self.returned_at.is_some_and(|at| now.since(at) < LISTED_AGAIN_WITHIN)
     }
 
-    /// Shifts the last answer by `gap`, the time that this process was paused, so that its own
-    /// pause does not count as silence of the source.
+    /// Shifts the last answer by `gap`, the time that this process was paused,
+    /// so that its own pause does not count as silence of the source.
     pub fn paused(&mut self, gap: Duration) {
         self.confirmed_at = self.confirmed_at.map(|at| at + gap);
     }
 
-    /// Records that this process's own call failed. `jitter`, from 0 to 1, spreads the retries of
-    /// different processes.
+    /// Records that this process's own call failed. `jitter`, from 0 to 1,
+    /// spreads the retries of different processes.
     pub fn failed(&mut self, member_count: usize, jitter: f64, now: Timestamp) {
         let doublings = self.failures.min(DOUBLINGS_MAX);
         let backoff_max = BACKOFF_MAX_PER_MEMBER * u32::try_from(member_count).unwrap_or(u32::MAX);
--- a/crates/thymeshift_fleet/src/relay.rs
+++ b/crates/thymeshift_fleet/src/relay.rs
@@ -1,14 +1,14 @@
-//! Relay tree that distributes a new document to every process of a data hall with a bounded load
-//! on each process.
+//! Relay tree that distributes a new document to every process of a data hall with a
+//! bounded load on each process.
 //!
-//! The processes of a hall are ranked and form a tree. The first one fetches the document from the
-//! reader of the source, every other one from its parent, and a process that has adopted a new
+//! The processes of a hall are ranked and form a tree. The first one fetches the document from
+//! the reader of the source, every other one from its parent, and a process that has adopted a new
 //! document notifies its children. A document therefore crosses the link between two halls once,
 //! and no process sends the document more than [`FAN_OUT`] times.
 //!
-//! The tree needs no agreement. Processes that compute different rankings cause a few extra
-//! transfers, and a process whose parent is dead or unreachable fetches from the reader after
-//! [`RELAY_WAIT_LIMIT`].
+//! The tree needs no agreement. Processes that compute different rankings cause a few
+//! extra transfers, and a process whose parent is dead or unreachable fetches from the
+//! reader after [`RELAY_WAIT_LIMIT`].
 
 use std::time::Duration;
 
@@ -35,17 +35,17 @@
 }
 
 impl RelayPosition {
-    /// Returns how long to wait for the parent before fetching a document from the process that
-    /// announced it. The first processes of a hall wait only briefly for one another: until one of
-    /// them has the document, no other process of the hall can get it.
+    /// Returns how long to wait for the parent before fetching a document from the process
+    /// that announced it. The first processes of a hall wait only briefly for one another:
+    /// until one of them has the document, no other process of the hall can get it.
     pub fn wait_limit(&self) -> Duration {
         let rank = u32::try_from(self.rank).unwrap_or(u32::MAX);
         if rank <= FAN_OUT as u32 { WAIT_PER_RANK * rank } else { RELAY_WAIT_LIMIT }
     }
 }
 
-/// Returns the position of `own` in the relay tree of `hall`, the processes of its data hall
-/// including `own`.
+/// Returns the position of `own` in the relay tree of `hall`,
+/// the processes of its data hall including `own`.
 pub fn relay_position<'a>(
     own: &VmName,
     hall: impl Iterator<Item = Candidate<'a>>,
--- a/crates/thymeshift_fleet/src/watch.rs
+++ b/crates/thymeshift_fleet/src/watch.rs
@@ -1,5 +1,5 @@
-//! Decides which processes watch the platform. A few processes watch at a time, without an
-//! election.
+//! Decides which processes watch the platform.
+//! A few processes watch at a time, without an election.
 //!
 //! Each watching process announces itself in its messages, and other processes relay the
 //! announcement with its age. A process that knows of fewer than [`WATCHER_COUNT`] fresh watchers
@@ -7,9 +7,9 @@
 //! VM name and boot, so they differ between processes and change with each start. A watcher that
 //! knows of enough other watchers with lower hashes stops at the end of its current call.
 //!
-//! A dead, paused or unreachable watcher needs no detection: its lease is no longer renewed, and
-//! another process takes over. Processes on different sides of a network partition choose their
-//! own watchers, as intended. The number of calls depends on the number of watchers and the
+//! A dead, paused or unreachable watcher needs no detection: its lease is no longer renewed,
+//! and another process takes over. Processes on different sides of a network partition choose
+//! their own watchers, as intended. The number of calls depends on the number of watchers and the
 //! duration of a call, not on the size of the fleet. Only while a watcher is missing do a few more
 //! processes call the platform: about as many as reach the end of their takeover delay while the
 //! announcement of a new watcher spreads, which takes time logarithmic in the size of the fleet.
@@ -24,16 +24,16 @@
 
 use crate::Boot;
 
-/// Number of concurrent watchers: two, so that an unreachable or outdated one does not delay
-/// changes.
+/// Number of concurrent watchers: two, so that an unreachable or
+/// outdated one does not delay changes.
 const WATCHER_COUNT: usize = 2;
 /// Maximum number of other watchers that a process remembers and relays.
 const KNOWN_WATCHERS_MAX: usize = 4;
 /// Lease of a watcher's announcement in a fleet of one process.
 const LEASE_BASE: Duration = Duration::from_secs(2);
-/// Extension of the lease each time the fleet doubles in size, because announcements take longer
-/// to reach all processes. With a shorter lease, processes that an announcement has not reached
-/// yet would see a watcher as missing.
+/// Extension of the lease each time the fleet doubles in size,
+/// because announcements take longer to reach all processes. With a shorter lease,
+/// processes that an announcement has not reached yet would see a watcher as missing.
 const LEASE_PER_DOUBLING: Duration = Duration::from_millis(900);
 /// Consecutive failed calls after which a watcher stops watching.
 const FAILURES_MAX: u32 = 2;
@@ -143,10 +143,10 @@
         true
     }
 
-    /// Records that the platform did not answer. After `FAILURES_MAX` failures in a row this
-    /// process stops watching for a while so that another one tries, because the fault may be
-    /// local. The time doubles with each repetition, so that not the whole fleet calls the
-    /// platform during an outage.
+    /// Records that the platform did not answer. After `FAILURES_MAX` failures in
+    /// a row this process stops watching for a while so that another one tries,
+    /// because the fault may be local. The time doubles with each repetition,
+    /// so that not the whole fleet calls the platform during an outage.
     pub fn failed(&mut self, now: Timestamp) {
         self.failures += 1;
         if self.failures < FAILURES_MAX {
@@ -181,8 +181,8 @@
         self.is_watching.then_some(own).into_iter().chain(others).collect()
     }
 
-    /// Forgets the leases of other watchers after a pause of this process, because they are
-    /// outdated.
+    /// Forgets the leases of other watchers after a pause of this
+    /// process, because they are outdated.
     pub fn paused(&mut self) {
         self.others.clear();
         self.vacant_since = None;
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! Agreement between processes without a coordinator: leaving targets, orders, members, and the
-//! selection of platform watchers.
+//! Agreement between processes without a coordinator:
+//! leaving targets, orders, members, and the selection of platform watchers.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::collections::BTreeSet;
@@ -92,8 +92,8 @@
     assert_eq!(seen.len(), 100);
 }
 
-/// Guards against a leaving target that returns to service: its entry in the target list may
-/// expire and be listed again for the same incarnation.
+/// Guards against a leaving target that returns to service:
+/// its entry in the target list may expire and be listed again for the same incarnation.
 #[test]
 fn a_mark_is_kept_while_its_target_is_unlisted_for_a_while() {
     struct Case {
@@ -261,8 +261,8 @@
     assert_eq!(liveness(&members, 1, at(5_500)), Some(Liveness::Suspect));
     beat(&mut members, 6, at(5_600));
     assert_eq!(liveness(&members, 1, at(5_600)), Some(Liveness::Alive));
-    // An unanswered call is direct evidence against a member, and an answered call is evidence for
-    // it.
+    // An unanswered call is direct evidence against a member,
+    // and an answered call is evidence for it.
     members.record_no_answer(member(1).peer_address);
     assert_eq!(liveness(&members, 1, at(5_700)), Some(Liveness::Suspect));
     members.record_answer(&Member { heartbeat: 6, ..member(1) }, at(5_800));
@@ -314,8 +314,8 @@
         Self { elections, is_running: vec![true; count], rng, now: at(0) }
     }
 
-    /// Runs the selection at every process and, about once a second, exchanges announcements with
-    /// a random peer.
+    /// Runs the selection at every process and, about once a second,
+    /// exchanges announcements with a random peer.
     fn run(&mut self, seconds: u64) {
         let count = self.elections.len();
         for _ in 0..seconds * 10 {
@@ -421,8 +421,8 @@
         for number in 1..=answer_count {
             members.record_answer(&member(number), at(0));
         }
-        // A process whose exchanges are not answered stays new, however many heartbeats it has
-        // counted.
+        // A process whose exchanges are not answered stays new,
+        // however many heartbeats it has counted.
         for _ in 0..50 {
             members.advance_heartbeat(Phase::Serving, None);
         }
--- a/crates/thymeshift_fleet/tests/documents.rs
+++ b/crates/thymeshift_fleet/tests/documents.rs
@@ -1,5 +1,5 @@
-//! Distribution of documents between processes: deltas, adoption, and an exhaustive search over
-//! all orders of events in a small fleet.
+//! Distribution of documents between processes: deltas, adoption,
+//! and an exhaustive search over all orders of events in a small fleet.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::collections::BTreeSet;
@@ -60,8 +60,8 @@
     assert!(delta.len_bytes() <= 7 + 10, "{}", delta.len_bytes());
 }
 
-/// Guards against deltas that grow to the size of the document when ten targets anywhere in a long
-/// list change at the same time.
+/// Guards against deltas that grow to the size of the document when ten targets anywhere
+/// in a long list change at the same time.
 #[test]
 fn a_few_changes_anywhere_in_a_long_text_are_a_small_delta() {
     let line =
@@ -293,8 +293,8 @@
     }
 }
 
-/// Visits every reachable state of a small fleet and checks that no process returns to a smaller
-/// revision or adopts an invalid document.
+/// Visits every reachable state of a small fleet and checks that no process returns to a
+/// smaller revision or adopts an invalid document.
 #[test]
 fn no_order_of_events_brings_a_revision_down_or_an_invalid_one_into_force() {
     let first = Fleet { published_count: 0, processes: vec![Adoption::default(); PROCESSES] };
--- a/crates/thymeshift_fleet/tests/membership.rs
+++ b/crates/thymeshift_fleet/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership in simulated fleets of different sizes. All processes start at the same time, and
-//! each knows three addresses, one of which is unused.
+//! Membership in simulated fleets of different sizes.
+//! All processes start at the same time, and each knows three addresses, one of which is unused.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/crates/thymeshift_fleet/tests/pace.rs
+++ b/crates/thymeshift_fleet/tests/pace.rs
@@ -1,5 +1,5 @@
-//! Applying target lists takes a limited share of a process's time, however often the lists
-//! change.
+//! Applying target lists takes a limited share of a process's time,
+//! however often the lists change.
 
 use std::time::Duration;
 
--- a/crates/thymeshift_fleet/tests/quarantine.rs
+++ b/crates/thymeshift_fleet/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Quarantine of requests that crash targets: which crashes count, and that the order of messages
-//! does not matter.
+//! Quarantine of requests that crash targets: which crashes count,
+//! and that the order of messages does not matter.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     Fingerprint::from_bytes(bytes)
 }
 
-/// Creates a run that began `began_ago_ms` before `NOW` and crashed its target `ended_ago_ms`
-/// before `NOW`.
+/// Creates a run that began `began_ago_ms` before `NOW` and crashed its target
+/// `ended_ago_ms` before `NOW`.
 fn crash(number: u64, began_ago_ms: u64, ended_ago_ms: u64) -> Crash {
     let vm = VmName::new("vm-1").expect("a name");
     Crash {
@@ -127,8 +127,8 @@
     }
 }
 
-/// Crashes and answers of one request, and an order in which their reports are delivered, some
-/// repeatedly.
+/// Crashes and answers of one request, and an order in which their reports
+/// are delivered, some repeatedly.
 #[derive(Debug, Clone)]
 struct History {
     crashes: Vec<(u64, u64)>,
@@ -167,8 +167,8 @@
     }
 }
 
-/// Guards against verdicts that depend on lost, delayed, duplicated or relayed messages: every
-/// process that has received all reports reaches the same verdict.
+/// Guards against verdicts that depend on lost, delayed, duplicated or relayed messages:
+/// every process that has received all reports reaches the same verdict.
 #[test]
 fn the_order_and_number_of_messages_do_not_matter() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands values over")]
@@ -195,8 +195,8 @@
     QuickCheck::new().tests(2_000).quickcheck(property as fn(History) -> bool);
 }
 
-/// A caller that crashes targets with ever new requests neither exhausts memory nor evicts a
-/// request that is currently refused.
+/// A caller that crashes targets with ever new requests neither exhausts memory nor evicts
+/// a request that is currently refused.
 #[test]
 fn many_suspects_do_not_evict_one_that_is_refused() {
     let mut quarantine = Quarantine::default();
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Selection of source readers: few processes read in normal operation, some process reads in time
-//! whatever fails, and an outage of the source causes few calls.
+//! Selection of source readers: few processes read in normal operation,
+//! some process reads in time whatever fails, and an outage of the source causes few calls.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
 const STEP_MS: u64 = 10;
 /// Time that the source holds a long poll before it answers.
 const LONG_POLL_MS: u64 = 950;
-/// Maximum time between two answered calls of the whole fleet. The platform's bound for noticing a
-/// leaving target is 2 s.
+/// Maximum time between two answered calls of the whole fleet.
+/// The platform's bound for noticing a leaving target is 2 s.
 const SILENCE_MAX_MS: u64 = 1_900;
 
 fn vm(number: usize) -> VmName {
@@ -155,8 +155,8 @@
             "{count}: {}",
             simulated.silence_max_ms
         );
-        // Two readers call for 30 s, and a few processes call while no heartbeats have arrived yet
-        // at startup.
+        // Two readers call for 30 s, and a few processes call while no heartbeats
+        // have arrived yet at startup.
         let calls_max = 2 * 30_000 / LONG_POLL_MS + 40;
         assert!(simulated.calls <= calls_max, "{count}: {} calls", simulated.calls);
     }
@@ -359,7 +359,7 @@
     waits.sort();
     assert_eq!(waits[0].1, Duration::ZERO, "the first process does not wait");
     assert!(waits.windows(2).all(|pair| pair[0].1 <= pair[1].1), "{waits:?}");
-    // If the first process is dead, the second one fetches the document before the others stop
-    // waiting for their parents.
+    // If the first process is dead, the second one fetches the document before the others
+    // stop waiting for their parents.
     assert!(waits[1].1 * 3 < waits[79].1, "{waits:?}");
 }
--- a/crates/thymeshift_supervisor/src/restart.rs
+++ b/crates/thymeshift_supervisor/src/restart.rs
@@ -12,8 +12,8 @@
 }
 
 impl RestartPolicy {
-    /// Policy of a task that runs until shutdown: every end counts as a failure, and at most ten
-    /// restarts are allowed in ten seconds.
+    /// Policy of a task that runs until shutdown: every end counts as a failure,
+    /// and at most ten restarts are allowed in ten seconds.
     pub const fn always() -> Self {
         Self {
             may_finish: false,
--- a/crates/thymeshift_supervisor/src/task.rs
+++ b/crates/thymeshift_supervisor/src/task.rs
@@ -43,8 +43,8 @@
 }
 
 impl Task {
-    /// Creates a task called `name`; `start` returns a new future for the first run and for each
-    /// restart.
+    /// Creates a task called `name`; `start` returns a new future for the
+    /// first run and for each restart.
     pub fn new<F>(
         name: &'static str,
         restart: RestartPolicy,
--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -22,8 +22,8 @@
     Ends,
 }
 
-/// Creates a task that ends as `behaviour` says in its first `failing_starts` runs, then runs
-/// forever. Each start increments `starts`.
+/// Creates a task that ends as `behaviour` says in its first `failing_starts` runs,
+/// then runs forever. Each start increments `starts`.
 fn task(
     restart: RestartPolicy,
     behaviour: Behaviour,
