--- a/crates/thymeshift_entry/src/caller/suspicion.rs
+++ b/crates/thymeshift_entry/src/caller/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is held against one request, and what its attempts show.
+//! Quarantine state of one request, and the reports of its attempts to the fleet.
 
 use std::sync::Arc;
 
@@ -7,36 +7,37 @@
 use thymeshift_types::Clock;
 use thymeshift_types::Fingerprint;
 
-use crate::caller::forward::Answered;
+use crate::caller::forward::AttemptResult;
 use crate::control_plane::report_answered;
 use crate::control_plane::report_crash;
 use crate::shared::Shared;
 
-/// A request as the fleet knows it.
-pub(crate) struct Suspicion {
+/// Handle to the quarantine state that the fleet keeps for one request.
+pub(crate) struct RequestQuarantine {
     shared: Arc<Shared>,
     fingerprint: Fingerprint,
 }
 
-impl Suspicion {
+impl RequestQuarantine {
     pub(crate) fn new(shared: &Arc<Shared>, fingerprint: Fingerprint) -> Self {
         Self { shared: shared.clone(), fingerprint }
     }
 
-    /// The same for each arrival of the request.
+    /// Returns the fingerprint, which is the same each time a caller sends the request.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         self.fingerprint
     }
 
-    /// Whether the request may be sent to a target now.
+    /// Returns whether the request may be sent to a target now.
     pub(crate) fn verdict(&self) -> Verdict {
         self.shared.fleet.lock().verdict(self.fingerprint, BootClock.now())
     }
 
-    /// An attempt has ended. A failure that the target states clears the request of nothing: the
-    /// target may have broken it off at its deadline, before it did any harm.
-    pub(crate) fn note(&self, answered: &Answered) {
-        match answered {
+    /// Reports the result of an attempt to the fleet.
+    /// A 5xx response of a target does not clear the request: the target may have aborted the
+    /// request at its deadline, before the request could crash the target.
+    pub(crate) fn record_attempt(&self, result: &AttemptResult) {
+        match result {
             Ok(response) if response.status().is_server_error() => {}
             Ok(_) => report_answered(&self.shared, self.fingerprint),
             Err(failed) => {
--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -29,8 +29,8 @@
 use crate::control_plane::platform::fetch;
 use crate::control_plane::platform::offer;
 use crate::control_plane::source::read_once;
-use crate::environment::Beginning;
 use crate::environment::Environment;
+use crate::environment::FirstPage;
 use crate::environment::SharedSource;
 use crate::environment::Source;
 use crate::environment::SourceError;
@@ -95,7 +95,7 @@
     // A task that holds the source's lock keeps its read position. Waiting for the lock would delay
     // serving for as long as a long poll of the source lasts.
     if let Ok(mut source) = source.try_lock() {
-        source.forget_beginning();
+        source.discard_first_page();
     }
     // A process that knows no peers overloads targets, because it can't see the load that others
     // cause. Peers that are not running refuse the connection at once.
@@ -166,8 +166,8 @@
 /// Returns whether the source's list of targets has more than one page.
 async fn has_long_target_list<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
-    match source.lock().await.begin().await {
-        Ok(beginning) => beginning == Beginning::Long,
+    match source.lock().await.read_first_page().await {
+        Ok(beginning) => beginning == FirstPage::Partial,
         Err(error) => {
             warn!("source_call_failed", kv: { error: = error });
             false
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -64,17 +64,17 @@
             }
         }
         Message::QuotaAsk(ask) => {
-            let message = match shared.quotas.asked(shared, &sender, &ask) {
+            let message = match shared.quotas.handle_ask(shared, &sender, &ask) {
                 QuotaReply::Counted(count) => Message::QuotaCounted(ask.number, count),
-                QuotaReply::Elsewhere => Message::QuotaElsewhere(ask.number),
+                QuotaReply::NotCounter => Message::QuotaElsewhere(ask.number),
             };
             client.send(from, message);
         }
         Message::QuotaCounted(number, count) => {
-            shared.quotas.replied(number, QuotaReply::Counted(count));
+            shared.quotas.deliver(number, QuotaReply::Counted(count));
         }
         Message::QuotaElsewhere(number) => {
-            shared.quotas.replied(number, QuotaReply::Elsewhere);
+            shared.quotas.deliver(number, QuotaReply::NotCounter);
         }
         Message::Room(report) => receive_spare_capacity(shared, &sender, &report),
         Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -117,11 +117,11 @@
             }
             Ok(changed.len())
         }
-        Err(SourceError::Forgotten) => {
+        Err(SourceError::HistoryLost) => {
             // The source is reachable but no longer knows the revision that was asked from; the
             // next call reads all documents in full.
             fleet.readers.succeeded(now);
-            Err(SourceError::Forgotten)
+            Err(SourceError::HistoryLost)
         }
         Err(error) => {
             let members = fleet.members.count_alive(now);
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -174,7 +174,7 @@
             return Err(self.not_sent(request.into_body()).into());
         };
         let sending = sender.try_send_request(request);
-        let sent = self.shared.gaps.until(&BootClock, deadline, sending).await;
+        let sent = self.shared.gaps.timeout_at(&BootClock, deadline, sending).await;
         let response = match sent {
             None => return Err(self.timed_out(&destination).into()),
             Some(Err(mut error)) => {
@@ -206,7 +206,7 @@
             return Ok(answer.streamed());
         }
         let buffering = answer.buffered(plan.answer_buffer_bytes);
-        let buffered = self.shared.gaps.until(&BootClock, deadline, buffering).await;
+        let buffered = self.shared.gaps.timeout_at(&BootClock, deadline, buffering).await;
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
         let failure = match buffered {
