--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -167,7 +167,7 @@
 async fn has_long_target_list<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
     shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     match source.lock().await.read_first_page().await {
-        Ok(beginning) => beginning == FirstPage::Partial,
+        Ok(first_page) => first_page == FirstPage::Partial,
         Err(error) => {
             warn!("source_call_failed", kv: { error: = error });
             false
