--- a/crates/thymeshift_dispatch/src/strategy/any.rs
+++ b/crates/thymeshift_dispatch/src/strategy/any.rs
@@ -1,4 +1,5 @@
-//! A strategy chosen by name in the configuration, without dynamic dispatch.
+//! Load-balancing strategy selected by name in the configuration, dispatched through an enum
+//! instead of a trait object.
 
 use rand::Rng;
 use thymeshift_config::StrategyName;
@@ -13,25 +14,25 @@
 use crate::strategy::Strategy;
 use crate::strategy::TwoChoices;
 
-/// One of the strategies of this crate.
+/// Any of the load-balancing strategies of this crate.
 #[derive(Debug, Clone)]
 pub enum AnyStrategy {
-    /// See [`Random`].
+    /// Uniformly random choice, see [`Random`].
     Random(Random),
-    /// See [`RoundRobin`].
+    /// Next target in index order, see [`RoundRobin`].
     RoundRobin(RoundRobin),
-    /// See [`LeastInFlight`].
+    /// Fewest requests in flight from this VM, see [`LeastInFlight`].
     LeastInFlight(LeastInFlight),
-    /// See [`TwoChoices`].
+    /// Power of two choices by requests in flight, see [`TwoChoices`].
     TwoChoices(TwoChoices),
-    /// See [`LatencyTwoChoices`].
+    /// Power of two choices by latency and requests in flight, see [`LatencyTwoChoices`].
     LatencyTwoChoices(LatencyTwoChoices),
-    /// See [`ExpectedTime`].
+    /// Smallest expected response time, see [`ExpectedTime`].
     ExpectedTime(ExpectedTime),
 }
 
 impl AnyStrategy {
-    /// The strategy called `name`.
+    /// Creates the strategy that the configuration calls `name`.
     pub fn new(name: StrategyName) -> Self {
         match name {
             StrategyName::Random => Self::Random(Random),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name that selects this strategy in the configuration.
     pub fn name(&self) -> StrategyName {
         match self {
             Self::Random(_) => StrategyName::Random,
--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -1,4 +1,4 @@
-//! The targets open to a request, as strategies see them.
+//! Candidate targets of a request, as seen by the load-balancing strategies.
 
 use rand::Rng;
 use thymeshift_types::Timestamp;
@@ -17,7 +17,7 @@
 use crate::target_state::Bound;
 use crate::target_state::Target;
 
-/// One open target.
+/// Target that may receive the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     pub(crate) index: TargetIndex,
@@ -25,23 +25,24 @@
 }
 
 impl Candidate<'_> {
-    /// Its index, to be returned as the choice.
+    /// Returns the target index that a strategy returns as its choice.
     pub fn index(&self) -> TargetIndex {
         self.index
     }
 
-    /// This VM's requests in flight there.
+    /// Returns the number of requests in flight at the target that this process counts.
     pub fn in_flight(&self) -> u32 {
         self.target.in_flight()
     }
 
-    /// Mean latency seen from this VM, in microseconds.
+    /// Returns the mean latency of the target observed by this VM, in microseconds.
     pub fn latency_us(&self) -> f64 {
         self.target.latency_us()
     }
 }
 
-/// The open targets at one moment. Nothing is copied; each pass filters anew.
+/// Candidate targets of one request at the time of the decision. Borrows the target table; every
+/// iteration filters the targets again instead of copying them.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidates<'a> {
     targets: &'a [Target],
@@ -82,26 +83,26 @@
         }
     }
 
-    /// Whether the counts hold the requests of all processes, so that the best target may
-    /// be taken without all others taking it too.
+    /// Returns whether the in-flight counts include the requests of all processes. Only then can a
+    /// strategy choose the best of all targets without every process choosing the same one.
     pub fn counts_whole_fleet(&self) -> bool {
         self.counts_whole_fleet
     }
 
-    /// Time in which an answer of a candidate is expected, in microseconds, the cost of the
-    /// way to its data hall included.
+    /// Returns the expected response time of a candidate in microseconds, including the cost of
+    /// reaching its data hall.
     pub fn expected_us(&self, candidate: &Candidate<'_>) -> f64 {
-        let way_us = self.halls.cost_us(self.origin, candidate.target.hall, self.answer_kib);
-        let place = (candidate.in_flight() as usize).min(self.costs.len() - 1);
-        candidate.target.expected_us(self.now, self.model) * self.costs[place] + way_us
+        let hall_cost_us = self.halls.cost_us(self.origin, candidate.target.hall, self.answer_kib);
+        let cost_index = (candidate.in_flight() as usize).min(self.costs.len() - 1);
+        candidate.target.expected_us(self.now, self.model) * self.costs[cost_index] + hall_cost_us
     }
 
-    /// The moment of the decision.
+    /// Returns the time of the decision.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The open targets in a fixed order.
+    /// Iterates over the candidates in index order.
     pub fn iter(&self) -> impl Iterator<Item = Candidate<'a>> + use<'a> {
         let Self { targets, model, now, tried, excluded, bound, share, .. } = *self;
         targets.iter().enumerate().filter_map(move |(index, target)| {
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Up to `N` different candidates drawn evenly; the count says how many.
+    /// Draws up to `N` distinct candidates uniformly at random; fewer if there are fewer than `N`.
     pub(crate) fn sample<const N: usize, R: Rng>(&self, rng: &mut R) -> Sample<'a, N> {
         let count = self.iter().count();
         let mut sample = Sample { drawn: [None; N] };
@@ -122,28 +123,29 @@
             }
             return sample;
         }
-        // Selection sampling: each candidate is taken with the chance that is left.
-        let mut wanted = N;
+        // Selection sampling: a candidate is drawn with probability (draws left) / (candidates
+        // left), which makes every sample of size `N` equally likely.
+        let mut draws_left = N;
         for (seen, candidate) in self.iter().enumerate() {
-            if wanted == 0 {
+            if draws_left == 0 {
                 break;
             }
-            if rng.random_range(0..count - seen) < wanted {
-                sample.drawn[N - wanted] = Some(candidate);
-                wanted -= 1;
+            if rng.random_range(0..count - seen) < draws_left {
+                sample.drawn[N - draws_left] = Some(candidate);
+                draws_left -= 1;
             }
         }
         sample
     }
 }
 
-/// Candidates drawn at random.
+/// Up to `N` distinct candidates drawn at random.
 pub(crate) struct Sample<'a, const N: usize> {
     drawn: [Option<Candidate<'a>>; N],
 }
 
 impl<'a, const N: usize> Sample<'a, N> {
-    /// The drawn candidate with the smallest cost; equal ones are decided at random.
+    /// Returns the drawn candidate with the smallest cost; ties are broken at random.
     pub(crate) fn min_by_cost<R: Rng>(
         &self,
         cost: impl Fn(&Candidate<'a>) -> f64,
@@ -153,27 +155,27 @@
     }
 }
 
-/// The candidate with the smallest cost; equal ones are decided at random.
+/// Returns the candidate with the smallest cost; ties are broken uniformly at random.
 pub(crate) fn min_by_cost<'a, R: Rng>(
     candidates: impl Iterator<Item = Candidate<'a>>,
     cost: impl Fn(&Candidate<'a>) -> f64,
     rng: &mut R,
 ) -> Option<TargetIndex> {
     let mut best: Option<(f64, TargetIndex)> = None;
-    let mut equals = 1_u32;
+    let mut tie_count = 1_u32;
     for candidate in candidates {
         let cost = cost(&candidate);
         let is_better = match best {
             None => true,
-            Some((least, _)) if cost < least => true,
-            Some((least, _)) if cost > least => false,
+            Some((best_cost, _)) if cost < best_cost => true,
+            Some((best_cost, _)) if cost > best_cost => false,
             Some(_) => {
-                equals += 1;
-                rng.random_range(0..equals) == 0
+                tie_count += 1;
+                rng.random_range(0..tie_count) == 0
             }
         };
-        if best.is_none_or(|(least, _)| cost < least) {
-            equals = 1;
+        if best.is_none_or(|(best_cost, _)| cost < best_cost) {
+            tie_count = 1;
         }
         if is_better {
             best = Some((cost, candidate.index));
--- a/crates/thymeshift_dispatch/src/strategy/expected_time.rs
+++ b/crates/thymeshift_dispatch/src/strategy/expected_time.rs
@@ -1,12 +1,13 @@
-//! The product's own strategy: the smallest expected time among a few random targets.
+//! Smallest expected response time among a few random candidates.
 //!
-//! The expected time joins the last report and its age, this VM's own requests in
-//! flight and how long they have been out, the latency seen, recent failures, the
-//! distance between data halls and the cold start of a new target (see
+//! The expected response time of a target combines its last load report and the age of that
+//! report, this VM's requests in flight there and how long they have been outstanding, the observed
+//! latency, recent failures, the distance between data halls and the cold start of a new target (see
 //! `target_state::Target::expected_us`).
 //!
-//! Only a few targets drawn at random are compared. All VMs hold similar, stale reports;
-//! if each took the best of all targets, they would all take the same one.
+//! A VM that counts only its own requests compares a few random candidates. All VMs hold similar,
+//! stale load reports, so choosing the best of all targets would send every VM to the same one.
+//! A process that allocates for the whole fleet compares all candidates.
 
 use rand::Rng;
 
@@ -16,10 +17,11 @@
 use crate::strategy::Strategy;
 use crate::strategy::candidates::min_by_cost;
 
-/// Targets compared for one request. `docs/DESIGN.md` gives the figures behind it.
-const COMPARED: usize = 4;
+/// Number of random candidates compared for one request. `docs/DESIGN.md` has the measurements
+/// behind this value.
+const SAMPLE_SIZE: usize = 4;
 
-/// Chooses the smallest expected time among a few.
+/// Chooses the candidate with the smallest expected response time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ExpectedTime;
 
@@ -29,7 +31,7 @@
         if candidates.counts_whole_fleet() {
             return min_by_cost(candidates.iter(), cost, rng);
         }
-        let sample = candidates.sample::<COMPARED, R>(rng);
+        let sample = candidates.sample::<SAMPLE_SIZE, R>(rng);
         sample.min_by_cost(cost, rng)
     }
 }
--- a/crates/thymeshift_dispatch/src/strategy/latency_two_choices.rs
+++ b/crates/thymeshift_dispatch/src/strategy/latency_two_choices.rs
@@ -1,5 +1,5 @@
-//! The better of two random targets by latency seen times requests in flight. A
-//! baseline: learns which targets are slow, without reports.
+//! Power of two choices by mean latency times requests in flight from this VM. A baseline for
+//! comparison: slow targets are detected from observed latency, without load reports.
 
 use rand::Rng;
 
@@ -7,7 +7,8 @@
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
 
-/// Chooses the better of two by mean latency and requests in flight.
+/// Chooses the one of two random candidates with the smaller product of mean latency and requests
+/// in flight plus one.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LatencyTwoChoices;
 
--- a/crates/thymeshift_dispatch/src/strategy/least_in_flight.rs
+++ b/crates/thymeshift_dispatch/src/strategy/least_in_flight.rs
@@ -1,5 +1,5 @@
-//! The target with the fewest requests in flight from this VM. A baseline: exact about
-//! itself, blind to the other VMs.
+//! Least requests in flight from this VM. A baseline for comparison: the count is exact for this
+//! VM's requests, but excludes those of the other VMs.
 
 use rand::Rng;
 
@@ -8,7 +8,7 @@
 use crate::strategy::Strategy;
 use crate::strategy::candidates::min_by_cost;
 
-/// Chooses the fewest own requests in flight.
+/// Chooses the candidate with the fewest requests in flight from this VM.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeastInFlight;
 
--- a/crates/thymeshift_dispatch/src/strategy/mod.rs
+++ b/crates/thymeshift_dispatch/src/strategy/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies that choose a target, one a file.
+//! Load-balancing strategies, one per file.
 
 mod any;
 mod candidates;
@@ -23,8 +23,8 @@
 
 use crate::TargetIndex;
 
-/// A way to choose one of the targets that are open to a request.
+/// Policy that chooses one of the candidate targets of a request.
 pub trait Strategy {
-    /// The choice, or none if no candidate is left.
+    /// Returns the chosen target, or `None` if there are no candidates.
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex>;
 }
--- a/crates/thymeshift_dispatch/src/strategy/random.rs
+++ b/crates/thymeshift_dispatch/src/strategy/random.rs
@@ -1,4 +1,5 @@
-//! Any open target, evenly. A baseline: it needs no knowledge and never herds.
+//! Uniformly random choice among the candidates. A baseline for comparison: the strategy needs no
+//! load information, and independent VMs do not converge on the same target.
 
 use rand::Rng;
 
@@ -6,7 +7,7 @@
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
 
-/// Chooses evenly at random.
+/// Chooses a candidate uniformly at random.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Random;
 
--- a/crates/thymeshift_dispatch/src/strategy/round_robin.rs
+++ b/crates/thymeshift_dispatch/src/strategy/round_robin.rs
@@ -1,4 +1,5 @@
-//! One target after the other. A baseline: even in the long run, blind to load.
+//! Round robin over the candidates. A baseline for comparison: the long-run distribution is even,
+//! but the load of the targets is ignored.
 
 use rand::Rng;
 
@@ -6,7 +7,7 @@
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
 
-/// Chooses the next open target behind the last one chosen.
+/// Chooses the candidate that follows the previously chosen target in index order.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoundRobin {
     last: Option<TargetIndex>,
@@ -15,11 +16,12 @@
 impl Strategy for RoundRobin {
     fn choose<R: Rng>(&mut self, candidates: &Candidates<'_>, rng: &mut R) -> Option<TargetIndex> {
         let chosen = match self.last {
-            // Each VM starts elsewhere, so that a fleet that starts together spreads.
+            // Each VM starts at a random candidate, so that VMs started together do not all send
+            // their first requests to the same target.
             None => candidates.sample::<1, R>(rng).min_by_cost(|_| 0.0, rng),
             Some(last) => {
-                let behind = candidates.iter().find(|candidate| candidate.index() > last);
-                let next = behind.or_else(|| candidates.iter().next());
+                let following = candidates.iter().find(|candidate| candidate.index() > last);
+                let next = following.or_else(|| candidates.iter().next());
                 next.map(|candidate| candidate.index())
             }
         }?;
--- a/crates/thymeshift_dispatch/src/strategy/two_choices.rs
+++ b/crates/thymeshift_dispatch/src/strategy/two_choices.rs
@@ -1,5 +1,6 @@
-//! The better of two random targets by own requests in flight. A baseline: nearly as
-//! even as looking at all of them, and does not herd.
+//! Power of two choices: the one of two random candidates with fewer requests in flight from this
+//! VM. A baseline for comparison: load is spread nearly as evenly as by comparing all candidates,
+//! and independent VMs do not converge on the same target.
 
 use rand::Rng;
 
@@ -7,7 +8,7 @@
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
 
-/// Chooses the better of two by requests in flight.
+/// Chooses the one of two random candidates with fewer requests in flight from this VM.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TwoChoices;
 
