--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! Configurations, requests and random numbers for the tests of decisions.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Shared fixtures of the dispatch tests: configurations, requests, load reports and a seeded
+//! random number generator.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -25,7 +26,7 @@
 
 pub(crate) type TestDispatcher = Dispatcher<AnyStrategy>;
 
-/// A moment well after the start of the clock.
+/// Time zero of the tests, well after the start of the clock, so that times before it are valid.
 pub(crate) const START: Timestamp = Timestamp::from_millis(1_000_000);
 
 pub(crate) fn ms(millis: u64) -> Duration {
@@ -40,8 +41,9 @@
     SmallRng::seed_from_u64(5)
 }
 
-/// One service with targets `t0`, `t1`, … of one slot; `service` holds further lines of
-/// it, `local_targets` of the targets stand in this VM's data hall.
+/// Configuration of one service with targets `t0`, `t1`, … of one slot each. The first
+/// `local_targets` targets are in the VM's data hall `a`, the others in `b`; `service` holds further
+/// YAML lines of the service.
 pub(crate) fn configuration(targets: usize, local_targets: usize, service: &str) -> Configuration {
     let mut text = format!(
         "entry_vms_max: 4\ndata_halls: [a, b]\ndata_hall_one_way_us: 1500\nkinds: []\nservices:\n  \
@@ -54,7 +56,7 @@
             text,
             "      - {{ name: t{index}, address: '127.0.0.1:{port}', data_hall: {hall} }}"
         )
-        .expect("a string takes it");
+        .expect("writing to a string cannot fail");
     }
     if targets == 0 {
         text = text.replace("targets:\n", "targets: []\n");
@@ -74,7 +76,7 @@
     Dispatcher::configured(configuration, &configuration.services[0], &local_hall(), START)
 }
 
-/// A request that waits up to its deadline.
+/// Request that may wait in the queue until its deadline.
 pub(crate) fn request(priority: u8, deadline: Timestamp) -> Request {
     Request {
         priority,
@@ -101,12 +103,12 @@
     }
 }
 
-/// A report of an idle target that is cold for so much longer.
+/// Load report of an idle target that stays cold for another `left_ms` milliseconds.
 pub(crate) fn cold_report(left_ms: u32) -> LoadReport {
     LoadReport { cold_for_ms: Some(left_ms), ..report(0, 0) }
 }
 
-/// The grant of a request that must be sent at once.
+/// Requests a target and returns the grant; panics unless the request is granted at once.
 pub(crate) fn expect_grant(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     request: Request,
@@ -115,6 +117,6 @@
 ) -> Grant {
     match dispatcher.request(request, now, rng) {
         Decision::Send(grant) => grant,
-        other => panic!("not sent: {other:?}"),
+        other => panic!("not granted at once: {other:?}"),
     }
 }
