--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets that must hold whatever the VMs believe: measuring, connections, retries.
+//! Budgets of measuring, connections and retries. They must hold for any view that the VMs have of
+//! each other.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 mod support;
@@ -22,15 +23,15 @@
 const COST_US: u64 = 6_000;
 const VMS_MAX: u64 = 5;
 
-/// What happens to one seat of the fleet within a step of time.
+/// What happens to one VM of the fleet within a time step of 50 ms.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Runs,
-    /// Its process is replaced by a fresh one.
+    /// The VM's process is replaced by a fresh one with a new measuring share.
     Replaced,
-    /// It is paused for some steps.
+    /// The VM is paused for this many time steps.
     Paused(u8),
-    /// Its next probe takes this many milliseconds.
+    /// The probes of the VM in this time step take this many milliseconds.
     Slow(u8),
 }
 
@@ -45,46 +46,47 @@
     }
 }
 
-struct Seat {
+struct Vm {
     share: MeasuringShare,
     paused_steps: u8,
     phase: f64,
 }
 
-fn fresh(now: Timestamp, phase: f64) -> MeasuringShare {
+fn new_share(now: Timestamp, phase: f64) -> MeasuringShare {
     MeasuringShare::new(BUDGET_US_PER_S, COST_US, VMS_MAX, now, phase)
 }
 
-/// Target time that all seats spend over the whole run, in microseconds.
+/// Plays the events and returns the target time that the probes of all VMs take, in microseconds,
+/// and the length of the run.
 fn spent_us(events: &[Event]) -> (u64, Duration) {
     let step = ms(50);
-    let mut seats: Vec<Seat> = (0..VMS_MAX)
-        .map(|seat| {
-            let phase = seat as f64 / VMS_MAX as f64;
-            Seat { share: fresh(START, phase), paused_steps: 0, phase }
+    let mut vms: Vec<Vm> = (0..VMS_MAX)
+        .map(|vm| {
+            let phase = vm as f64 / VMS_MAX as f64;
+            Vm { share: new_share(START, phase), paused_steps: 0, phase }
         })
         .collect();
     let mut now = START;
     let mut spent = 0;
     for (index, event) in events.iter().enumerate() {
         now = now + step;
-        let chosen = index % seats.len();
+        let chosen = index % vms.len();
         let mut slow_us = 0;
         match event {
             Event::Runs => {}
-            Event::Replaced => seats[chosen].share = fresh(now, seats[chosen].phase),
-            Event::Paused(steps) => seats[chosen].paused_steps = *steps,
+            Event::Replaced => vms[chosen].share = new_share(now, vms[chosen].phase),
+            Event::Paused(steps) => vms[chosen].paused_steps = *steps,
             Event::Slow(millis) => slow_us = u64::from(*millis) * 1_000,
         }
-        for (index, seat) in seats.iter_mut().enumerate() {
-            if seat.paused_steps > 0 {
-                seat.paused_steps -= 1;
+        for (index, vm) in vms.iter_mut().enumerate() {
+            if vm.paused_steps > 0 {
+                vm.paused_steps -= 1;
                 continue;
             }
-            while seat.share.try_begin(now) {
+            while vm.share.try_begin(now) {
                 let taken_us = if index == chosen { slow_us.max(COST_US) } else { COST_US };
                 spent += taken_us;
-                seat.share.settle(Duration::from_micros(taken_us));
+                vm.share.settle(Duration::from_micros(taken_us));
             }
         }
     }
@@ -92,13 +94,14 @@
 }
 
 #[test]
-fn measuring_stays_within_the_budget_in_every_mixture_of_views() {
+fn measuring_stays_within_the_budget_for_every_sequence_of_events() {
     fn holds(events: Vec<Event>) -> TestResult {
         let (spent, elapsed) = spent_us(&events);
         let budget = BUDGET_US_PER_S as f64 * elapsed.as_secs_f64();
-        // A slow probe is paid for afterwards: at most the last one of each seat is open.
-        let open = 64_000.0 * VMS_MAX as f64;
-        TestResult::from_bool(spent as f64 <= budget + open)
+        // Target time beyond the declared cost of a probe is charged after the probe. At the end of
+        // the run, at most the last probe of each VM, of less than 64 ms, is not yet charged.
+        let not_charged = 64_000.0 * VMS_MAX as f64;
+        TestResult::from_bool(spent as f64 <= budget + not_charged)
     }
     QuickCheck::new()
         .tests(300)
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn a_share_is_used_and_a_budget_of_nothing_forbids_probes() {
+fn measuring_shares_are_used_and_a_zero_budget_forbids_probes() {
     let events = [Event::Runs; 2_000];
     let (spent, elapsed) = spent_us(&events);
     let budget = BUDGET_US_PER_S as f64 * elapsed.as_secs_f64();
@@ -135,7 +138,7 @@
 
 #[test]
 fn nothing_is_saved_up_during_a_pause() {
-    let mut share = fresh(START, 0.0);
+    let mut share = new_share(START, 0.0);
     let late = START + Duration::from_hours(1);
     assert!(share.try_begin(late));
     assert!(!share.try_begin(late), "one probe, not an hour's worth");
@@ -150,13 +153,17 @@
 }
 
 #[test]
-fn retries_follow_requests() {
+fn requests_earn_retries() {
     let mut budget = RetryBudget::new(10);
-    assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 2, "what a fresh process has");
+    assert_eq!(
+        (0..20).filter(|_| budget.try_spend()).count(),
+        2,
+        "initial reserve of a fresh process"
+    );
     for _ in 0..30 {
         budget.requested();
     }
-    assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 3, "a tenth");
+    assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 3, "one retry per ten requests");
     for _ in 0..10_000 {
         budget.requested();
     }
@@ -167,7 +174,7 @@
 }
 
 #[test]
-fn a_budget_that_is_set_later_starts_like_a_new_one() {
+fn a_retry_budget_that_is_set_later_starts_like_a_new_one() {
     let mut budget = RetryBudget::new(0);
     budget.set_percent(10);
     assert!(budget.try_spend());
@@ -177,7 +184,7 @@
 }
 
 #[test]
-fn a_pause_is_a_gap_in_the_own_time() {
+fn a_pause_is_a_gap_between_two_observations() {
     let mut pause = PauseDetector::new(START, ms(500));
     assert_eq!(pause.observe(START + ms(500)), None);
     assert_eq!(pause.observe(START + ms(1_100)), Some(ms(600)));
@@ -185,27 +192,39 @@
 }
 
 #[test]
-fn a_target_that_answers_no_probe_is_asked_ever_less_often() {
+fn a_target_that_answers_no_probe_is_probed_less_and_less_often() {
     const INTERVAL: Duration = Duration::from_millis(55);
-    const LOOK_MS: u64 = 15;
+    const CHECK_INTERVAL_MS: u64 = 15;
     struct Case {
         note: &'static str,
         is_answered: bool,
         taken_ms: u64,
-        least: usize,
-        most: usize,
+        probes_min: usize,
+        probes_max: usize,
     }
     let cases = [
-        Case { note: "answers at once", is_answered: true, taken_ms: 0, least: 150, most: 182 },
-        Case { note: "is slow", is_answered: true, taken_ms: 200, least: 40, most: 50 },
-        Case { note: "resets at once", is_answered: false, taken_ms: 0, least: 8, most: 12 },
-        Case { note: "is silent", is_answered: false, taken_ms: 60, least: 8, most: 12 },
+        Case {
+            note: "answers at once",
+            is_answered: true,
+            taken_ms: 0,
+            probes_min: 150,
+            probes_max: 182,
+        },
+        Case { note: "is slow", is_answered: true, taken_ms: 200, probes_min: 40, probes_max: 50 },
+        Case {
+            note: "resets at once",
+            is_answered: false,
+            taken_ms: 0,
+            probes_min: 8,
+            probes_max: 12,
+        },
+        Case { note: "is silent", is_answered: false, taken_ms: 60, probes_min: 8, probes_max: 12 },
     ];
-    for Case { note, is_answered, taken_ms, least, most } in cases {
+    for Case { note, is_answered, taken_ms, probes_min, probes_max } in cases {
         let mut pacing = ProbePacing::default();
         let mut begun = 0;
         let mut ends_ms = None;
-        for now_ms in (0..10_000).step_by(LOOK_MS as usize) {
+        for now_ms in (0..10_000).step_by(CHECK_INTERVAL_MS as usize) {
             if ends_ms.is_some_and(|ends_ms| now_ms >= ends_ms) {
                 pacing.ended(is_answered);
                 ends_ms = None;
@@ -216,20 +235,21 @@
                 ends_ms = Some(now_ms + taken_ms);
             }
         }
-        assert!((least..=most).contains(&begun), "{note}: {begun} probes in 10 s");
+        assert!((probes_min..=probes_max).contains(&begun), "{note}: {begun} probes in 10 s");
     }
 }
 
-/// Probes that are made just before grants come in bursts; the rate holds all the same.
+/// Probes made just before grants come in bursts. Over a longer time, the probe rate must still stay
+/// at one probe per interval.
 #[test]
-fn early_probes_are_few_at_a_time_and_paid_for_by_later_ones() {
-    fn holds(wants: Vec<u8>) -> bool {
+fn early_probes_are_few_at_a_time_and_delay_later_ones() {
+    fn holds(actions: Vec<u8>) -> bool {
         let interval = ms(48);
         let mut pacing = ProbePacing::default();
         let mut begun = Vec::new();
-        for (step, want) in wants.iter().cycle().take(4_000).enumerate() {
+        for (step, action) in actions.iter().cycle().take(4_000).enumerate() {
             let now = START + ms(step as u64);
-            let may_begin = match want % 3 {
+            let may_begin = match action % 3 {
                 0 => pacing.try_begin(interval, now),
                 1 => pacing.try_begin_early(interval, now),
                 _ => false,
@@ -239,7 +259,7 @@
                 begun.push(step);
             }
         }
-        // One every 48 ms, and eight more within any time however short.
+        // In any time window: one probe per 48 ms and at most eight more.
         begun.iter().enumerate().all(|(first, from)| {
             begun
                 .iter()
