--- a/crates/thymeshift_dispatch/tests/cold_targets.rs
+++ b/crates/thymeshift_dispatch/tests/cold_targets.rs
@@ -1,4 +1,5 @@
-//! Cold targets get no more than they bear, whoever decides.
+//! Cold targets get no more requests per second than the configured bound, whether allocators or
+//! standalone processes choose them.
 
 mod support;
 
@@ -20,7 +21,8 @@
 use thymeshift_dispatch::Usability;
 use thymeshift_dispatch::View;
 
-/// What a cold target bears: 2.5 requests a second; 1.5 times that and 8 more are allowed.
+/// Most requests that a cold target may get within a second: the stated rate of 2.5 requests per
+/// second times the overshoot ratio of 1.5, plus the slack of 8 requests.
 const BOUND_PER_S: usize = 11;
 const VMS: u64 = 95;
 
@@ -47,53 +49,53 @@
     dispatcher
 }
 
-/// Sends whatever it is allowed to at each of `moments`, in milliseconds; requests end at once,
-/// as those that fail fast do. Returns when it sent.
-fn send(dispatcher: &mut TestDispatcher, moments: &[u64]) -> Vec<u64> {
+/// Issues a request at each of `times_ms` and returns the times at which a request was granted.
+/// Granted requests end at once, as those of a target that fails fast.
+fn send(dispatcher: &mut TestDispatcher, times_ms: &[u64]) -> Vec<u64> {
     let mut rng = rng();
     let mut sent = Vec::new();
-    for moment in moments {
-        let now = at(*moment);
+    for time_ms in times_ms {
+        let now = at(*time_ms);
         let at_once = Request { queue_max: 0, ..request(1, now + support::ms(500)) };
         if let Decision::Send(grant) = dispatcher.request(at_once, now, &mut rng) {
             dispatcher.release(grant, now);
-            sent.push(*moment);
+            sent.push(*time_ms);
         }
     }
     sent
 }
 
-/// Most of the moments that lie within any second.
-fn most_in_a_second(mut moments: Vec<u64>) -> usize {
-    moments.sort_unstable();
+/// Returns the largest number of the times that lie within one second.
+fn max_in_one_second(mut times_ms: Vec<u64>) -> usize {
+    times_ms.sort_unstable();
     let within = |first: u64| {
         let second = first..first + 1_000;
-        moments.iter().filter(|moment| second.contains(*moment)).count()
+        times_ms.iter().filter(|time_ms| second.contains(*time_ms)).count()
     };
-    moments.iter().map(|first| within(*first)).max().unwrap_or(0)
+    times_ms.iter().map(|first| within(*first)).max().unwrap_or(0)
 }
 
 #[test]
-fn two_allocators_and_a_fleet_that_decides_alone_stay_below_the_bound_together() {
+fn two_allocators_and_a_fleet_of_standalone_processes_stay_below_the_bound() {
     fn holds(mut gaps: Vec<u8>) -> bool {
         gaps.resize(400, 9);
-        let mut moment = 0;
-        let moments: Vec<u64> = gaps
+        let mut time_ms = 0;
+        let times_ms: Vec<u64> = gaps
             .iter()
             .map(|gap| {
-                moment += u64::from(*gap % 16);
-                moment
+                time_ms += u64::from(*gap % 16);
+                time_ms
             })
-            .filter(|moment| *moment < 3_000)
+            .filter(|time_ms| *time_ms < 3_000)
             .collect();
         let mut sent = Vec::new();
         for _ in 0..2 {
-            sent.extend(send(&mut cold(View::Fleet), &moments));
+            sent.extend(send(&mut cold(View::Fleet), &times_ms));
         }
         for _ in 0..VMS {
-            sent.extend(send(&mut cold(View::Fallback), &moments));
+            sent.extend(send(&mut cold(View::Fallback), &times_ms));
         }
-        most_in_a_second(sent) <= BOUND_PER_S
+        max_in_one_second(sent) <= BOUND_PER_S
     }
     QuickCheck::new()
         .tests(20)
@@ -102,24 +104,28 @@
 }
 
 #[test]
-fn an_allocator_gives_a_cold_target_the_rate_that_it_bears_and_all_once_it_is_warm() {
-    let moments: Vec<u64> = (0..400).map(|step| step * 10).collect();
-    let sent = send(&mut cold(View::Fleet), &moments);
+fn an_allocator_grants_a_cold_target_the_stated_rate_and_a_warm_one_everything() {
+    let times_ms: Vec<u64> = (0..400).map(|step| step * 10).collect();
+    let sent = send(&mut cold(View::Fleet), &times_ms);
     let in_time = |from: u64, to: u64| sent.iter().filter(|at| (from..to).contains(*at)).count();
-    assert_eq!(in_time(0, 2_800), 7, "2.5 a second: {sent:?}");
+    assert_eq!(in_time(0, 2_800), 7, "2.5 requests per second: {sent:?}");
     assert_eq!(in_time(3_000, 4_000), 100, "warm: {sent:?}");
 }
 
 #[test]
-fn a_target_may_become_cold_at_any_moment_and_again() {
+fn a_target_may_become_cold_at_any_time_and_repeatedly() {
     let mut dispatcher = cold(View::Fleet);
     let _ = dispatcher.learn_probe(&target_name(0), cold_report(0), at(10));
-    let busy: Vec<u64> = (11..111).collect();
-    assert_eq!(send(&mut dispatcher, &busy).len(), 100, "it told that it is warm");
+    let warm_times_ms: Vec<u64> = (11..111).collect();
+    assert_eq!(
+        send(&mut dispatcher, &warm_times_ms).len(),
+        100,
+        "the target reported that it is warm"
+    );
     let _ = dispatcher.learn_probe(&target_name(0), cold_report(3_000), at(120));
-    let after: Vec<u64> = (120..620).collect();
-    let sent = send(&mut dispatcher, &after);
-    assert_eq!(sent.len(), 1, "one in 400 ms, counted from the last one before: {sent:?}");
+    let cold_times_ms: Vec<u64> = (120..620).collect();
+    let sent = send(&mut dispatcher, &cold_times_ms);
+    assert_eq!(sent.len(), 1, "one per 400 ms, counted from the last request before: {sent:?}");
     assert_eq!(dispatcher.dump(at(621)).targets[0].usability, Usability::Cold);
 }
 
@@ -133,7 +139,7 @@
     }
     let cases = [
         Case {
-            note: "not told: the ramp",
+            note: "not listed: the configured ramp",
             listed_ms: None,
             is_cold_at_1_s: true,
             is_cold_at_4_s: false,
@@ -155,11 +161,11 @@
         let mut dispatcher = dispatcher(&before);
         dispatcher.set_view(View::Fleet);
         dispatcher.update(&after, &after.services[0], &local_hall(), at(0));
-        // The same list comes again with each change of another target.
+        // The same list is applied again whenever another target changes.
         dispatcher.update(&after, &after.services[0], &local_hall(), at(900));
         let is_cold = |dispatcher: &mut TestDispatcher, from: u64| {
-            let moments: Vec<u64> = (from..from + 100).collect();
-            send(dispatcher, &moments).len() < 100
+            let times_ms: Vec<u64> = (from..from + 100).collect();
+            send(dispatcher, &times_ms).len() < 100
         };
         assert_eq!(is_cold(&mut dispatcher, 1_000), is_cold_at_1_s, "{note}, after 1 s");
         assert_eq!(is_cold(&mut dispatcher, 4_000), is_cold_at_4_s, "{note}, after 4 s");
