--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -1,4 +1,5 @@
-//! Targets of a drained data hall get nothing new, whoever chose them and when.
+//! Targets of a drained data hall get no new requests, including requests granted before the drain
+//! or by another process.
 
 mod support;
 
@@ -17,8 +18,8 @@
 use thymeshift_types::DataHallName;
 use thymeshift_types::Reason;
 
-/// Two targets in hall `a` and two in hall `b`, with some halls drained.
-fn halls(drained: &[&str]) -> Configuration {
+/// Configuration with two targets in hall `a`, two in hall `b`, and the halls of `drained` drained.
+fn with_drained_halls(drained: &[&str]) -> Configuration {
     let drained: Vec<DataHallName> =
         drained.iter().map(|name| DataHallName::new(name).expect("a name")).collect();
     configuration(4, 2, "    cold_start_ramp_ms: 3000\n").with_drained(&drained)
@@ -27,7 +28,7 @@
 #[test]
 fn no_view_chooses_a_target_of_a_drained_hall() {
     for view in [View::Own, View::Fleet, View::Fallback] {
-        let mut dispatcher = dispatcher(&halls(&["a"]));
+        let mut dispatcher = dispatcher(&with_drained_halls(&["a"]));
         dispatcher.set_view(view);
         let mut rng = rng();
         for step in 0..100 {
@@ -38,7 +39,7 @@
         }
         assert!(
             dispatcher.grant_at(&target_name(0), None, at(200)).is_none(),
-            "{view}: another's choice"
+            "{view}: chosen by another process"
         );
         assert!(dispatcher.grant_at(&target_name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
@@ -47,9 +48,9 @@
 }
 
 #[test]
-fn what_was_granted_before_is_not_sent_after() {
-    let open = halls(&[]);
-    let drained = halls(&["a", "b"]);
+fn a_grant_made_before_a_drain_is_not_sent_after() {
+    let open = with_drained_halls(&[]);
+    let drained = with_drained_halls(&["a", "b"]);
     let mut dispatcher = dispatcher(&open);
     let mut rng = rng();
     let grant = expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
@@ -57,7 +58,7 @@
     dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     assert!(!dispatcher.may_send(&grant, at(1_000), at(3)));
     dispatcher.release(grant, at(3));
-    // Nobody is left to serve: known at once, not at the deadline.
+    // No target is left: the request is refused at once instead of at its deadline.
     let decision = dispatcher.request(request(1, at(1_000)), at(4), &mut rng);
     assert!(
         matches!(&decision, Decision::Refuse(refusal) if refusal.reason == Reason::NoTarget),
@@ -69,16 +70,16 @@
 
 #[test]
 fn waiting_requests_are_refused_once_all_halls_are_drained() {
-    let open = halls(&[]);
-    let drained = halls(&["a", "b"]);
+    let open = with_drained_halls(&[]);
+    let drained = with_drained_halls(&["a", "b"]);
     let mut dispatcher = dispatcher(&open);
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
     let held: Vec<_> = (0..4)
         .map(|_| expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng))
         .collect();
-    let waits = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
-    assert!(matches!(waits, Decision::Wait(_)), "{waits:?}");
+    let decision = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
+    assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
     dispatcher.update(&drained, &drained.services[0], &local_hall(), at(2));
     let woken = dispatcher.next_wake(at(3), &mut rng);
     assert!(
@@ -91,9 +92,9 @@
 }
 
 #[test]
-fn targets_of_a_hall_that_is_taken_back_count_as_cold_until_they_tell() {
-    let open = halls(&[]);
-    let drained = halls(&["a"]);
+fn targets_of_a_hall_that_is_undrained_count_as_cold_until_they_report() {
+    let open = with_drained_halls(&[]);
+    let drained = with_drained_halls(&["a"]);
     let mut dispatcher = dispatcher(&open);
     dispatcher.set_view(View::Fleet);
     dispatcher.update(&drained, &drained.services[0], &local_hall(), at(0));
@@ -104,5 +105,8 @@
     assert!(expected(&dispatcher, 0, 5_001) > 3 * expected(&dispatcher, 2, 5_001), "cold");
     assert!(expected(&dispatcher, 0, 8_001) <= expected(&dispatcher, 2, 8_001), "ramp over");
     let _ = dispatcher.learn_probe(&target_name(1), support::cold_report(0), at(5_002));
-    assert!(expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003), "tells it is warm");
+    assert!(
+        expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003),
+        "reported that it is warm"
+    );
 }
