--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -1,4 +1,5 @@
-//! Decisions over the requests of the whole fleet: how many at a target, pace, data halls.
+//! Decisions of an allocator that counts the requests of the whole fleet: concurrency per target,
+//! reported pace and data halls.
 
 mod support;
 
@@ -28,15 +29,15 @@
 use thymeshift_types::Incarnation;
 use thymeshift_types::Timestamp;
 
-fn fleet_dispatcher(targets: usize, near: usize) -> Dispatcher<AnyStrategy> {
-    let mut configuration = configuration(targets, near, "");
+fn fleet_dispatcher(targets: usize, local_targets: usize) -> Dispatcher<AnyStrategy> {
+    let mut configuration = configuration(targets, local_targets, "");
     configuration.services[0].slots_per_target = 3;
     let mut dispatcher = dispatcher(&configuration);
     dispatcher.set_view(View::Fleet);
     dispatcher
 }
 
-/// Fills one target with `count` requests, lets all take `taken` and answer.
+/// Sends `count` requests to the only target; all of them are answered after `taken`.
 fn round(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     count: u32,
@@ -56,10 +57,10 @@
 }
 
 #[test]
-fn the_number_of_requests_at_a_target_follows_what_more_of_them_bring() {
+fn the_concurrency_of_a_target_follows_the_throughput_that_one_more_request_adds() {
     struct Case {
         note: &'static str,
-        /// Time of an answer by the number of requests at the target.
+        /// Response time by the number of requests at the target, starting with one request.
         taken_ms: [u64; 3],
         expected: u32,
     }
@@ -85,12 +86,16 @@
         }
         assert_eq!(dispatcher.concurrency(now), expected, "{note}");
         let later = now + ms(60_000);
-        assert_eq!(dispatcher.concurrency(later), 3, "{note}: found out anew after a while");
+        assert_eq!(
+            dispatcher.concurrency(later),
+            3,
+            "{note}: back to the assumed concurrency once the measurements expire"
+        );
     }
 }
 
 #[test]
-fn the_number_assumed_leaves_out_the_last_third_of_the_slots_but_of_few() {
+fn the_concurrency_assumed_leaves_out_the_last_third_of_four_or_more_slots() {
     struct Case {
         slots: u64,
         expected: u32,
@@ -113,8 +118,9 @@
     }
 }
 
-/// Keeps all targets full for `millis`; an answer takes `taken_ms` by the number of requests
-/// at its target when it was sent. Returns the most requests seen at each target.
+/// Keeps all targets full for `millis` milliseconds. The response time of a request is the entry of
+/// `taken_ms` for the number of requests at its target when the request is sent. Returns the largest
+/// number of requests at each target.
 fn keep_full(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     targets: usize,
@@ -123,7 +129,7 @@
     rng: &mut SmallRng,
 ) -> Vec<usize> {
     let mut running: Vec<(Timestamp, usize, Grant)> = Vec::new();
-    let mut most = vec![0; targets];
+    let mut max_in_flight = vec![0; targets];
     for now in (0..millis).map(at) {
         for (_, target, grant) in running.extract_if(.., |(end, ..)| *end <= now) {
             let others = dispatcher.in_flight(grant.target()) - 1;
@@ -132,40 +138,50 @@
             dispatcher.release(grant, now);
             assert!(target < targets);
         }
-        // Which target is the best one does not matter here.
+        // The choice among the targets does not matter here, only that every target is full.
         while let Decision::Send(grant) = dispatcher.request(at_once(now), now, rng) {
             let target = (0..targets)
                 .find(|index| dispatcher.target_name(&grant) == target_name(*index))
                 .expect("a target");
-            let number = dispatcher.in_flight(grant.target()) as usize;
-            most[target] = most[target].max(number);
-            running.push((now + ms(taken_ms[number - 1]), target, grant));
+            let in_flight = dispatcher.in_flight(grant.target()) as usize;
+            max_in_flight[target] = max_in_flight[target].max(in_flight);
+            running.push((now + ms(taken_ms[in_flight - 1]), target, grant));
         }
     }
     for (_, _, grant) in running {
         dispatcher.release(grant, at(millis));
     }
-    most
+    max_in_flight
 }
 
-/// A request that does not wait.
+/// Request that is refused instead of queued if no target has capacity.
 fn at_once(now: Timestamp) -> Request {
     Request { queue_max: 0, ..request(1, now + ms(10_000)) }
 }
 
 #[test]
-fn few_targets_explore_other_numbers_while_all_are_full() {
+fn few_targets_explore_another_concurrency_while_all_are_full() {
     struct Case {
         note: &'static str,
         slots: u64,
-        /// Time of an answer by the number of requests at the target.
+        /// Response time by the number of requests at the target, starting with one request.
         taken_ms: &'static [u64],
         expected: u32,
     }
     let cases = [
         Case { note: "the last slot helps", slots: 3, taken_ms: &[50, 50, 50], expected: 3 },
-        Case { note: "it does not", slots: 3, taken_ms: &[50, 50, 85], expected: 2 },
-        Case { note: "even the second does not", slots: 3, taken_ms: &[50, 95, 140], expected: 1 },
+        Case {
+            note: "the last slot does not help",
+            slots: 3,
+            taken_ms: &[50, 50, 85],
+            expected: 2,
+        },
+        Case {
+            note: "the second slot does not help",
+            slots: 3,
+            taken_ms: &[50, 95, 140],
+            expected: 1,
+        },
         Case {
             note: "six slots, slower from the fifth on",
             slots: 6,
@@ -180,7 +196,12 @@
         },
         Case { note: "two slots", slots: 2, taken_ms: &[50, 50], expected: 2 },
         Case { note: "one slot", slots: 1, taken_ms: &[50], expected: 1 },
-        Case { note: "twelve slots, all good", slots: 12, taken_ms: &[50; 12], expected: 12 },
+        Case {
+            note: "twelve slots, all of them help",
+            slots: 12,
+            taken_ms: &[50; 12],
+            expected: 12,
+        },
     ];
     for Case { note, slots, taken_ms, expected } in cases {
         let mut configuration = configuration(16, 16, "");
@@ -189,24 +210,25 @@
         let mut dispatcher = dispatcher(&configuration);
         dispatcher.set_view(View::Fleet);
         let mut rng = rng();
-        let begun = dispatcher.concurrency(at(0));
-        let most = keep_full(&mut dispatcher, 16, taken_ms, 200, &mut rng);
-        let exploring = most.iter().filter(|most| **most > begun as usize).count();
-        assert!(exploring <= 2, "{note}: {most:?} began with {begun}");
+        let assumed = dispatcher.concurrency(at(0));
+        let max_in_flight = keep_full(&mut dispatcher, 16, taken_ms, 200, &mut rng);
+        let exploring = max_in_flight.iter().filter(|max| **max > assumed as usize).count();
+        assert!(exploring <= 2, "{note}: {max_in_flight:?}, assumed {assumed}");
         keep_full(&mut dispatcher, 16, taken_ms, 12_000, &mut rng);
         assert_eq!(dispatcher.concurrency(at(12_000)), expected, "{note}");
     }
 }
 
 #[test]
-fn answers_of_a_target_that_runs_requests_of_others_teach_nothing_about_its_number() {
+fn answers_of_a_target_with_uncounted_requests_do_not_change_the_concurrency() {
     let mut dispatcher = fleet_dispatcher(1, 1);
     let mut rng = rng();
     for round in 0..200 {
         let now = at(round * 1_000);
         let _ = dispatcher.tick(now);
-        // Two at a time take nearly twice as long as one, but only because the target then has
-        // two more than are counted here: their times say nothing about two.
+        // Two concurrent requests take nearly twice as long as one, but only because the target
+        // also runs two requests that are not counted here. The response times therefore must not
+        // be recorded as those of two requests.
         let (count, foreign, taken) = if round % 2 == 0 { (1, 0, 50) } else { (2, 2, 95) };
         let grants: Vec<_> = (0..count)
             .map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng))
@@ -218,15 +240,15 @@
             dispatcher.release(grant, now + ms(taken));
         }
     }
-    assert_eq!(dispatcher.concurrency(at(200_000)), 3, "as assumed");
+    assert_eq!(dispatcher.concurrency(at(200_000)), 3, "assumed concurrency kept");
 }
 
 #[test]
-fn a_number_told_by_an_allocator_holds_until_more_is_known() {
-    for told in [1, 2, 3] {
+fn a_concurrency_adopted_from_an_allocator_holds_until_more_is_measured() {
+    for adopted in [1, 2, 3] {
         let mut dispatcher = fleet_dispatcher(4, 4);
-        dispatcher.adopt_concurrency(told);
-        assert_eq!(dispatcher.concurrency(at(0)), told);
+        dispatcher.adopt_concurrency(adopted);
+        assert_eq!(dispatcher.concurrency(at(0)), adopted);
         let mut rng = rng();
         let mut in_flight = Vec::new();
         while let Decision::Send(grant) = dispatcher.request(at_once(at(0)), at(0), &mut rng) {
@@ -234,15 +256,15 @@
         }
         for index in 0..4 {
             let count = in_flight.iter().filter(|target| **target == target_name(index)).count();
-            // The first one explores, up to its slots.
-            let expected = if index == 0 { (told + 1).min(3) } else { told };
-            assert_eq!(count, expected as usize, "target {index}, told {told}");
+            // The first target explores one more request, up to its slots.
+            let expected = if index == 0 { (adopted + 1).min(3) } else { adopted };
+            assert_eq!(count, expected as usize, "target {index}, adopted {adopted}");
         }
     }
 }
 
 #[test]
-fn without_an_answer_of_the_allocator_one_request_at_a_time_goes_to_a_target() {
+fn without_an_answer_from_the_allocator_a_target_gets_one_request_at_a_time() {
     let mut dispatcher = fleet_dispatcher(2, 2);
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
@@ -258,28 +280,29 @@
 }
 
 #[test]
-fn a_target_known_to_be_fast_goes_before_unknown_ones_and_those_before_slow_ones() {
+fn a_fast_target_is_chosen_before_unknown_ones_and_unknown_ones_before_slow_ones() {
     let mut rng = rng();
     for seed in 0..20 {
         let mut dispatcher = fleet_dispatcher(3, 3);
-        // The mean pace is far above the usual.
+        // The mean of the reported paces (300%) is far above the usual pace (100%).
         for step in 0..200 {
             let pace = if step % 2 == 0 { 100 } else { 500 };
             let _ = dispatcher.learn_probe(&target_name(0), paced(pace), at(step));
         }
         let now = at(600 + seed);
-        // A gap in the process's own time would make it forget what it hears next.
+        // Without this tick, the request below would treat the time since the previous call as a
+        // pause of the process and discard the two reports.
         let _ = dispatcher.tick(now);
         let _ = dispatcher.learn_probe(&target_name(1), paced(100), now);
         let _ = dispatcher.learn_probe(&target_name(2), paced(500), now);
         let first = expect_grant(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
-        assert_eq!(dispatcher.target_name(&first), target_name(1), "the one known to be fast");
+        assert_eq!(dispatcher.target_name(&first), target_name(1), "the target known to be fast");
         let later = now + ms(200);
         let again = expect_grant(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
         assert_ne!(
             dispatcher.target_name(&again),
             target_name(1),
-            "old news; and it has a request"
+            "the report is stale, and the target has a request"
         );
     }
 }
@@ -288,17 +311,17 @@
 fn a_request_waits_out_a_slow_spell_that_is_shorter_than_what_it_costs() {
     struct Case {
         note: &'static str,
-        /// Time of an answer at the usual pace.
+        /// Response time at the usual pace.
         taken_ms: u64,
-        /// What all targets reported before.
+        /// Pace that the target reported before.
         before_percent: u32,
-        /// What the only target with room reports.
+        /// Pace that the target, which has capacity, reports last.
         pace_percent: u32,
         age_ms: u64,
         is_sent: bool,
     }
     let case = Case {
-        note: "a spell that costs far more than it lasts",
+        note: "a spell that costs far more time than it has left",
         taken_ms: 200,
         before_percent: 100,
         pace_percent: 500,
@@ -308,9 +331,19 @@
     let cases = [
         Case { note: "the usual pace", pace_percent: 100, is_sent: true, ..case },
         Case { note: "a little slower", pace_percent: 130, is_sent: true, ..case },
-        Case { note: "work that is short even then", taken_ms: 10, is_sent: true, ..case },
+        Case {
+            note: "requests that are short even at the slow pace",
+            taken_ms: 10,
+            is_sent: true,
+            ..case
+        },
         Case { note: "the report is old", age_ms: 160, is_sent: true, ..case },
-        Case { note: "all are as slow all the time", before_percent: 500, is_sent: true, ..case },
+        Case {
+            note: "the target is as slow all the time",
+            before_percent: 500,
+            is_sent: true,
+            ..case
+        },
         case,
     ];
     for Case { note, taken_ms, before_percent, pace_percent, age_ms, is_sent } in cases {
@@ -323,7 +356,7 @@
             let report = LoadReport { pace_percent: before_percent, ..report(0, 0) };
             let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now);
             dispatcher.release(grant, now);
-            // Old news when the next request comes.
+            // The report is stale by the time of the next request.
             now = now + ms(200);
         }
         let _ = dispatcher.learn_probe(&target_name(0), paced(pace_percent), now);
@@ -345,12 +378,12 @@
 }
 
 #[test]
-fn what_is_slow_is_told_by_the_faster_targets_of_the_last_second() {
+fn a_pace_is_slow_relative_to_the_faster_targets_of_the_last_second() {
     struct Case {
         note: &'static str,
-        /// What each target reports all the time.
+        /// Pace that each target reports all the time.
         paces: [u32; 5],
-        /// What the target reports at which the request may start.
+        /// Last pace reported by the only target that is not leaving.
         pace_percent: u32,
         is_sent: bool,
     }
@@ -364,7 +397,7 @@
         },
         Case { note: "nearly all are slow", paces: [500; 5], pace_percent: 500, is_sent: true },
         Case {
-            note: "much slower than the slow",
+            note: "much slower than the slow targets",
             paces: [500; 5],
             pace_percent: 2_500,
             is_sent: false,
@@ -374,7 +407,7 @@
         let mut dispatcher = fleet_dispatcher(5, 5);
         let mut rng = rng();
         let mut now = at(0);
-        // A request takes 200 ms.
+        // Each request takes 200 ms.
         for _ in 0..10 {
             let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(200);
@@ -388,7 +421,7 @@
                 let _ = dispatcher.learn_probe(&target_name(index), paced(pace), now);
             }
         }
-        // All others are leaving.
+        // All targets except the first one are leaving.
         for index in 1..5 {
             dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
@@ -402,12 +435,13 @@
 }
 
 #[test]
-fn answers_of_a_target_that_is_slow_anyway_teach_nothing_about_the_number() {
+fn answers_during_a_slow_spell_do_not_change_the_concurrency() {
     let mut dispatcher = fleet_dispatcher(1, 1);
     let mut rng = rng();
     for round in 0..200 {
         let now = at(round * 200);
-        // Two at a time take twice as long as one, but only because the target is slow then.
+        // Two concurrent requests take twice as long as one, but only because the target is in a
+        // slow spell then.
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
         let _ = dispatcher.learn_probe(&target_name(0), paced(pace), now);
@@ -421,35 +455,41 @@
             dispatcher.release(grant, now + ms(taken));
         }
     }
-    assert_eq!(dispatcher.concurrency(at(40_000)), 3, "as assumed");
+    assert_eq!(dispatcher.concurrency(at(40_000)), 3, "assumed concurrency kept");
 }
 
 #[test]
-fn requests_that_are_not_counted_here_take_room_at_their_target() {
+fn requests_that_are_not_counted_here_take_capacity_at_their_target() {
     struct Case {
         note: &'static str,
-        /// What a probe tells.
+        /// Requests that the probe reports as running and as queued at the target.
         running: u32,
         queued: u32,
         age_ms: u64,
-        room: usize,
+        granted: usize,
     }
     let cases = [
-        Case { note: "none", running: 0, queued: 0, age_ms: 0, room: 3 },
-        Case { note: "one", running: 1, queued: 0, age_ms: 0, room: 2 },
-        Case { note: "one, told a while ago", running: 1, queued: 0, age_ms: 150, room: 2 },
-        Case { note: "one, told long ago", running: 1, queued: 0, age_ms: 250, room: 3 },
-        Case { note: "two", running: 2, queued: 0, age_ms: 0, room: 1 },
-        Case { note: "it is full", running: 3, queued: 0, age_ms: 0, room: 0 },
-        Case { note: "some wait there", running: 3, queued: 7, age_ms: 150, room: 0 },
+        Case { note: "none", running: 0, queued: 0, age_ms: 0, granted: 3 },
+        Case { note: "one", running: 1, queued: 0, age_ms: 0, granted: 2 },
+        Case { note: "one, reported a while ago", running: 1, queued: 0, age_ms: 150, granted: 2 },
+        Case { note: "one, reported long ago", running: 1, queued: 0, age_ms: 250, granted: 3 },
+        Case { note: "two", running: 2, queued: 0, age_ms: 0, granted: 1 },
+        Case { note: "all slots are running", running: 3, queued: 0, age_ms: 0, granted: 0 },
+        Case {
+            note: "requests are queued at the target",
+            running: 3,
+            queued: 7,
+            age_ms: 150,
+            granted: 0,
+        },
     ];
-    for Case { note, running, queued, age_ms, room } in cases {
+    for Case { note, running, queued, age_ms, granted: expected } in cases {
         let mut dispatcher = fleet_dispatcher(3, 3);
         let mut rng = rng();
         for index in 0..2 {
             dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
-        // It was used a moment ago.
+        // The target was used shortly before the probe.
         let grant = expect_grant(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
         dispatcher.release(grant, at(10));
         let _ = dispatcher.learn_probe(&target_name(2), report(running, queued), at(20));
@@ -458,12 +498,12 @@
         while let Decision::Send(_) = dispatcher.request(at_once(now), now, &mut rng) {
             granted += 1;
         }
-        assert_eq!(granted, room, "{note}");
+        assert_eq!(granted, expected, "{note}");
     }
 }
 
 #[test]
-fn a_target_full_with_requests_of_others_gets_one_now_and_then() {
+fn a_target_full_with_uncounted_requests_gets_one_every_half_second() {
     let mut dispatcher = fleet_dispatcher(1, 1);
     let mut rng = rng();
     let mut granted = 0;
@@ -475,7 +515,7 @@
             dispatcher.release(grant, now + ms(40));
         }
     }
-    assert_eq!(granted, 10, "every half second of five");
+    assert_eq!(granted, 10, "one per half second in five seconds");
 }
 
 #[test]
@@ -485,9 +525,9 @@
     configuration.data_hall_detour_us = 20_000;
     let mut dispatcher = dispatcher(&configuration);
     dispatcher.set_view(View::Fleet);
-    let far = dispatcher.hall_index(&DataHallName::new("b").expect("a name"));
+    let remote_hall = dispatcher.hall_index(&DataHallName::new("b").expect("a name"));
     let mut rng = rng();
-    for (origin, halls) in [(far, [2, 3]), (HallIndex::default(), [0, 1])] {
+    for (origin, halls) in [(remote_hall, [2, 3]), (HallIndex::default(), [0, 1])] {
         for _ in 0..2 {
             let wanted = Request { origin, ..request(1, at(500)) };
             let grant = expect_grant(&mut dispatcher, wanted, at(0), &mut rng);
@@ -507,11 +547,11 @@
 }
 
 #[test]
-fn only_targets_that_were_silent_are_to_be_probed() {
+fn only_targets_without_a_recent_report_are_to_be_probed() {
     let mut dispatcher = fleet_dispatcher(3, 3);
     let _ = dispatcher.learn_probe(&target_name(1), paced(100), at(0));
-    let silent = dispatcher.stale_targets(ms(50), usize::MAX, at(40));
-    assert_eq!(silent.len(), 2, "{silent:?}");
+    let stale = dispatcher.stale_targets(ms(50), usize::MAX, at(40));
+    assert_eq!(stale.len(), 2, "{stale:?}");
     assert_eq!(dispatcher.stale_targets(ms(50), usize::MAX, at(60)).len(), 3);
     assert_eq!(dispatcher.stale_targets(ms(50), 2, at(60)).len(), 2);
 }
