--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -1,4 +1,5 @@
-//! Requests for long answers stay within their data hall while it serves them hardly later.
+//! Requests for long answers are routed to another data hall later than requests for short ones,
+//! because the detour cost grows with the expected answer length.
 
 mod support;
 
@@ -13,8 +14,8 @@
 use thymeshift_dispatch::Request;
 use thymeshift_dispatch::View;
 
-/// Two targets in hall `a` and two in hall `b`, answers may take 100 ms longer to
-/// spare the way.
+/// Dispatcher with two targets in hall `a` and two in hall `b`. The detour of 100 ms lets a request
+/// stay in its hall as long as that costs at most 100 ms more.
 fn dispatcher_with_detour() -> thymeshift_dispatch::Dispatcher<thymeshift_dispatch::AnyStrategy> {
     let mut configuration = configuration(4, 2, "");
     configuration.data_hall_detour_us = 100_000;
@@ -25,10 +26,10 @@
 }
 
 #[test]
-fn requests_cross_to_another_hall_later_the_longer_their_answers_are() {
+fn requests_for_longer_answers_cross_to_another_hall_later() {
     struct Case {
         answer_kib: u32,
-        /// Of eight requests at one moment, those that go to the other hall.
+        /// Number of requests routed to the other hall, out of six sent at the same time.
         crossing: std::ops::RangeInclusive<usize>,
     }
     let cases = [
@@ -39,7 +40,8 @@
     for Case { answer_kib, crossing } in cases {
         let mut dispatcher = dispatcher_with_detour();
         let mut rng = rng();
-        // Work takes 200 ms, so that a second request at a target is worth the way to another hall.
+        // Requests take 200 ms, so that a second request at a local target costs more than the
+        // detour of a short answer.
         for step in 0..40 {
             let wanted = request(1, at(100_000));
             let grant = expect_grant(&mut dispatcher, wanted, at(step * 200), &mut rng);
