--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -1,5 +1,5 @@
-//! The load pattern of a data hall whose targets go at the same moment, without a word: the
-//! platform lists them for seconds more.
+//! Load pattern of a data hall that loses all its targets at the same time without notice. The
+//! platform still lists the targets for several seconds, so that requests are routed to them.
 
 mod support;
 
@@ -18,12 +18,14 @@
 use thymeshift_dispatch::View;
 use thymeshift_types::TargetName;
 
-/// Targets of one service in the hall, as many as the archive of the tariff operator has there.
+/// Number of targets of the service in the hall; the archive service of the tariff operator has as
+/// many per hall.
 const TARGETS: usize = 44;
-/// Requests that come in one second, 5 ms apart.
+/// Number of requests in one second; they arrive 5 ms apart.
 const REQUESTS: u64 = 200;
 
-/// One process allocates the hall's targets to the fleet.
+/// Dispatcher of the process that allocates the hall's targets to the fleet. `is_backed` states
+/// whether other halls have spare capacity for the service.
 fn allocating(is_backed: bool) -> TestDispatcher {
     let mut dispatcher = dispatcher(&configuration(TARGETS, TARGETS, ""));
     dispatcher.set_view(View::Fleet);
@@ -31,23 +33,23 @@
     dispatcher
 }
 
-/// What became of a second's requests.
+/// Outcomes of the requests of one second.
 #[derive(Debug, Default)]
 struct Played {
-    /// Attempts at each target.
+    /// Number of attempts per target.
     tried: BTreeMap<TargetName, u32>,
-    /// Requests that found no target, and may go to another hall.
-    sent_on: u32,
+    /// Number of requests without a target in this hall; they may be routed to another hall.
+    redirected: u32,
 }
 
-/// Plays a second in which every attempt ends with `observation`.
+/// Plays one second of requests in which every attempt ends with `observation`.
 fn play(dispatcher: &mut TestDispatcher, observation: Observation, rng: &mut SmallRng) -> Played {
     let mut played = Played::default();
     for step in 0..REQUESTS {
         let now = at(step * 5);
         let at_once = Request { queue_max: 0, ..request(1, at(5_000)) };
         if dispatcher.room(now) == 0 {
-            played.sent_on += 1;
+            played.redirected += 1;
         } else if let Decision::Send(grant) = dispatcher.request(at_once, now, rng) {
             *played.tried.entry(dispatcher.target_name(&grant)).or_default() += 1;
             dispatcher.learn(&grant, observation, now);
@@ -58,15 +60,15 @@
 }
 
 #[test]
-fn each_target_that_cannot_be_reached_is_tried_once_and_then_the_hall_sends_requests_on() {
+fn each_target_that_cannot_be_reached_is_tried_once_and_then_requests_are_redirected() {
     let played = play(&mut allocating(true), Observation::Unreachable, &mut rng());
     assert_eq!(played.tried.len(), TARGETS);
     assert!(played.tried.values().all(|tried| *tried == 1), "{played:?}");
-    assert_eq!(u64::from(played.sent_on), REQUESTS - TARGETS as u64);
+    assert_eq!(u64::from(played.redirected), REQUESTS - TARGETS as u64);
 }
 
 #[test]
-fn without_room_elsewhere_most_targets_stay_in_use_whatever_fails() {
+fn without_capacity_in_other_halls_most_targets_stay_in_use_whatever_fails() {
     struct Case {
         note: &'static str,
         observation: Observation,
@@ -79,15 +81,15 @@
     for Case { note, observation } in cases {
         let mut dispatcher = allocating(false);
         let played = play(&mut dispatcher, observation, &mut rng());
-        assert_eq!(played.sent_on, 0, "{note}");
+        assert_eq!(played.redirected, 0, "{note}");
         let dump = dispatcher.dump(at(REQUESTS * 5));
-        let aside = dump.targets.iter().filter(|target| target.ejected_for_ms.is_some()).count();
-        assert!(aside * 100 <= TARGETS * 34, "{note}: {aside} of {TARGETS} are set aside");
+        let ejected = dump.targets.iter().filter(|target| target.ejected_for_ms.is_some()).count();
+        assert!(ejected * 100 <= TARGETS * 34, "{note}: {ejected} of {TARGETS} are ejected");
     }
 }
 
 #[test]
-fn a_target_that_is_reached_again_is_used_as_before() {
+fn targets_that_are_reachable_again_are_used_as_before() {
     let mut dispatcher = allocating(true);
     let mut rng = rng();
     play(&mut dispatcher, Observation::Unreachable, &mut rng);
