--- a/crates/thymeshift_dispatch/tests/patience.rs
+++ b/crates/thymeshift_dispatch/tests/patience.rs
@@ -1,4 +1,5 @@
-//! How long callers have been trying, by the time that they still wait.
+//! Estimates of how long a caller has already been trying, from the remaining wait time that it
+//! states in the request.
 
 use std::time::Duration;
 
@@ -8,41 +9,42 @@
     Duration::from_millis(millis)
 }
 
-/// A caller's word, and how long it has been trying.
+/// Remaining wait that a caller states, and the expected estimate of the time already spent on
+/// earlier attempts.
 struct Case {
     note: &'static str,
-    told_ms: u64,
+    stated_ms: u64,
     tried_ms: u64,
 }
 
 fn check(patience: &mut Patience, cases: &[Case]) {
-    for Case { note, told_ms, tried_ms } in cases {
-        let tried = patience.clone().tried_for(ms(*told_ms));
-        let wanted = ms(*tried_ms);
-        // Usual times fade a little between two callers that say them.
-        assert!(tried.abs_diff(wanted) <= ms(10), "{note}: {tried:?} and not {wanted:?}");
+    for Case { note, stated_ms, tried_ms } in cases {
+        let tried = patience.clone().tried_for(ms(*stated_ms));
+        let expected = ms(*tried_ms);
+        // A usual wait decays slightly between two callers that state it.
+        assert!(tried.abs_diff(expected) <= ms(10), "{note}: {tried:?} and not {expected:?}");
     }
 }
 
 #[test]
-fn what_a_caller_has_spent_is_what_is_missing_from_the_usual_time() {
+fn the_time_already_spent_is_the_usual_wait_minus_the_stated_wait() {
     let mut patience = Patience::default();
-    assert_eq!(patience.tried_for(ms(4_000)), Duration::ZERO, "the first one seen");
+    assert_eq!(patience.tried_for(ms(4_000)), Duration::ZERO, "the first caller");
     check(
         &mut patience,
         &[
-            Case { note: "a first attempt", told_ms: 4_000, tried_ms: 0 },
-            Case { note: "its connection took a moment", told_ms: 3_982, tried_ms: 0 },
-            Case { note: "a second attempt", told_ms: 3_750, tried_ms: 250 },
-            Case { note: "after an outage", told_ms: 2_900, tried_ms: 1_100 },
-            Case { note: "no time left", told_ms: 0, tried_ms: 4_000 },
-            Case { note: "longer than ever", told_ms: 8_000, tried_ms: 0 },
+            Case { note: "a first attempt", stated_ms: 4_000, tried_ms: 0 },
+            Case { note: "a first attempt with a slow connection", stated_ms: 3_982, tried_ms: 0 },
+            Case { note: "a second attempt", stated_ms: 3_750, tried_ms: 250 },
+            Case { note: "after an outage", stated_ms: 2_900, tried_ms: 1_100 },
+            Case { note: "no time left", stated_ms: 0, tried_ms: 4_000 },
+            Case { note: "longer than any wait before", stated_ms: 8_000, tried_ms: 0 },
         ],
     );
 }
 
 #[test]
-fn callers_that_always_wait_less_are_not_taken_for_late() {
+fn callers_that_always_state_a_shorter_wait_count_as_first_attempts() {
     let mut patience = Patience::default();
     for _ in 0..400 {
         patience.tried_for(ms(1_000));
@@ -51,16 +53,16 @@
     check(
         &mut patience,
         &[
-            Case { note: "a short one", told_ms: 1_000, tried_ms: 0 },
-            Case { note: "a long one", told_ms: 4_000, tried_ms: 0 },
-            Case { note: "a short one again", told_ms: 700, tried_ms: 300 },
-            Case { note: "a long one again", told_ms: 3_600, tried_ms: 400 },
+            Case { note: "a short wait", stated_ms: 1_000, tried_ms: 0 },
+            Case { note: "a long wait", stated_ms: 4_000, tried_ms: 0 },
+            Case { note: "a second attempt with a short wait", stated_ms: 700, tried_ms: 300 },
+            Case { note: "a second attempt with a long wait", stated_ms: 3_600, tried_ms: 400 },
         ],
     );
 }
 
 #[test]
-fn many_that_come_again_after_an_outage_do_not_become_usual() {
+fn the_waits_of_retries_after_an_outage_do_not_become_usual() {
     let mut patience = Patience::default();
     for step in 0..40 {
         patience.tried_for(ms(3_310 + step % 5));
@@ -68,15 +70,18 @@
             patience.tried_for(ms(4_000));
         }
     }
-    check(&mut patience, &[Case { note: "one of them", told_ms: 3_312, tried_ms: 688 }]);
+    check(
+        &mut patience,
+        &[Case { note: "a retry after the outage", stated_ms: 3_312, tried_ms: 688 }],
+    );
 }
 
 #[test]
-fn a_time_that_nobody_says_any_more_is_forgotten() {
+fn a_wait_that_no_caller_states_any_more_is_forgotten() {
     let mut patience = Patience::default();
     patience.tried_for(ms(60_000));
     for _ in 0..20_000 {
         patience.tried_for(ms(4_000));
     }
-    check(&mut patience, &[Case { note: "the usual one", told_ms: 4_000, tried_ms: 0 }]);
+    check(&mut patience, &[Case { note: "the usual wait", stated_ms: 4_000, tried_ms: 0 }]);
 }
