--- a/crates/thymeshift_dispatch/tests/probe_budget.rs
+++ b/crates/thymeshift_dispatch/tests/probe_budget.rs
@@ -1,16 +1,17 @@
-//! Probes of an allocator follow the requests that it is asked for.
+//! The number of an allocator's probes is bounded by the number of targets requested from it.
 
 use quickcheck::quickcheck;
 use thymeshift_dispatch::ProbeBudget;
 
-/// Probes at the beginning, and for each request.
-const AT_FIRST: usize = 160;
-const FOR_EACH: usize = 10;
+/// Number of probes that a new budget allows before the first request.
+const INITIAL_PROBES: usize = 160;
+/// Number of probes that each request adds to the budget.
+const PROBES_PER_REQUEST: usize = 10;
 
 quickcheck! {
-    /// In whatever order requests come and probes begin, there are never more probes than the
-    /// requests are worth.
-    fn probes_never_exceed_what_requests_are_worth(steps: Vec<(bool, u8)>) -> bool {
+    /// In any order of requests and probes, the number of probes never exceeds the initial budget
+    /// plus the probes that the requests so far have earned.
+    fn probes_never_exceed_what_requests_have_earned(steps: Vec<(bool, u8)>) -> bool {
         let mut budget = ProbeBudget::default();
         let (mut requests, mut probes) = (0, 0);
         for (is_request, wanted) in steps {
@@ -23,6 +24,6 @@
                 probes += begun;
             }
         }
-        probes <= AT_FIRST + FOR_EACH * requests
+        probes <= INITIAL_PROBES + PROBES_PER_REQUEST * requests
     }
 }
