--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -1,5 +1,6 @@
-//! The load pattern of targets that share their machines: a part of them works five times slower
-//! for 150 ms at a time, and work keeps the pace at which it starts.
+//! Load pattern of targets that share their machines with other work: at any time, a part of the
+//! targets is in a slow spell of 150 ms and five times slower, and a request keeps the pace at which
+//! it starts. Probes made just before a grant must halve the late answers within the probe budget.
 
 mod support;
 
@@ -25,20 +26,23 @@
 use thymeshift_types::Timestamp;
 
 const TARGETS: usize = 40;
-/// Part of the targets that is slow at a time, how much slower, and for how long.
+/// Share of the targets that are in a slow spell at any time.
 const SLOW_PERCENT: u32 = 30;
+/// Pace of a target during a slow spell; 100 is the usual pace.
 const SLOW_PACE_PERCENT: u32 = 500;
 const SPELL_MS: u64 = 150;
+/// Response time of a request at the usual pace.
 const WORK_MS: u64 = 120;
-/// Answers after that are late.
+/// Response time above which an answer counts as late.
 const OBJECTIVE_MS: u64 = 300;
-/// A request every 5 ms: three fifths of the targets are in use.
-const REQUEST_EVERY_MS: u64 = 5;
+/// Interval between two requests; at this rate, about three fifths of the targets are in use.
+const REQUEST_INTERVAL_MS: u64 = 5;
 const PLAYED_MS: u64 = 20_000;
-/// Shortest time between two probes of a target that the budget allows.
-const PROBE_EVERY: Duration = Duration::from_millis(48);
+/// Shortest interval between two probes of a target that the probe budget allows.
+const PROBE_INTERVAL: Duration = Duration::from_millis(48);
 
-/// How long work that starts at a target takes.
+/// Returns the pace of requests that start at a target at `now_ms`, as a percentage of the usual
+/// response time.
 fn pace_percent(target: usize, now_ms: u64) -> u32 {
     let spell = now_ms / SPELL_MS;
     let seed = (target as u64) << 32 | spell;
@@ -46,7 +50,7 @@
     if is_slow { SLOW_PACE_PERCENT } else { 100 }
 }
 
-fn told(target: usize, now_ms: u64) -> LoadReport {
+fn reported(target: usize, now_ms: u64) -> LoadReport {
     LoadReport { pace_percent: pace_percent(target, now_ms), ..report(0, 0) }
 }
 
@@ -60,36 +64,40 @@
     fn probe(&mut self, target: usize, now_ms: u64) {
         self.probing[target].ended(true);
         self.probes += 1;
-        let _ = self.dispatcher.learn_probe(&target_name(target), told(target, now_ms), at(now_ms));
+        let _ =
+            self.dispatcher.learn_probe(&target_name(target), reported(target, now_ms), at(now_ms));
     }
 
-    /// Probes of targets that were not heard of, as long as the budget allows them.
+    /// Probes every target whose probe budget allows a probe now.
     fn probe_regularly(&mut self, now_ms: u64) {
         for target in 0..TARGETS {
-            if self.probing[target].try_begin(PROBE_EVERY, at(now_ms)) {
+            if self.probing[target].try_begin(PROBE_INTERVAL, at(now_ms)) {
                 self.probe(target, now_ms);
             }
         }
     }
 
     fn probe_before_grant(&mut self, request: &Request, now_ms: u64) {
-        let asked = self.dispatcher.worth_asking(request, ms(10), 5, at(now_ms));
-        for (found, _) in asked {
+        let to_probe = self.dispatcher.worth_asking(request, ms(10), 5, at(now_ms));
+        for (probed, _) in to_probe {
             let target =
-                (0..TARGETS).find(|target| target_name(*target) == found).expect("a target");
-            if self.probing[target].try_begin_early(PROBE_EVERY, at(now_ms)) {
+                (0..TARGETS).find(|target| target_name(*target) == probed).expect("a target");
+            if self.probing[target].try_begin_early(PROBE_INTERVAL, at(now_ms)) {
                 self.probe(target, now_ms);
             }
         }
     }
 }
 
-/// What was measured.
+/// Results of a simulated run.
 struct Played {
+    /// Share of the requests that are answered late or not at all.
     late_percent: f64,
+    /// Probes per target and second.
     probes_per_target_s: f64,
 }
 
+/// Simulates [`PLAYED_MS`] of requests, with or without probes just before each grant.
 fn play(probes_before_grants: bool) -> Played {
     let mut rng = SmallRng::seed_from_u64(8);
     let mut fleet = Fleet {
@@ -99,21 +107,21 @@
     };
     fleet.dispatcher.set_view(View::Fleet);
     let mut running: Vec<(u64, usize, thymeshift_dispatch::Grant)> = Vec::new();
-    let (mut asked, mut late) = (0_u32, 0_u32);
+    let (mut requests, mut late) = (0_u32, 0_u32);
     for now_ms in 0..PLAYED_MS {
         let now: Timestamp = at(now_ms);
         for (_, target, grant) in running.extract_if(.., |(ends_ms, ..)| *ends_ms <= now_ms) {
-            let answer = Observation::Answered(Some(told(target, now_ms)));
+            let answer = Observation::Answered(Some(reported(target, now_ms)));
             let _ = fleet.dispatcher.learn(&grant, answer, now);
             fleet.dispatcher.release(grant, now);
         }
         if now_ms % 15 == 0 {
             fleet.probe_regularly(now_ms);
         }
-        if now_ms % REQUEST_EVERY_MS != 0 {
+        if now_ms % REQUEST_INTERVAL_MS != 0 {
             continue;
         }
-        asked += 1;
+        requests += 1;
         let request = request(1, at(now_ms + 5_000));
         if probes_before_grants {
             fleet.probe_before_grant(&request, now_ms);
@@ -133,23 +141,23 @@
     }
     let seconds = PLAYED_MS as f64 / 1_000.0;
     Played {
-        late_percent: f64::from(late) * 100.0 / f64::from(asked),
+        late_percent: f64::from(late) * 100.0 / f64::from(requests),
         probes_per_target_s: f64::from(fleet.probes) / TARGETS as f64 / seconds,
     }
 }
 
 #[test]
 fn probes_just_before_a_grant_halve_the_late_answers_within_the_same_budget() {
-    let regular = play(false);
-    let fresh = play(true);
+    let without = play(false);
+    let with = play(true);
     let figures = format!(
-        "late {:.2}% -> {:.2}%, probes a target and second {:.1} -> {:.1}",
-        regular.late_percent,
-        fresh.late_percent,
-        regular.probes_per_target_s,
-        fresh.probes_per_target_s
+        "late {:.2}% -> {:.2}%, probes per target and second {:.1} -> {:.1}",
+        without.late_percent,
+        with.late_percent,
+        without.probes_per_target_s,
+        with.probes_per_target_s
     );
     println!("{figures}");
-    assert!(fresh.late_percent < regular.late_percent / 2.0, "{figures}");
-    assert!(fresh.probes_per_target_s < 21.5, "{figures}");
+    assert!(with.late_percent < without.late_percent / 2.0, "{figures}");
+    assert!(with.probes_per_target_s < 21.5, "{figures}");
 }
