--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -1,5 +1,5 @@
-//! A target that starts again under its name. Whatever was believed of its earlier start ends
-//! with that, and nothing that arrives late from it counts for the later one.
+//! A target that restarts under the same name. State recorded for the earlier incarnation must not
+//! apply to the new one, and late events of the earlier incarnation must not change the new one.
 
 mod support;
 
@@ -24,10 +24,10 @@
 use crate::support::rng;
 use crate::support::target_name;
 
-/// Targets of the service; the first one starts again.
+/// Number of targets of the service; the first one restarts.
 const TARGETS: usize = 3;
 
-/// The same configuration with the first target at another start, and perhaps at another address.
+/// Returns `base` with another incarnation of the first target, at `address` if one is given.
 fn restarted(base: &Configuration, incarnation: u64, address: Option<SocketAddr>) -> Configuration {
     let mut changed = base.clone();
     let target = &mut changed.services[0].targets[0];
@@ -49,29 +49,29 @@
 }
 
 #[test]
-fn what_was_believed_of_an_earlier_start_is_not_held_against_the_next() {
+fn state_of_an_earlier_incarnation_does_not_apply_to_the_next() {
     struct Case {
-        believed: &'static str,
-        learn: fn(&mut TestDispatcher),
+        note: &'static str,
+        record: fn(&mut TestDispatcher),
     }
     let cases = [
         Case {
-            believed: "that it asked for a backoff",
-            learn: |dispatcher| {
+            note: "asked for a backoff",
+            record: |dispatcher| {
                 let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.back_off(&grant, Duration::from_mins(1), at(0));
                 dispatcher.release(grant, at(0));
             },
         },
         Case {
-            believed: "that it is leaving",
-            learn: |dispatcher| {
+            note: "leaving",
+            record: |dispatcher| {
                 assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
             },
         },
         Case {
-            believed: "that it fails",
-            learn: |dispatcher| {
+            note: "failing",
+            record: |dispatcher| {
                 for step in 0..20 {
                     let Some(grant) = dispatcher.grant_at(&target_name(0), None, at(step)) else {
                         break;
@@ -82,44 +82,45 @@
             },
         },
         Case {
-            believed: "that it cannot be reached",
-            learn: |dispatcher| {
+            note: "unreachable",
+            record: |dispatcher| {
                 let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.learn(&grant, Observation::Unreachable, at(1));
                 dispatcher.release(grant, at(1));
             },
         },
         Case {
-            believed: "that it is loaded",
-            learn: |dispatcher| {
+            note: "loaded",
+            record: |dispatcher| {
                 dispatcher.learn_probe(&target_name(0), report(40, 40), at(1));
             },
         },
         Case {
-            believed: "that it is cold for a minute",
-            learn: |dispatcher| {
+            note: "cold for a minute",
+            record: |dispatcher| {
                 dispatcher.learn_probe(&target_name(0), cold_report(60_000), at(1));
             },
         },
         Case {
-            believed: "that requests are at work there",
-            learn: |dispatcher| {
-                // Never released: their target ended, and who asked is not heard of again.
+            note: "requests in flight",
+            record: |dispatcher| {
+                // Never released, because the target ended and the process that was granted the
+                // request is gone.
                 let _unreleased =
                     dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
             },
         },
     ];
-    let elsewhere = "127.0.0.9:9".parse().expect("an address");
-    for Case { believed, learn } in cases {
-        for address in [None, Some(elsewhere)] {
+    let other_address = "127.0.0.9:9".parse().expect("an address");
+    for Case { note: recorded, record } in cases {
+        for address in [None, Some(other_address)] {
             let base = configuration(TARGETS, TARGETS, "");
             let mut dispatcher = dispatcher(&base);
-            learn(&mut dispatcher);
+            record(&mut dispatcher);
             let next = restarted(&base, 2, address);
             apply(&mut dispatcher, &next, 30);
             let found = first(&dispatcher, 31);
-            let note = format!("{believed}, address {address:?}: {found:?}");
+            let note = format!("{recorded}, address {address:?}: {found:?}");
             assert_eq!(found.incarnation, Incarnation::new(2), "{note}");
             assert_eq!(found.usability, Usability::Open, "{note}");
             assert_eq!(found.in_flight, 0, "{note}");
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn what_an_earlier_start_did_counts_for_it_alone() {
+fn late_events_of_an_earlier_incarnation_do_not_change_the_next() {
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     let grants: Vec<_> =
@@ -140,23 +141,26 @@
     apply(&mut dispatcher, &restarted(&base, 2, None), 10);
     let before = first(&dispatcher, 11);
     for grant in grants {
-        assert!(!dispatcher.may_send(&grant, at(9_000), at(12)), "a choice of the earlier start");
+        assert!(
+            !dispatcher.may_send(&grant, at(9_000), at(12)),
+            "a grant of the earlier incarnation"
+        );
         dispatcher.learn(&grant, Observation::Broken, at(12));
         dispatcher.learn(&grant, Observation::Unreachable, at(12));
         dispatcher.release(grant, at(13));
     }
     assert!(
         !dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)),
-        "late news of the earlier one"
+        "a late leaving mark of the earlier incarnation"
     );
     let after = first(&dispatcher, 11);
     assert_eq!(after, before);
 }
 
 #[test]
-fn an_earlier_start_never_comes_back() {
-    let elsewhere = "127.0.0.9:9".parse().expect("an address");
-    for address in [None, Some(elsewhere)] {
+fn an_earlier_incarnation_never_comes_back() {
+    let other_address = "127.0.0.9:9".parse().expect("an address");
+    for address in [None, Some(other_address)] {
         let base = configuration(TARGETS, TARGETS, "");
         let mut dispatcher = dispatcher(&base);
         apply(&mut dispatcher, &restarted(&base, 5, None), 10);
@@ -164,7 +168,7 @@
         let found = first(&dispatcher, 21);
         assert_eq!(found.incarnation, Incarnation::new(5), "{address:?}");
         assert_eq!(found.address, base.services[0].targets[0].address, "{address:?}");
-        // It is not made to leave by what was said of the earlier one.
+        // A leaving state of the earlier incarnation does not apply to the later one.
         let mut leaving = restarted(&base, 4, address);
         leaving.services[0].targets[0].state = thymeshift_config::TargetState::Leaving;
         apply(&mut dispatcher, &leaving, 30);
@@ -174,9 +178,10 @@
     }
 }
 
-/// Twice within a second, as in a crash loop.
+/// Restarts several times within a second, as in a crash loop; the target list must keep one entry
+/// per target.
 #[test]
-fn two_starts_in_a_row_leave_one_target() {
+fn repeated_restarts_leave_one_target() {
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     for (step, incarnation) in [(100, 2), (400, 3), (900, 4)] {
