--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -1,4 +1,5 @@
-//! Which targets get work: leaving, ejection, limits, cold starts, distance, lies.
+//! Choice of targets: leaving marks, ejection, concurrency limits, cold starts, distance between data
+//! halls and load reports that are wrong.
 
 mod support;
 
@@ -36,8 +37,8 @@
     found.expect("a target").usability
 }
 
-/// Sends `count` requests one after the other; `answer` says what each shows and how many
-/// milliseconds it took. Returns how many each target got.
+/// Sends `count` requests one after the other. `answer` returns the observation of a request sent to
+/// the given target and its response time in milliseconds. Returns the number of requests per target.
 fn drive(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     count: u64,
@@ -63,7 +64,7 @@
     Observation::Answered(Some(report(0, 0)))
 }
 
-/// Sources that say that incarnation 1 of `t0` is leaving.
+/// Source of the information that incarnation 1 of `t0` is leaving.
 #[derive(Debug, Clone, Copy)]
 enum Source {
     Mark,
@@ -72,7 +73,11 @@
     Configuration,
 }
 
-fn say_leaving(dispatcher: &mut Dispatcher<AnyStrategy>, source: Source, good: &Configuration) {
+fn announce_leaving(
+    dispatcher: &mut Dispatcher<AnyStrategy>,
+    source: Source,
+    serving: &Configuration,
+) {
     let draining = LoadReport { state: ReportedState::Draining, ..report(0, 0) };
     match source {
         Source::Mark => {
@@ -81,15 +86,15 @@
         Source::Answer => {
             let grant = expect_grant(dispatcher, request(1, at(100)), at(0), &mut rng());
             let mark = dispatcher.learn(&grant, Observation::Answered(Some(draining)), at(1));
-            assert_eq!(mark.expect("news to pass on").target, target_name(0));
+            assert_eq!(mark.expect("a leaving mark to relay").target, target_name(0));
             dispatcher.release(grant, at(1));
         }
         Source::Probe => {
             let mark = dispatcher.learn_probe(&target_name(0), draining, at(1));
-            assert_eq!(mark.expect("news to pass on").target, target_name(0));
+            assert_eq!(mark.expect("a leaving mark to relay").target, target_name(0));
         }
         Source::Configuration => {
-            let mut leaving = good.clone();
+            let mut leaving = serving.clone();
             leaving.services[0].targets[0].state = thymeshift_config::TargetState::Leaving;
             dispatcher.update(&leaving, &leaving.services[0], &local_hall(), at(1));
         }
@@ -99,23 +104,23 @@
 #[test]
 fn leaving_is_sticky_for_an_incarnation_whatever_the_source() {
     for source in [Source::Mark, Source::Answer, Source::Probe, Source::Configuration] {
-        let good = configuration(1, 1, "");
-        let mut dispatcher = dispatcher(&good);
+        let serving = configuration(1, 1, "");
+        let mut dispatcher = dispatcher(&serving);
         let before = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
         dispatcher.release(before, at(0));
-        say_leaving(&mut dispatcher, source, &good);
+        announce_leaving(&mut dispatcher, source, &serving);
         assert_eq!(usability(&dispatcher, 0, at(2)), Usability::Leaving, "{source:?}");
-        // A stale platform lists it as serving again, a stale report says so.
-        dispatcher.update(&good, &good.services[0], &local_hall(), at(3));
+        // A stale target list and a stale load report state that the target is serving again.
+        dispatcher.update(&serving, &serving.services[0], &local_hall(), at(3));
         dispatcher.learn_probe(&target_name(0), report(0, 0), at(3));
         assert_eq!(usability(&dispatcher, 0, at(4)), Usability::Leaving, "{source:?}");
-        // A new incarnation on the same address serves.
-        let mut renewed = good.clone();
-        renewed.services[0].targets[0].incarnation = Incarnation::new(2);
-        dispatcher.update(&renewed, &renewed.services[0], &local_hall(), at(5));
+        // A new incarnation on the same address gets requests.
+        let mut restarted = serving.clone();
+        restarted.services[0].targets[0].incarnation = Incarnation::new(2);
+        dispatcher.update(&restarted, &restarted.services[0], &local_hall(), at(5));
         assert!(
             !dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)),
-            "late news, {source:?}"
+            "late leaving mark, {source:?}"
         );
         let mut rng = rng();
         let decision = dispatcher.request(request(1, at(9_000)), at(6), &mut rng);
@@ -124,7 +129,7 @@
 }
 
 #[test]
-fn a_choice_is_void_once_the_target_leaves_or_the_deadline_has_passed() {
+fn a_grant_is_void_once_the_target_leaves_or_the_deadline_has_passed() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let grant = expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng());
     assert!(dispatcher.may_send(&grant, at(100), at(99)));
@@ -134,8 +139,8 @@
 }
 
 #[test]
-fn a_failing_target_is_set_aside_within_the_panic_bound() {
-    // A strategy that does not avoid failing targets by itself.
+fn failing_targets_are_ejected_up_to_the_panic_threshold() {
+    // The random strategy does not avoid failing targets, so that only ejection can.
     let mut dispatcher = dispatcher(&configuration(6, 6, RANDOM));
     let counts = drive(&mut dispatcher, 400, 0, |target| match target {
         "t0" | "t1" | "t2" | "t3" => (Observation::Failed(None), 1),
@@ -147,7 +152,7 @@
 }
 
 #[test]
-fn an_ejected_target_is_tried_again_and_comes_back_with_its_first_success() {
+fn an_ejected_target_is_tried_again_and_returns_with_its_first_success() {
     let mut dispatcher = dispatcher(&configuration(3, 3, RANDOM));
     drive(&mut dispatcher, 100, 0, |target| {
         (if target == "t0" { Observation::Broken } else { idle() }, 1)
@@ -158,25 +163,25 @@
 }
 
 #[test]
-fn a_fast_failer_gets_less_than_its_share() {
-    // Too few failures in a row to be ejected: every third attempt succeeds.
+fn a_target_that_fails_fast_gets_less_than_its_share() {
+    // Every third attempt succeeds, so that the failures in a row are too few for an ejection.
     let mut dispatcher = dispatcher(&configuration(5, 5, ""));
-    let mut turn = 0;
+    let mut calls = 0;
     let counts = drive(&mut dispatcher, 1_000, 0, |target| {
-        turn += 1;
-        let fails = target == "t0" && turn % 3 != 0;
+        calls += 1;
+        let fails = target == "t0" && calls % 3 != 0;
         (if fails { Observation::Failed(Some(report(0, 0))) } else { idle() }, 1)
     });
     assert!(counts["t0"] < 200, "fair would be 200: {counts:?}");
 }
 
 #[test]
-fn a_target_that_lies_about_its_load_gets_less_than_its_share() {
+fn a_target_that_reports_too_little_load_gets_less_than_its_share() {
     let mut dispatcher = dispatcher(&configuration(4, 4, ""));
     let mut calls = 0;
     let counts = drive(&mut dispatcher, 1_000, 0, |target| {
         calls += 1;
-        // It always reports that it is idle, but mostly answers late.
+        // The target always reports that it is idle, but answers most requests late.
         let taken = if target == "t0" && calls % 4 != 0 { 12 } else { 3 };
         (idle(), taken)
     });
@@ -184,24 +189,24 @@
 }
 
 #[test]
-fn near_targets_are_preferred_only_while_they_are_not_slower() {
+fn targets_in_the_same_hall_are_preferred_only_while_they_are_not_slower() {
     let mut dispatcher = dispatcher(&configuration(4, 2, ""));
     let counts = drive(&mut dispatcher, 400, 0, |target| {
         (idle(), if target == "t0" || target == "t1" { 2 } else { 5 })
     });
     assert!(counts["t0"] + counts["t1"] > 300, "3 ms further away: {counts:?}");
     let busy = |target: &str| {
-        let is_near = target == "t0" || target == "t1";
-        let queued = if is_near { 9 } else { 0 };
-        let taken = if is_near { 20 } else { 5 };
+        let is_local = target == "t0" || target == "t1";
+        let queued = if is_local { 9 } else { 0 };
+        let taken = if is_local { 20 } else { 5 };
         (Observation::Answered(Some(report(1, queued))), taken)
     };
     let counts = drive(&mut dispatcher, 400, 10_000, busy);
-    assert!(counts["t2"] + counts["t3"] > 250, "near ones are busy: {counts:?}");
+    assert!(counts["t2"] + counts["t3"] > 250, "targets in the same hall are busy: {counts:?}");
 }
 
 #[test]
-fn a_new_target_is_brought_to_its_share_step_by_step() {
+fn a_new_target_reaches_its_share_gradually() {
     let small = configuration(4, 4, "    cold_start_ramp_ms: 2000\n");
     let large = configuration(5, 5, "    cold_start_ramp_ms: 2000\n");
     let mut dispatcher = dispatcher(&small);
@@ -220,7 +225,7 @@
     let mut rng = rng();
     let mut held = Vec::new();
     let mut now = at(0);
-    // Keeps up: the limit grows to the share of 40 / 4 connections.
+    // The target keeps up, so that the limit grows to the connection share of this VM, 40 / 4.
     for _ in 0..400 {
         now = now + ms(1);
         while let Decision::Send(grant) =
@@ -234,7 +239,7 @@
     }
     assert_eq!(dispatcher.dump(now).targets[0].limit.floor() as u64, 10);
     assert_eq!(held.len(), 9);
-    // Its queue grows: the limit falls to 1.
+    // The queue of the target grows, so that the limit falls to 1.
     for grant in held {
         now = now + ms(500);
         dispatcher.learn(&grant, Observation::Answered(Some(report(1, 9))), now);
@@ -273,14 +278,14 @@
     drive(&mut dispatcher, 20, 0, |_| (idle(), 1));
     assert!(dispatcher.dump(at(20)).targets.iter().all(|t| t.report_age_ms.is_some()));
     for step in 1..30 {
-        assert_eq!(dispatcher.tick(at(20 + step * 100)), None, "running on time");
+        assert_eq!(dispatcher.tick(at(20 + step * 100)), None, "the process runs on time");
     }
     assert_eq!(dispatcher.tick(at(9_000)), Some(ms(9_000 - 2_920)));
     assert!(dispatcher.dump(at(9_000)).targets.iter().all(|t| t.report_age_ms.is_none()));
 }
 
 #[test]
-fn an_operators_order_stops_a_target_and_lets_it_go_on() {
+fn an_operators_order_stops_and_resumes_a_target() {
     let mut dispatcher = dispatcher(&configuration(2, 2, ""));
     dispatcher.set_stopped(|target| *target == target_name(0));
     assert_eq!(usability(&dispatcher, 0, at(0)), Usability::Stopped);
@@ -292,7 +297,7 @@
 }
 
 #[test]
-fn a_removed_target_keeps_its_place_until_its_last_request_is_released() {
+fn a_removed_target_keeps_its_index_until_its_last_request_is_released() {
     let two = configuration(2, 2, "");
     let one = configuration(1, 1, "");
     let mut dispatcher = dispatcher(&two);
@@ -303,12 +308,12 @@
     ];
     dispatcher.update(&one, &one.services[0], &local_hall(), at(1));
     dispatcher.update(&two, &two.services[0], &local_hall(), at(2));
-    assert_eq!(dispatcher.dump(at(2)).targets.len(), 3, "t1 has a new place");
+    assert_eq!(dispatcher.dump(at(2)).targets.len(), 3, "t1 has a new index");
     for grant in grants.drain(..) {
         dispatcher.learn(&grant, idle(), at(3));
         dispatcher.release(grant, at(3));
     }
     dispatcher.update(&one, &one.services[0], &local_hall(), at(4));
     dispatcher.update(&two, &two.services[0], &local_hall(), at(5));
-    assert_eq!(dispatcher.dump(at(5)).targets.len(), 3, "places are used again");
+    assert_eq!(dispatcher.dump(at(5)).targets.len(), 3, "indices are reused");
 }
