--- a/crates/thymeshift_dispatch/tests/waiting.rs
+++ b/crates/thymeshift_dispatch/tests/waiting.rs
@@ -1,4 +1,5 @@
-//! Waiting and refusing: rank, starvation, expiry, chance of success.
+//! Queued and refused requests: priority ranks, starvation, expiry and requests that cannot meet
+//! their deadline.
 
 mod support;
 
@@ -25,7 +26,8 @@
     }
 }
 
-/// Releases the only slot `count` times and lists who got it.
+/// Releases the only slot `count` times and returns the tickets of the requests that got the slot,
+/// in order.
 fn served(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     grant: thymeshift_dispatch::Grant,
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn higher_ranks_go_first_and_within_a_rank_the_oldest() {
+fn higher_ranks_are_served_first_and_within_a_rank_the_oldest() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     let archive = wait(&mut dispatcher, request(3, at(9_000)), 0);
@@ -62,18 +64,23 @@
 fn requests_that_can_be_in_time_go_before_those_that_cannot() {
     struct Case {
         note: &'static str,
-        /// Rank and end of the objective of each waiting request, oldest first.
+        /// Rank and end of the objective, in milliseconds, of each queued request; oldest first.
         waiting: &'static [(u8, u64)],
+        /// Indices into `waiting` in the order of service.
         served: &'static [usize],
     }
-    // An answer takes 5 ms as long as nothing is known.
+    // Until the first answer, a response time of 5 ms is assumed.
     let cases = [
         Case { note: "all in time", waiting: &[(1, 500), (1, 400)], served: &[0, 1] },
         Case { note: "the oldest is late", waiting: &[(1, 0), (1, 500)], served: &[1, 0] },
-        Case { note: "it would be late", waiting: &[(1, 12), (1, 500)], served: &[1, 0] },
-        Case { note: "a late one of a higher rank", waiting: &[(1, 0), (2, 500)], served: &[1, 0] },
+        Case { note: "the oldest would be late", waiting: &[(1, 12), (1, 500)], served: &[1, 0] },
         Case {
-            note: "late ones by rank",
+            note: "the late one has a higher rank",
+            waiting: &[(1, 0), (2, 500)],
+            served: &[1, 0],
+        },
+        Case {
+            note: "late requests in order of rank",
             waiting: &[(2, 0), (1, 0), (2, 500), (1, 500)],
             served: &[3, 2, 1, 0],
         },
@@ -102,11 +109,11 @@
         wait(&mut dispatcher, request(1, at(90_000)), 0);
     }
     let tickets = served(&mut dispatcher, held, 20);
-    assert!(tickets.contains(&late), "served within one turn in sixteen");
+    assert!(tickets.contains(&late), "served within sixteen turns");
 }
 
 #[test]
-fn a_waiter_that_finds_no_target_keeps_its_place() {
+fn a_queued_request_that_finds_no_target_keeps_its_place() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     let first = wait(&mut dispatcher, request(1, at(9_000)), 0);
@@ -126,20 +133,24 @@
         wait(&mut dispatcher, request(1, at(90_000)), 0);
     }
     let tickets = served(&mut dispatcher, held, 20);
-    assert!(tickets.contains(&archive), "served within one turn in sixteen");
+    assert!(tickets.contains(&archive), "served within sixteen turns");
 }
 
 #[test]
-fn an_overloaded_rank_serves_its_newest() {
+fn an_overloaded_rank_serves_its_newest_request_first() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     wait(&mut dispatcher, request(1, at(15)), 0);
     let new = wait(&mut dispatcher, request(1, at(60)), 9);
-    assert_eq!(served(&mut dispatcher, held, 1), [new], "the oldest has used half of its time");
+    assert_eq!(
+        served(&mut dispatcher, held, 1),
+        [new],
+        "the oldest has used more than half of its wait limit"
+    );
 }
 
 #[test]
-fn expired_waits_are_refused_and_the_rest_goes_on() {
+fn expired_requests_are_refused_and_the_others_are_served() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let mut rng = rng();
     let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng);
@@ -147,7 +158,7 @@
     let long = wait(&mut dispatcher, request(1, at(9_000)), 0);
     dispatcher.release(held, at(21));
     let Some(Wake::Refuse(ticket, refusal)) = dispatcher.next_wake(at(21), &mut rng) else {
-        panic!("the expired one first");
+        panic!("the expired request is not refused first");
     };
     assert_eq!((ticket, refusal.reason), (short, Reason::DeadlineUnreachable));
     assert!(matches!(dispatcher.next_wake(at(21), &mut rng), Some(Wake::Send(t, _)) if t == long));
@@ -161,7 +172,7 @@
 }
 
 #[test]
-fn refusals_are_immediate_and_say_when_to_come_back() {
+fn refusals_are_immediate_and_state_when_to_retry() {
     let cases = [
         Refused {
             name: "no target at all",
@@ -191,7 +202,7 @@
     for case in cases {
         let mut dispatcher = dispatcher(&configuration(case.targets, 1, ""));
         let mut rng = rng();
-        // The grant stays out: the only target is full.
+        // The grant is not released, so that the only target stays full.
         let held = dispatcher.request(request(1, at(9_000)), at(0), &mut rng);
         let mut waits = Vec::new();
         for _ in 0..3 {
@@ -204,13 +215,13 @@
             waits.push(refusal.retry_after);
         }
         waits.dedup();
-        assert!(waits.len() > 1, "{}: callers would come back together", case.name);
+        assert!(waits.len() > 1, "{}: callers would retry at the same time", case.name);
         assert!(matches!(held, Decision::Send(_)) || case.targets == 0, "{}", case.name);
     }
 }
 
 #[test]
-fn a_cancelled_wait_gives_its_place_up() {
+fn a_cancelled_request_gives_up_its_place() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
     let held = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
     let gone = wait(&mut dispatcher, request(1, at(9_000)), 0);
