--- a/crates/thymeshift_dispatch/tests/cold_targets.rs
+++ b/crates/thymeshift_dispatch/tests/cold_targets.rs
@@ -54,12 +54,12 @@
 fn send(dispatcher: &mut TestDispatcher, times_ms: &[u64]) -> Vec<u64> {
     let mut rng = rng();
     let mut sent = Vec::new();
-    for time_ms in times_ms {
-        let now = at(*time_ms);
+    for now_ms in times_ms {
+        let now = at(*now_ms);
         let at_once = Request { queue_max: 0, ..request(1, now + support::ms(500)) };
         if let Decision::Send(grant) = dispatcher.request(at_once, now, &mut rng) {
             dispatcher.release(grant, now);
-            sent.push(*time_ms);
+            sent.push(*now_ms);
         }
     }
     sent
@@ -70,7 +70,7 @@
     times_ms.sort_unstable();
     let within = |first: u64| {
         let second = first..first + 1_000;
-        times_ms.iter().filter(|time_ms| second.contains(*time_ms)).count()
+        times_ms.iter().filter(|now_ms| second.contains(*now_ms)).count()
     };
     times_ms.iter().map(|first| within(*first)).max().unwrap_or(0)
 }
@@ -79,14 +79,14 @@
 fn two_allocators_and_a_fleet_of_standalone_processes_stay_below_the_bound() {
     fn holds(mut gaps: Vec<u8>) -> bool {
         gaps.resize(400, 9);
-        let mut time_ms = 0;
+        let mut now_ms = 0;
         let times_ms: Vec<u64> = gaps
             .iter()
             .map(|gap| {
-                time_ms += u64::from(*gap % 16);
-                time_ms
+                now_ms += u64::from(*gap % 16);
+                now_ms
             })
-            .filter(|time_ms| *time_ms < 3_000)
+            .filter(|now_ms| *now_ms < 3_000)
             .collect();
         let mut sent = Vec::new();
         for _ in 0..2 {
