--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -272,7 +272,7 @@
             expected: Usability::BackingOff,
         },
         Case {
-            note: "leaving",
+            note: "a leaving mark",
             announce: |dispatcher| {
                 let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 assert!(dispatcher.mark_granted_leaving(&grant).is_some());
@@ -281,7 +281,7 @@
             expected: Usability::Leaving,
         },
     ];
-    for Case { note, announce, expected } in cases {
+    for Case { note: announced, announce, expected } in cases {
         let listed = configuration(2, 2, "");
         let mut unlisted = listed.clone();
         unlisted.services[0].targets.remove(0);
@@ -295,6 +295,6 @@
         let current = dump
             .iter()
             .find(|target| target.name == target_name(0) && target.usability != Usability::Removed);
-        assert_eq!(current.map(|target| target.usability), Some(expected), "{note}");
+        assert_eq!(current.map(|target| target.usability), Some(expected), "{announced}");
     }
 }
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -51,12 +51,12 @@
 #[test]
 fn state_of_an_earlier_incarnation_does_not_apply_to_the_next() {
     struct Case {
-        note: &'static str,
+        state: &'static str,
         record: fn(&mut TestDispatcher),
     }
     let cases = [
         Case {
-            note: "asked for a backoff",
+            state: "asked for a backoff",
             record: |dispatcher| {
                 let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.back_off(&grant, Duration::from_mins(1), at(0));
@@ -64,13 +64,13 @@
             },
         },
         Case {
-            note: "leaving",
+            state: "a leaving mark",
             record: |dispatcher| {
                 assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
             },
         },
         Case {
-            note: "failing",
+            state: "failed attempts",
             record: |dispatcher| {
                 for step in 0..20 {
                     let Some(grant) = dispatcher.grant_at(&target_name(0), None, at(step)) else {
@@ -82,7 +82,7 @@
             },
         },
         Case {
-            note: "unreachable",
+            state: "an unreachable address",
             record: |dispatcher| {
                 let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
                 dispatcher.learn(&grant, Observation::Unreachable, at(1));
@@ -90,19 +90,19 @@
             },
         },
         Case {
-            note: "loaded",
+            state: "a high reported load",
             record: |dispatcher| {
                 dispatcher.learn_probe(&target_name(0), report(40, 40), at(1));
             },
         },
         Case {
-            note: "cold for a minute",
+            state: "cold for a minute",
             record: |dispatcher| {
                 dispatcher.learn_probe(&target_name(0), cold_report(60_000), at(1));
             },
         },
         Case {
-            note: "requests in flight",
+            state: "requests in flight",
             record: |dispatcher| {
                 // Never released, because the target ended and the process that was granted the
                 // request is gone.
@@ -112,7 +112,7 @@
         },
     ];
     let other_address = "127.0.0.9:9".parse().expect("an address");
-    for Case { note: recorded, record } in cases {
+    for Case { state, record } in cases {
         for address in [None, Some(other_address)] {
             let base = configuration(TARGETS, TARGETS, "");
             let mut dispatcher = dispatcher(&base);
@@ -120,7 +120,7 @@
             let next = restarted(&base, 2, address);
             apply(&mut dispatcher, &next, 30);
             let found = first(&dispatcher, 31);
-            let note = format!("{recorded}, address {address:?}: {found:?}");
+            let note = format!("{state}, address {address:?}: {found:?}");
             assert_eq!(found.incarnation, Incarnation::new(2), "{note}");
             assert_eq!(found.usability, Usability::Open, "{note}");
             assert_eq!(found.in_flight, 0, "{note}");
