--- a/crates/thymeshift_dispatch/src/strategy/any.rs
+++ b/crates/thymeshift_dispatch/src/strategy/any.rs
@@ -1,5 +1,5 @@
-//! Load-balancing strategy selected by name in the configuration, dispatched through an enum
-//! instead of a trait object.
+//! Load-balancing strategy selected by name in the configuration. Enum dispatch keeps trait objects
+//! off the request path.
 
 use rand::Rng;
 use thymeshift_config::StrategyName;
--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -89,8 +89,8 @@
         self.counts_whole_fleet
     }
 
-    /// Returns the expected response time of a candidate in microseconds, including the cost of
-    /// reaching its data hall.
+    /// Returns the expected response time of a candidate in microseconds. The time includes the cost
+    /// of routing the request to the data hall of the candidate.
     pub fn expected_us(&self, candidate: &Candidate<'_>) -> f64 {
         let hall_cost_us = self.halls.cost_us(self.origin, candidate.target.hall, self.answer_kib);
         let cost_index = (candidate.in_flight() as usize).min(self.costs.len() - 1);
@@ -123,8 +123,8 @@
             }
             return sample;
         }
-        // Selection sampling: a candidate is drawn with probability (draws left) / (candidates
-        // left), which makes every sample of size `N` equally likely.
+        // Selection sampling draws each candidate with the probability `draws_left` divided by the
+        // number of candidates left, which makes every sample of size `N` equally likely.
         let mut draws_left = N;
         for (seen, candidate) in self.iter().enumerate() {
             if draws_left == 0 {
--- a/crates/thymeshift_dispatch/src/strategy/expected_time.rs
+++ b/crates/thymeshift_dispatch/src/strategy/expected_time.rs
@@ -2,8 +2,8 @@
 //!
 //! The expected response time of a target combines its last load report and the age of that
 //! report, this VM's requests in flight there and how long they have been outstanding, the observed
-//! latency, recent failures, the distance between data halls and the cold start of a new target (see
-//! `target_state::Target::expected_us`).
+//! latency, recent failures, the distance between data halls and the cold start of a new target. The
+//! formula is in `target_state::Target::expected_us`.
 //!
 //! A VM that counts only its own requests compares a few random candidates. All VMs hold similar,
 //! stale load reports, so choosing the best of all targets would send every VM to the same one.
@@ -17,8 +17,9 @@
 use crate::strategy::Strategy;
 use crate::strategy::candidates::min_by_cost;
 
-/// Number of random candidates compared for one request. `docs/DESIGN.md` has the measurements
-/// behind this value.
+/// Number of random candidates compared for one request.
+///
+/// `docs/DESIGN.md` lists the measurements that support this number of candidates.
 const SAMPLE_SIZE: usize = 4;
 
 /// Chooses the candidate with the smallest expected response time.
--- a/crates/thymeshift_dispatch/src/strategy/latency_two_choices.rs
+++ b/crates/thymeshift_dispatch/src/strategy/latency_two_choices.rs
@@ -7,8 +7,8 @@
 use crate::strategy::Candidates;
 use crate::strategy::Strategy;
 
-/// Chooses the one of two random candidates with the smaller product of mean latency and requests
-/// in flight plus one.
+/// Chooses the one of two random candidates with the smaller cost. The cost is the mean latency times
+/// the number of requests in flight plus one.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LatencyTwoChoices;
 
--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -138,8 +138,8 @@
     assert_eq!((after[0].ejected_for_ms, after[0].usability), (None, Usability::Open));
 }
 
-/// A request that cannot wait until the first backoff ends is refused at once and told when to
-/// retry; a request that can wait is queued.
+/// A request that cannot wait until the first backoff ends is refused at once with a retry delay. A
+/// request that can wait that long is queued.
 #[test]
 fn while_all_targets_back_off_requests_that_cannot_wait_are_refused_at_once() {
     struct Case {
@@ -192,8 +192,8 @@
     assert_eq!(refused, ticket);
 }
 
-/// A process that requests a target from an allocator lists the targets that it must not use, such
-/// as those that asked this process for a backoff.
+/// A process that requests a target from an allocator lists the targets that it must not use, for
+/// example targets that asked this process for a backoff.
 #[test]
 fn an_excluded_target_is_not_chosen_even_if_it_is_the_only_one() {
     let mut dispatcher = service(2);
@@ -256,8 +256,8 @@
     assert!(is_used(&mut dispatcher, 0, at(1_211)), "one answer ends the refusal streak");
 }
 
-/// A discovery entry may expire and come back for the same incarnation. The backoff or the leaving
-/// mark of its target must still apply then.
+/// A discovery entry may expire and come back for the same incarnation. The backoff or leaving mark
+/// of the target must still apply when its discovery entry is back.
 #[test]
 fn backoff_and_leaving_hold_while_a_target_is_not_listed() {
     struct Case {
--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets of measuring, connections and retries. They must hold for any view that the VMs have of
-//! each other.
+//! Budgets of measuring, connections and retries. The budgets must hold even if the VMs disagree
+//! about which VMs are running.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 mod support;
@@ -56,8 +56,8 @@
     MeasuringShare::new(BUDGET_US_PER_S, COST_US, VMS_MAX, now, phase)
 }
 
-/// Plays the events and returns the target time that the probes of all VMs take, in microseconds,
-/// and the length of the run.
+/// Plays the events and returns two results: the target time that the probes of all VMs take, in
+/// microseconds, and the duration of the simulated run.
 fn spent_us(events: &[Event]) -> (u64, Duration) {
     let step = ms(50);
     let mut vms: Vec<Vm> = (0..VMS_MAX)
@@ -239,8 +239,8 @@
     }
 }
 
-/// Probes made just before grants come in bursts. Over a longer time, the probe rate must still stay
-/// at one probe per interval.
+/// Probes made just before grants come in bursts. The long-term probe rate must still not exceed one
+/// probe per interval.
 #[test]
 fn early_probes_are_few_at_a_time_and_delay_later_ones() {
     fn holds(actions: Vec<u8>) -> bool {
--- a/crates/thymeshift_dispatch/tests/cold_targets.rs
+++ b/crates/thymeshift_dispatch/tests/cold_targets.rs
@@ -1,5 +1,5 @@
-//! Cold targets get no more requests per second than the configured bound, whether allocators or
-//! standalone processes choose them.
+//! Cold targets get no more requests per second than the configured bound. The bound holds for the
+//! requests of allocators and of standalone processes together.
 
 mod support;
 
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -1,5 +1,5 @@
-//! Targets of a drained data hall get no new requests, including requests granted before the drain
-//! or by another process.
+//! Targets of a drained data hall get no new requests. This includes requests that were granted
+//! before the drain or by another process.
 
 mod support;
 
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -1,5 +1,5 @@
-//! Decisions of an allocator that counts the requests of the whole fleet: concurrency per target,
-//! reported pace and data halls.
+//! Decisions of an allocator that counts the requests of the whole fleet. The tests cover concurrency
+//! per target, reported pace and the choice between data halls.
 
 mod support;
 
@@ -119,8 +119,8 @@
 }
 
 /// Keeps all targets full for `millis` milliseconds. The response time of a request is the entry of
-/// `taken_ms` for the number of requests at its target when the request is sent. Returns the largest
-/// number of requests at each target.
+/// `taken_ms` for the number of requests at its target when the request is sent. Returns the maximum
+/// number of concurrent requests per target.
 fn keep_full(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     targets: usize,
@@ -441,7 +441,7 @@
     for round in 0..200 {
         let now = at(round * 200);
         // Two concurrent requests take twice as long as one, but only because the target is in a
-        // slow spell then.
+        // slow spell while they run.
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
         let _ = dispatcher.learn_probe(&target_name(0), paced(pace), now);
--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -14,8 +14,8 @@
 use thymeshift_dispatch::Request;
 use thymeshift_dispatch::View;
 
-/// Dispatcher with two targets in hall `a` and two in hall `b`. The detour of 100 ms lets a request
-/// stay in its hall as long as that costs at most 100 ms more.
+/// Dispatcher with two targets in hall `a` and two in hall `b`. Routing a short answer to the other
+/// hall counts as a cost of 100 ms, so that requests prefer their own hall up to that delay.
 fn dispatcher_with_detour() -> thymeshift_dispatch::Dispatcher<thymeshift_dispatch::AnyStrategy> {
     let mut configuration = configuration(4, 2, "");
     configuration.data_hall_detour_us = 100_000;
@@ -40,8 +40,8 @@
     for Case { answer_kib, crossing } in cases {
         let mut dispatcher = dispatcher_with_detour();
         let mut rng = rng();
-        // Requests take 200 ms, so that a second request at a local target costs more than the
-        // detour of a short answer.
+        // Requests take 200 ms, so that a second request at a local target costs more than routing
+        // a request with a short answer to the other hall.
         for step in 0..40 {
             let wanted = request(1, at(100_000));
             let grant = expect_grant(&mut dispatcher, wanted, at(step * 200), &mut rng);
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -18,14 +18,14 @@
 use thymeshift_dispatch::View;
 use thymeshift_types::TargetName;
 
-/// Number of targets of the service in the hall; the archive service of the tariff operator has as
-/// many per hall.
+/// Number of targets of the service in the hall. The archive service of the tariff operator has the
+/// same number of targets in a hall.
 const TARGETS: usize = 44;
 /// Number of requests in one second; they arrive 5 ms apart.
 const REQUESTS: u64 = 200;
 
 /// Dispatcher of the process that allocates the hall's targets to the fleet. `is_backed` states
-/// whether other halls have spare capacity for the service.
+/// whether other halls can take requests of the service.
 fn allocating(is_backed: bool) -> TestDispatcher {
     let mut dispatcher = dispatcher(&configuration(TARGETS, TARGETS, ""));
     dispatcher.set_view(View::Fleet);
--- a/crates/thymeshift_dispatch/tests/patience.rs
+++ b/crates/thymeshift_dispatch/tests/patience.rs
@@ -1,5 +1,5 @@
-//! Estimates of how long a caller has already been trying, from the remaining wait time that it
-//! states in the request.
+//! Estimates of the time that a caller has already spent on earlier attempts, from the remaining
+//! wait that the caller states in the request.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
     Duration::from_millis(millis)
 }
 
-/// Remaining wait that a caller states, and the expected estimate of the time already spent on
-/// earlier attempts.
+/// Remaining wait that a caller states, and the time on earlier attempts that must be estimated from
+/// the stated wait.
 struct Case {
     note: &'static str,
     stated_ms: u64,
--- a/crates/thymeshift_dispatch/tests/probe_budget.rs
+++ b/crates/thymeshift_dispatch/tests/probe_budget.rs
@@ -9,8 +9,8 @@
 const PROBES_PER_REQUEST: usize = 10;
 
 quickcheck! {
-    /// In any order of requests and probes, the number of probes never exceeds the initial budget
-    /// plus the probes that the requests so far have earned.
+    /// The number of probes never exceeds the initial budget plus the probes earned by the requests
+    /// so far, for any order of requests and probes.
     fn probes_never_exceed_what_requests_have_earned(steps: Vec<(bool, u8)>) -> bool {
         let mut budget = ProbeBudget::default();
         let (mut requests, mut probes) = (0, 0);
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -41,8 +41,8 @@
 /// Shortest interval between two probes of a target that the probe budget allows.
 const PROBE_INTERVAL: Duration = Duration::from_millis(48);
 
-/// Returns the pace of requests that start at a target at `now_ms`, as a percentage of the usual
-/// response time.
+/// Returns the pace of requests that start at a target at `now_ms`. A pace of 200 percent doubles the
+/// usual response time.
 fn pace_percent(target: usize, now_ms: u64) -> u32 {
     let spell = now_ms / SPELL_MS;
     let seed = (target as u64) << 32 | spell;
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -1,5 +1,5 @@
-//! Rate-limited targets get no more requests per second than the limit that they state, and their
-//! full share again once they state no limit.
+//! Rate-limited targets get no more requests per second than the limit that they state. A target that
+//! states no limit any more gets its full share of the requests again.
 
 mod support;
 
@@ -48,8 +48,8 @@
     dispatcher.dump(at(time_ms)).targets[0].rate_limit.map(|limit| limit.per_s)
 }
 
-/// Sends a request at `time_ms` to a target that states `limit` in the answer 1 ms later; `None`
-/// states that the target is not rate-limited.
+/// Sends a request at `time_ms` to a target that states `limit` in the answer 1 ms later. An answer
+/// without a limit (`None`) means that the target is not rate-limited.
 fn state_limit(
     dispatcher: &mut TestDispatcher,
     index: usize,
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -104,8 +104,8 @@
         Case {
             state: "requests in flight",
             record: |dispatcher| {
-                // Never released, because the target ended and the process that was granted the
-                // request is gone.
+                // The grant is never released: the target ended, and so did the process that was
+                // granted the request.
                 let _unreleased =
                     dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
             },
@@ -178,8 +178,8 @@
     }
 }
 
-/// Restarts several times within a second, as in a crash loop; the target list must keep one entry
-/// per target.
+/// The first target restarts several times within a second, as in a crash loop. The target list must
+/// still hold exactly one current entry per target.
 #[test]
 fn repeated_restarts_leave_one_target() {
     let base = configuration(TARGETS, TARGETS, "");
--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Shared fixtures of the dispatch tests: configurations, requests, load reports and a seeded
-//! random number generator.
+//! Shared fixtures of the dispatch tests: configurations, requests, load reports and a random number
+//! generator with a fixed seed.
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use std::fmt::Write;
@@ -26,7 +26,7 @@
 
 pub(crate) type TestDispatcher = Dispatcher<AnyStrategy>;
 
-/// Time zero of the tests, well after the start of the clock, so that times before it are valid.
+/// Time zero of the tests, well after the start of the clock.
 pub(crate) const START: Timestamp = Timestamp::from_millis(1_000_000);
 
 pub(crate) fn ms(millis: u64) -> Duration {
@@ -41,9 +41,9 @@
     SmallRng::seed_from_u64(5)
 }
 
-/// Configuration of one service with targets `t0`, `t1`, … of one slot each. The first
-/// `local_targets` targets are in the VM's data hall `a`, the others in `b`; `service` holds further
-/// YAML lines of the service.
+/// Configuration of one service with targets `t0`, `t1`, … of one slot each. `service` holds further
+/// YAML lines of the service. The first `local_targets` targets are in the VM's data hall `a`, the
+/// others in data hall `b`.
 pub(crate) fn configuration(targets: usize, local_targets: usize, service: &str) -> Configuration {
     let mut text = format!(
         "entry_vms_max: 4\ndata_halls: [a, b]\ndata_hall_one_way_us: 1500\nkinds: []\nservices:\n  \
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -1,5 +1,5 @@
-//! Choice of targets: leaving marks, ejection, concurrency limits, cold starts, distance between data
-//! halls and load reports that are wrong.
+//! Choice of targets under leaving marks, ejection, concurrency limits and cold starts, across data
+//! halls, and with targets whose load reports are wrong.
 
 mod support;
 
--- a/crates/thymeshift_dispatch/tests/waiting.rs
+++ b/crates/thymeshift_dispatch/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! Queued and refused requests: priority ranks, starvation, expiry and requests that cannot meet
-//! their deadline.
+//! Queued and refused requests. The tests cover priority ranks, starvation, expiry and requests that
+//! cannot meet their deadline.
 
 mod support;
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Releases the only slot `count` times and returns the tickets of the requests that got the slot,
-/// in order.
+/// Releases the only slot `count` times and returns the tickets of the requests that got the slot, in
+/// the order in which the requests were served.
 fn served(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     grant: thymeshift_dispatch::Grant,
