--- a/crates/thymeshift_dispatch/src/lib.rs
+++ b/crates/thymeshift_dispatch/src/lib.rs
@@ -1,18 +1,18 @@
-//! Decisions without I/O: which target gets a request, when it waits, when it is refused.
+//! Load balancing decisions without I/O: which target gets a request, when a request waits and
+//! when it is refused.
 //!
-//! The parts are plain state machines. The moment and the random numbers are arguments,
-//! so a decision can be repeated exactly. To embed them, keep one [`Dispatcher`] a
-//! service and
+//! All parts are plain state machines that take the current time and the random number generator
+//! as arguments, so that every decision can be reproduced exactly. To embed the crate, keep one
+//! [`Dispatcher`] per service:
 //!
-//! 1. ask it with [`Dispatcher::request`]; it answers [`Decision::Send`],
-//!    [`Decision::Wait`] or [`Decision::Refuse`];
-//! 2. before the first byte is sent, ask [`Dispatcher::may_send`] again;
-//! 3. tell it with [`Dispatcher::record_attempt`] what was seen and with [`Dispatcher::release`]
-//!    that the target is done with the request;
-//! 4. after each release take the waiting requests that may go now from
-//!    [`Dispatcher::next_wake`].
+//! 1. Call [`Dispatcher::request`], which returns [`Decision::Send`], [`Decision::Wait`] or
+//!    [`Decision::Refuse`].
+//! 2. Call [`Dispatcher::may_send`] immediately before the first byte is sent.
+//! 3. Record the result of the attempt with [`Dispatcher::record_attempt`], and return the grant
+//!    with [`Dispatcher::release`] when the target has finished the request.
+//! 4. After each release, poll [`Dispatcher::next_wake`] for waiting requests that can be sent.
 //!
-//! The choice of target is a [`Strategy`]; each one is a file in `strategy/`.
+//! A [`Strategy`] chooses the target; each strategy is a file in `strategy/`.
 
 mod adaptive_limit;
 mod admission;
