--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -1,48 +1,50 @@
-//! Whether a request that must wait has a chance to meet its deadline.
+//! Admission control: whether a request that must wait can still meet its deadline.
 //!
-//! What it does: keeps the rate at which requests leave the service at this VM and the
-//! time an attempt takes; from both, and the requests ahead, it estimates when a new
-//! request would be answered. If that is past the deadline, the request is refused at
-//! once, with the time after which the queue should have cleared.
+//! Estimates when a new request would be answered, from the rate at which this VM releases requests
+//! of the service and the number of requests ahead in the queue. A request whose estimate is past
+//! its deadline is refused immediately, with the time after which the queue should have drained.
 //!
-//! Why: a request that waits and then misses its deadline costs the caller time, the
-//! queue a place and the target work that nobody wants any more.
+//! A request that waits and then misses its deadline delays its caller, occupies a place in the
+//! queue and makes the target do work whose result is discarded.
 
 use std::time::Duration;
 
 use rand::Rng;
 use thymeshift_types::Timestamp;
 
-/// Weight of one release in the mean gap between releases.
+/// Weight of one release in the moving mean of the gap between releases.
 const GAP_WEIGHT: f64 = 0.05;
-/// Longest gap counted, in microseconds: a quiet service is not a slow one.
+/// Upper bound of one gap in the mean, in microseconds: an idle service must not count as slow.
 const GAP_US_MAX: f64 = 200_000.0;
-/// Assumed gap before the first two releases, in microseconds.
-const GAP_US_START: f64 = 1_000.0;
-/// Shortest and longest time to come back that callers are told.
+/// Assumed gap between releases before two releases have been seen, in microseconds.
+const INITIAL_GAP_US: f64 = 1_000.0;
+/// Shortest retry-after time that a refused caller receives.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
+/// Longest retry-after time that a refused caller receives, without jitter.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
-/// Spread of the time to come back: up to this share is added at random, so that callers
-/// do not return together.
-const RETRY_AFTER_SPREAD: f64 = 1.0;
-/// Time over which callers return that wait for the same moment.
-const RETURN_SPREAD_MAX: Duration = Duration::from_millis(500);
+/// Largest jitter of the retry-after time, as a share of that time: without jitter, refused
+/// callers would all retry at the same time.
+const RETRY_AFTER_JITTER: f64 = 1.0;
+/// Largest jitter for callers that are told to retry at the end of the same backoff.
+const RETURN_JITTER_MAX: Duration = Duration::from_millis(500);
 
+/// Drain rate of one service at this VM, and the waits that follow from it.
 #[derive(Debug, Clone)]
 pub(crate) struct Admission {
+    /// Mean gap between two releases while requests wait, in microseconds.
     gap_us: f64,
     last_release: Option<Timestamp>,
 }
 
 impl Admission {
     pub(crate) fn new() -> Self {
-        Self { gap_us: GAP_US_START, last_release: None }
+        Self { gap_us: INITIAL_GAP_US, last_release: None }
     }
 
-    /// Notes a release. Only gaps while requests wait say how fast the service drains.
-    pub(crate) fn record_release(&mut self, now: Timestamp, is_busy: bool) {
+    /// Records a release. Only gaps while requests wait measure how fast the service drains.
+    pub(crate) fn record_release(&mut self, now: Timestamp, has_waiting: bool) {
         if let Some(last) = self.last_release
-            && is_busy
+            && has_waiting
         {
             let gap_us = (now.since(last).as_micros() as f64).min(GAP_US_MAX);
             self.gap_us += GAP_WEIGHT * (gap_us - self.gap_us);
@@ -50,25 +52,26 @@
         self.last_release = Some(now);
     }
 
-    /// Expected wait behind `ahead` requests.
+    /// Returns the expected wait of a request that is queued behind `ahead` others.
     pub(crate) fn expected_wait(&self, ahead: usize) -> Duration {
         Duration::from_micros((self.gap_us * (ahead as f64 + 1.0)) as u64)
     }
 
-    /// When a refused caller should come back: once what is ahead has drained, spread.
+    /// Returns the retry-after time of a refused caller: the time in which the `ahead` queued
+    /// requests drain, with jitter.
     pub(crate) fn retry_after(&self, ahead: usize, rng: &mut impl Rng) -> Duration {
         jittered_retry_after(self.expected_wait(ahead), rng)
     }
 }
 
-/// When a refused caller should come back, if it would be served after `wait`; spread.
-/// When a caller should come back for a target that may be used again after `wait`: not sooner, and
-/// not all at once.
+/// Returns the retry-after time for a target that may be used again after `wait`: never less than
+/// `wait`, with jitter so that callers do not all retry at once.
 pub(crate) fn jittered_return_delay(wait: Duration, rng: &mut impl Rng) -> Duration {
-    wait + RETURN_SPREAD_MAX.min(wait).mul_f64(rng.random::<f64>())
+    wait + RETURN_JITTER_MAX.min(wait).mul_f64(rng.random::<f64>())
 }
 
+/// Returns the retry-after time of a refused caller that would be served after `wait`, with jitter.
 pub(crate) fn jittered_retry_after(wait: Duration, rng: &mut impl Rng) -> Duration {
     let base = wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
-    base.mul_f64(1.0 + RETRY_AFTER_SPREAD * rng.random::<f64>())
+    base.mul_f64(1.0 + RETRY_AFTER_JITTER * rng.random::<f64>())
 }
