--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -1,30 +1,30 @@
-//! Backoffs: a target that refuses may ask the process that it answers to send nothing for a while.
+//! Backoffs that a target requests from a process when it refuses a request.
 //!
-//! What it does: [`Backoff`] keeps until when this process may not send to a target.
-//! [`RefusalStreak`] counts the refusals in a row that asked for one, of all processes that
-//! this one decides for; from a few on, the target gets one request at a time, spaced out.
+//! [`Backoff`] holds the time until which this process may not send to a target. [`RefusalStreak`]
+//! counts consecutive refusals with a backoff, from all processes that this one decides for; once
+//! the streak reaches [`STREAK_MIN`], the target gets one request at a time, at an interval.
 //!
-//! Why: a backoff binds the process that it was asked of. Whoever allocates to many processes would
-//! send each of them there once, and a target that refuses at once looks idle. Nobody else is kept
-//! away for as long as the target asked of one: it may refuse some processes and serve others.
+//! A backoff binds only the process that received it, because a target may refuse some processes
+//! and serve others. Without the streak, an allocator would send every other process to the target
+//! once, since a target that refuses immediately looks idle.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Refusals in a row from which on a target gets single requests.
+/// Consecutive refusals from which on a target gets only one request at a time.
 const STREAK_MIN: u32 = 2;
-/// Time between two requests to a target during a streak.
+/// Interval between two requests to a target during a streak of refusals.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Until when a target may get no request of this process. It ends by time alone.
+/// Time until which this process may not send to a target. Only the passing of time ends a backoff.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Backoff {
     until: Option<Timestamp>,
 }
 
 impl Backoff {
-    /// The target asks for a backoff from `now` on. A shorter one does not end a longer one.
+    /// Extends the backoff to `wait` after `now`. A shorter backoff does not end a longer one.
     pub(crate) fn extend(&mut self, wait: Duration, now: Timestamp) {
         self.until = self.until.max(Some(now + wait));
     }
@@ -33,13 +33,13 @@
         self.active_until(now).is_some()
     }
 
-    /// Its end, while it lasts.
+    /// Returns the end of the backoff while the backoff is active.
     pub(crate) fn active_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.until.filter(|until| now < *until)
     }
 }
 
-/// Refusals in a row that asked for a backoff.
+/// Number of consecutive refusals with a backoff.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RefusalStreak {
     refusals: u32,
@@ -54,10 +54,10 @@
         self.refusals = 0;
     }
 
-    /// The most requests in flight that the streak allows a target that got its last one at
-    /// `granted_at`; none if there is no streak.
+    /// Returns the requests in flight that the streak allows a target whose last grant was at
+    /// `granted_at`, or `None` without a streak.
     pub(crate) fn in_flight_max(self, granted_at: Timestamp, now: Timestamp) -> Option<u32> {
-        let is_due = now.since(granted_at) >= TRIAL_INTERVAL;
-        (self.refusals >= STREAK_MIN).then_some(u32::from(is_due))
+        let is_trial_due = now.since(granted_at) >= TRIAL_INTERVAL;
+        (self.refusals >= STREAK_MIN).then_some(u32::from(is_trial_due))
     }
 }
