--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -1,108 +1,109 @@
-//! Bringing a cold target to its full share step by step.
+//! Slow start of cold targets: their share of the requests rises step by step.
 //!
-//! What it does: for a while after a target appeared, after its data hall was taken back, or after
-//! it told that it is cold, its expected time is made to look longer, by a factor that falls
-//! to 1; and where a service says how many requests a cold target bears, it gets no more.
+//! A target is cold for a while after it appeared, after its data hall was taken back, or after it
+//! reported that it is cold. Its expected time is then multiplied by a factor that falls to 1. Where
+//! the service states how many requests per second a cold target bears, the target gets no more.
 //!
-//! Why: a target that has just started reports no load and answers slowly; all VMs
-//! together would bury it. A hall that comes back as a whole is the worst case: a quarter of the
-//! targets is idle and looks best to everybody.
+//! A target that has just started reports no load and answers slowly, so that all VMs together
+//! would overload it. A data hall that comes back as a whole is the worst case: a quarter of the
+//! targets is idle and looks best to every VM.
 //!
-//! Who counts: the process that allocates a target grants one request after the other, at the rate
-//! that the target bears. Two of them may do so for a moment. What the bound leaves beside those
-//! two is divided among all processes that may run, for those that decide alone; such a process
-//! first waits as long as between two requests, because all of them may begin at one time.
+//! The process that allocates a target spaces its grants at the rate that the target bears. Two
+//! processes may allocate the same target for a short time. The part of the bound that these two
+//! leave is divided among all processes that may run, for processes in fallback. A process in
+//! fallback first waits one full interval, because all processes may enter fallback at once.
 
 use std::time::Duration;
 
 use thymeshift_config::Service;
 use thymeshift_types::Timestamp;
 
-/// Factor on the expected time at the first moment.
-const FACTOR_START: f64 = 4.0;
-/// Processes that may allocate one target at the same time.
+/// Factor on the expected time when a target becomes cold.
+const INITIAL_FACTOR: f64 = 4.0;
+/// Largest number of processes that may allocate one target at the same time.
 const ALLOCATORS_MAX: u64 = 2;
-/// Thousand requests in 1,000 seconds are one a second.
-const MILLI: u64 = 1_000;
-/// Part of a target's rate, as a divisor, that is left to processes that decide alone where the
-/// bound leaves them nothing.
-const ALONE_LEAST_PART: u64 = 10;
+/// Seconds in the unit of request rates: 1,000 requests per 1,000 s are one request per second.
+const RATE_UNIT_S: u64 = 1_000;
+/// Divisor of a cold target's rate that gives the least rate of all processes in fallback together,
+/// where the allocators use up the whole bound.
+const FALLBACK_RATE_DIVISOR: u64 = 10;
 
-/// Least time between two requests to one cold target, by who decides.
+/// Least intervals between two requests to one cold target, by the [`crate::View`] of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ColdIntervals {
-    /// For the process that allocates the target.
+    /// Interval for the process that allocates the target.
     pub(crate) fleet: Duration,
-    /// For each process of a fleet in which nobody allocates.
+    /// Interval for each process of a fleet without an allocator.
     pub(crate) own: Duration,
-    /// For a process that decides alone while others may allocate.
+    /// Interval for a process in fallback, while other processes may allocate the target.
     pub(crate) fallback: Duration,
 }
 
 impl ColdIntervals {
-    /// The paces of a service among up to `entry_vms_max` processes; none if it does not say what
-    /// a cold target bears.
+    /// Returns the intervals of a service among up to `entry_vms_max` processes, or `None` if the
+    /// service does not state the rate that a cold target bears.
     pub(crate) fn for_service(service: &Service, entry_vms_max: u64) -> Option<Self> {
         let rate = service.cold_requests_per_s?.in_1000_s();
         let bound = service.cold_bound_per_s.in_1000_s().max(rate);
-        let allocators = ALLOCATORS_MAX * (rate + MILLI);
-        let left = bound.saturating_sub(allocators).max(rate / ALONE_LEAST_PART);
-        let vms = entry_vms_max.max(1);
+        let allocators = ALLOCATORS_MAX * (rate + RATE_UNIT_S);
+        let fallback_rate = bound.saturating_sub(allocators).max(rate / FALLBACK_RATE_DIVISOR);
+        let vms_max = entry_vms_max.max(1);
         Some(Self {
-            fleet: between(rate, 1),
-            own: between(bound, vms),
-            fallback: between(left, vms),
+            fleet: interval_per_process(rate, 1),
+            own: interval_per_process(bound, vms_max),
+            fallback: interval_per_process(fallback_rate, vms_max),
         })
     }
 }
 
-/// Time between two requests of one of `count` processes that share a rate.
-fn between(per_1000_s: u64, count: u64) -> Duration {
-    let seconds = MILLI as f64 * count as f64 / per_1000_s.max(1) as f64;
+/// Interval between two requests of each of `count` processes that share a rate equally.
+fn interval_per_process(per_1000_s: u64, count: u64) -> Duration {
+    let seconds = RATE_UNIT_S as f64 * count as f64 / per_1000_s.max(1) as f64;
     Duration::from_secs_f64(seconds)
 }
 
+/// Cold period of one target.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ColdStart {
     since: Timestamp,
     until: Timestamp,
-    /// Time over which the factor falls.
+    /// Time over which the factor on the expected time falls to 1.
     ramp: Duration,
 }
 
 impl ColdStart {
-    /// A target that is cold from `now` for `left`.
-    pub(crate) fn new(now: Timestamp, left: Duration, ramp: Duration) -> Self {
-        Self { since: now, until: now + left, ramp: ramp.max(left) }
+    /// Creates the state of a target that is cold from `now` for `remaining`.
+    pub(crate) fn new(now: Timestamp, remaining: Duration, ramp: Duration) -> Self {
+        Self { since: now, until: now + remaining, ramp: ramp.max(remaining) }
     }
 
-    /// A target that was there before this process.
+    /// Creates the state of a target that ran before this process started, and counts as warm.
     pub(crate) fn warm() -> Self {
         Self { since: Timestamp::default(), until: Timestamp::default(), ramp: Duration::ZERO }
     }
 
-    /// Whether it is cold.
+    /// Whether the target is cold at `now`.
     pub(crate) fn is_cold(&self, now: Timestamp) -> bool {
         now < self.until
     }
 
-    /// Since when, if it is.
+    /// Start of the cold period; meaningful only while the target is cold.
     pub(crate) fn since(&self) -> Timestamp {
         self.since
     }
 
-    /// The target is cold for `left` more, or warm if that is nothing.
-    pub(crate) fn set_remaining(&mut self, left: Duration, ramp: Duration, now: Timestamp) {
+    /// Sets the remaining cold time; zero makes the target warm.
+    pub(crate) fn set_remaining(&mut self, remaining: Duration, ramp: Duration, now: Timestamp) {
         let since = if self.is_cold(now) { self.since } else { now };
-        *self = Self { since, ..Self::new(now, left, ramp) };
+        *self = Self { since, ..Self::new(now, remaining, ramp) };
     }
 
-    /// Factor on the expected time at `now`.
+    /// Returns the factor on the target's expected time at `now`.
     pub(crate) fn factor(&self, now: Timestamp) -> f64 {
         if !self.is_cold(now) {
             return 1.0;
         }
-        let left = now.until(self.until).as_secs_f64() / self.ramp.as_secs_f64();
-        1.0 + (FACTOR_START - 1.0) * left
+        let remaining_share = now.until(self.until).as_secs_f64() / self.ramp.as_secs_f64();
+        1.0 + (INITIAL_FACTOR - 1.0) * remaining_share
     }
 }
