--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -1,180 +1,188 @@
-//! How many requests at a time one target of a service serves best.
+//! Best number of concurrent requests at one target of a service.
 //!
-//! What it does: keeps the times of the latest answers for each number of requests that were
-//! at the target when the request was sent, and compares a low quantile of them. The best
-//! number is the largest at which one more request still raises the throughput, which is the
-//! number divided by that time. What is not known is assumed: one more request is worth it,
-//! but for the last third of the slots, if there are more than three. A few targets explore:
-//! they may have one request more or fewer than the best number while it is not known what
-//! that is worth. What is known is forgotten after a while, and found out anew.
+//! Keeps the latest answer times for each concurrency level, which is the number of requests that
+//! were at the target when a request was sent, and compares a low quantile of them. The best level
+//! is the highest one at which one more request still raises the throughput, which is the level
+//! divided by the answer time.
 //!
-//! Why: targets slow down when nearly full. Beyond some number each further request makes
-//! all of them slower than it is worth; that number differs from the slots that a target
-//! tells of. A process that knows nothing yet overloads all targets if it begins with all
-//! slots, and wastes little if it begins with two thirds. A low quantile, because part of the
-//! answers take many times as long for other reasons.
+//! A level without samples is assumed to raise the throughput, except in the last third of the slots
+//! if a target has more than three. A few targets explore: they may have one request more or fewer
+//! than the best level while the effect of that level is unknown. Samples expire, so that the level
+//! is measured again.
+//!
+//! Targets slow down when nearly full: beyond some level, each further request slows all requests
+//! by more than it adds in throughput. That level differs from the number of slots that a target
+//! states. A process without samples would overload all targets if it started with all slots, and
+//! wastes little capacity if it starts with two thirds. A low quantile is used because some answers
+//! take many times as long for reasons other than the concurrency.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Numbers of requests told apart; beyond, the largest stands for all.
-const LEVELS: usize = 16;
-/// Answers kept for each number.
-const ANSWERS_KEPT: usize = 64;
-/// Answers at a number before it is believed, at least, and for each request of that number:
-/// the more requests, the smaller is what one more brings.
-const BELIEVED_AFTER_MIN: usize = 10;
-const BELIEVED_AFTER_PER_REQUEST: usize = 4;
-/// The quantile compared.
-const QUANTILE: f64 = 0.3;
-/// One more request must raise the throughput by this share, or by this part of what it would
-/// bring if it slowed nothing, whichever is less.
-const GAIN_MIN: f64 = 0.12;
-const GAIN_PART_MIN: f64 = 0.5;
-/// Assumed slowing by one more request when a target is nearly full.
-const ASSUMED_STEP: f64 = 1.3;
-/// Up to so many slots all of them are assumed to be of use: one slot is then a third of the
-/// capacity or more, which costs more than targets that are a little slower. With three slots
-/// the rosters gained 0.011 and the tariff days lost 0.001 against two (docs/DECISIONS.md).
+/// Number of concurrency levels kept; the last one also stands for all higher levels.
+const LEVEL_COUNT: usize = 16;
+/// Largest number of answer times kept for each concurrency level.
+const SAMPLES_PER_LEVEL_MAX: usize = 64;
+/// Least number of answers before the quantile of any concurrency level is used.
+const SAMPLES_MIN: usize = 10;
+/// Answers required for each request of a concurrency level before its quantile is used: the higher
+/// the level, the smaller the gain of one more request.
+const SAMPLES_MIN_PER_REQUEST: usize = 4;
+/// Quantile of the answer times that is compared between concurrency levels.
+const LATENCY_QUANTILE: f64 = 0.3;
+/// Least share by which one more request must raise the throughput, unless
+/// [`IDEAL_GAIN_SHARE_MIN`] of the ideal gain is less.
+const THROUGHPUT_GAIN_MIN: f64 = 0.12;
+/// Least part of the ideal throughput gain that one more request must bring; the ideal gain is that
+/// of a request that slows no other.
+const IDEAL_GAIN_SHARE_MIN: f64 = 0.5;
+/// Assumed factor on the answer time for one more request when a target is nearly full.
+const ASSUMED_SLOWDOWN_FACTOR: f64 = 1.3;
+/// Largest number of slots of which all are assumed to raise the throughput: one slot is then a
+/// third of the capacity or more, which costs more than slightly slower targets. Against a bound of
+/// two slots, three raise the score of rosters by 0.011 and lower that of tariff days by 0.001
+/// (docs/DECISIONS.md).
 const ALL_SLOTS_ASSUMED_MAX: u32 = 3;
-/// Time without an answer after which what is known of a number is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+/// Time without an answer after which the samples of a concurrency level are dropped.
+const LEVEL_TTL: Duration = Duration::from_secs(30);
 
-/// The latest answers at one number.
+/// Latest answer times at one concurrency level, in a ring buffer.
 #[derive(Debug, Clone, Default)]
 struct Level {
     taken_us: Vec<f64>,
+    /// Index in `taken_us` that the next answer overwrites once the buffer is full.
     next: usize,
     quantile_us: f64,
     last_at: Timestamp,
 }
 
 impl Level {
-    fn learn(&mut self, taken_us: f64, now: Timestamp) {
-        if now.since(self.last_at) > FORGOTTEN_AFTER {
+    fn record(&mut self, taken_us: f64, now: Timestamp) {
+        if now.since(self.last_at) > LEVEL_TTL {
             self.taken_us.clear();
             self.next = 0;
         }
         self.last_at = now;
-        if self.taken_us.len() < ANSWERS_KEPT {
+        if self.taken_us.len() < SAMPLES_PER_LEVEL_MAX {
             self.taken_us.push(taken_us);
         } else {
             self.taken_us[self.next] = taken_us;
-            self.next = (self.next + 1) % ANSWERS_KEPT;
+            self.next = (self.next + 1) % SAMPLES_PER_LEVEL_MAX;
         }
         let mut sorted = self.taken_us.clone();
-        let place = (sorted.len() as f64 * QUANTILE) as usize;
-        let (_, quantile, _) = sorted.select_nth_unstable_by(place, f64::total_cmp);
+        let index = (sorted.len() as f64 * LATENCY_QUANTILE) as usize;
+        let (_, quantile, _) = sorted.select_nth_unstable_by(index, f64::total_cmp);
         self.quantile_us = *quantile;
     }
 
-    /// The quantile, if there are `believed_after` answers.
-    fn known_us(&self, believed_after: usize, now: Timestamp) -> Option<f64> {
-        let is_known =
-            self.taken_us.len() >= believed_after && now.since(self.last_at) <= FORGOTTEN_AFTER;
+    /// Returns the quantile if there are at least `samples_min` answers and the latest is recent.
+    fn known_us(&self, samples_min: usize, now: Timestamp) -> Option<f64> {
+        let is_known = self.taken_us.len() >= samples_min && now.since(self.last_at) <= LEVEL_TTL;
         is_known.then_some(self.quantile_us)
     }
 }
 
-/// Numbers of requests of which it is not known what they are worth.
+/// Concurrency levels next to the best one whose effect on the throughput is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ExplorationLevels {
-    /// One more than the best number.
+    /// One request more than the best level, if that level is to be explored.
     pub(crate) more: Option<u32>,
-    /// One fewer.
+    /// One request fewer than the best level, if that level is to be explored.
     pub(crate) fewer: Option<u32>,
 }
 
-/// Answers' times by requests at the target, for all targets of a service.
+/// Answer times by concurrency level, over all targets of a service.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Concurrency {
-    levels: [Level; LEVELS],
-    /// What another process has found out.
-    told: Option<u32>,
+    levels: [Level; LEVEL_COUNT],
+    /// Best level that another process has measured.
+    adopted: Option<u32>,
 }
 
 impl Concurrency {
-    /// Learns from an answer; `number` requests were at the target, itself included.
-    pub(crate) fn record(&mut self, number: u32, taken_us: f64, now: Timestamp) {
-        self.levels[place_of(number)].learn(taken_us, now);
+    /// Records an answer time; `level` requests were at the target, the answered one included.
+    pub(crate) fn record(&mut self, level: u32, taken_us: f64, now: Timestamp) {
+        self.levels[level_index(level)].record(taken_us, now);
     }
 
-    /// Takes over what another process has found out.
-    pub(crate) fn adopt(&mut self, told: u32) {
-        self.told = Some(told.max(1));
+    /// Adopts the best level that another process has measured, used for levels without samples.
+    pub(crate) fn adopt(&mut self, adopted: u32) {
+        self.adopted = Some(adopted.max(1));
     }
 
-    /// Most requests that one target of `slots` may have, from 1 to `slots`.
+    /// Returns the best concurrency level of a target with `slots` slots, from 1 to `slots`.
     pub(crate) fn best(&self, slots: u32, now: Timestamp) -> u32 {
-        let is_worth = |number: &u32| {
-            let known = self.is_worth(*number, now);
-            known.unwrap_or_else(|| self.is_assumed(*number, slots))
+        let is_useful = |level: &u32| {
+            let known = self.raises_throughput(*level, now);
+            known.unwrap_or_else(|| self.is_assumed_useful(*level, slots))
         };
-        (2..=slots).take_while(is_worth).last().unwrap_or(1)
+        (2..=slots).take_while(is_useful).last().unwrap_or(1)
     }
 
-    /// Which number the exploring targets may have instead of the best one.
+    /// Returns the levels that exploring targets may use instead of the best one.
     pub(crate) fn exploration_levels(&self, slots: u32, now: Timestamp) -> ExplorationLevels {
         let best = self.best(slots, now);
-        let is_known = |number: u32| self.known_us(number, now).is_some();
+        let is_known = |level: u32| self.known_us(level, now).is_some();
         ExplorationLevels {
             more: (best < slots && !is_known(best + 1)).then_some(best + 1),
             fewer: (best > 1 && is_known(best) && !is_known(best - 1)).then_some(best - 1),
         }
     }
 
-    /// By how much a further request at a target that has `in_flight` lengthens the times of
-    /// all requests there, its own included, over the time of one alone.
+    /// Returns the marginal cost of one more request at a target that has `in_flight`: the time it
+    /// adds over all requests there, its own included, in units of the time of a lone request.
     pub(crate) fn marginal_cost(&self, in_flight: u32, slots: u32, now: Timestamp) -> f64 {
-        let number = in_flight + 1;
-        let total = |number: u32| f64::from(number) * self.slower(number, slots, now);
+        let level = in_flight + 1;
+        let total = |level: u32| f64::from(level) * self.slowdown(level, slots, now);
         let before = if in_flight == 0 { 0.0 } else { total(in_flight) };
-        (total(number) - before).max(1.0)
+        (total(level) - before).max(1.0)
     }
 
-    /// How many times as long as alone a request takes among `number`.
-    fn slower(&self, number: u32, slots: u32, now: Timestamp) -> f64 {
-        let known_slower =
-            || Some(self.known_us(number, now)? / self.known_us(number - 1, now)?.max(1.0));
-        if number <= 1 {
+    /// Returns the factor on a request's answer time among `level` requests, against a lone request.
+    fn slowdown(&self, level: u32, slots: u32, now: Timestamp) -> f64 {
+        let measured_step =
+            || Some(self.known_us(level, now)? / self.known_us(level - 1, now)?.max(1.0));
+        if level <= 1 {
             return 1.0;
         }
-        let fewer = self.slower(number - 1, slots, now);
-        let step = known_slower().unwrap_or_else(|| assumed_step(number, slots));
+        let fewer = self.slowdown(level - 1, slots, now);
+        let step = measured_step().unwrap_or_else(|| assumed_slowdown(level, slots));
         (fewer * step).max(1.0)
     }
 
-    /// Time of answers at `number` requests, as far as it is known.
-    fn known_us(&self, number: u32, now: Timestamp) -> Option<f64> {
-        let believed_after = BELIEVED_AFTER_MIN.max(BELIEVED_AFTER_PER_REQUEST * number as usize);
-        self.levels[place_of(number)].known_us(believed_after, now)
+    /// Returns the quantile of the answer times at `level` requests in microseconds, if there are
+    /// enough samples.
+    fn known_us(&self, level: u32, now: Timestamp) -> Option<f64> {
+        let samples_min = SAMPLES_MIN.max(SAMPLES_MIN_PER_REQUEST * level as usize);
+        self.levels[level_index(level)].known_us(samples_min, now)
     }
 
-    /// Whether `number` requests are used although it is not known what they are worth.
-    fn is_assumed(&self, number: u32, slots: u32) -> bool {
-        match self.told {
-            Some(told) => number <= told,
-            None => assumed_step(number, slots) <= 1.0,
+    /// Whether `level` requests are used although their effect on the throughput is unknown.
+    fn is_assumed_useful(&self, level: u32, slots: u32) -> bool {
+        match self.adopted {
+            Some(adopted) => level <= adopted,
+            None => assumed_slowdown(level, slots) <= 1.0,
         }
     }
 
-    /// Whether `number` requests yield more than one fewer, as far as it is known.
-    fn is_worth(&self, number: u32, now: Timestamp) -> Option<bool> {
-        let slower = self.known_us(number, now)? / self.known_us(number - 1, now)?.max(1.0);
-        let ideal_gain = 1.0 / f64::from(number - 1);
-        let gain_min = GAIN_MIN.min(GAIN_PART_MIN * ideal_gain);
-        Some(1.0 + ideal_gain > (1.0 + gain_min) * slower)
+    /// Whether `level` requests raise the throughput over one request fewer, or `None` without
+    /// enough samples.
+    fn raises_throughput(&self, level: u32, now: Timestamp) -> Option<bool> {
+        let slowdown_step = self.known_us(level, now)? / self.known_us(level - 1, now)?.max(1.0);
+        let ideal_gain = 1.0 / f64::from(level - 1);
+        let gain_min = THROUGHPUT_GAIN_MIN.min(IDEAL_GAIN_SHARE_MIN * ideal_gain);
+        Some(1.0 + ideal_gain > (1.0 + gain_min) * slowdown_step)
     }
 }
 
-/// How much slower `number` requests are assumed to be than one fewer: only the last third
-/// of the slots slows targets down, if there are enough slots to leave out a third unseen.
-fn assumed_step(number: u32, slots: u32) -> f64 {
-    let is_last_third = number * 3 > slots * 2;
-    if slots > ALL_SLOTS_ASSUMED_MAX && is_last_third { ASSUMED_STEP } else { 1.0 }
+/// Returns the assumed factor on the answer time of `level` requests against one request fewer: only
+/// the last third of the slots slows a target down, and only above [`ALL_SLOTS_ASSUMED_MAX`] slots.
+fn assumed_slowdown(level: u32, slots: u32) -> f64 {
+    let is_last_third = level * 3 > slots * 2;
+    if slots > ALL_SLOTS_ASSUMED_MAX && is_last_third { ASSUMED_SLOWDOWN_FACTOR } else { 1.0 }
 }
 
-fn place_of(number: u32) -> usize {
-    (number as usize).clamp(1, LEVELS) - 1
+fn level_index(level: u32) -> usize {
+    (level as usize).clamp(1, LEVEL_COUNT) - 1
 }
