--- a/crates/thymeshift_dispatch/src/decision.rs
+++ b/crates/thymeshift_dispatch/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher decides, and what it is told.
+//! Decisions of a dispatcher, and the observations that it is given.
 
 use std::time::Duration;
 
@@ -12,57 +12,57 @@
 use crate::LoadReport;
 use crate::Ticket;
 
-/// What becomes of a request now.
+/// Decision on a request.
 #[derive(Debug, PartialEq)]
 pub enum Decision {
-    /// Send it.
+    /// Send the request to the target of the grant.
     Send(Grant),
-    /// Keep it until [`Dispatcher::next_wake`] names its ticket.
+    /// Hold the request until [`crate::Dispatcher::next_wake`] returns its ticket.
     Wait(Ticket),
-    /// Answer the caller at once.
+    /// Refuse the request and answer its caller immediately.
     Refuse(Refusal),
 }
 
-/// A refusal before any target was chosen.
+/// Refusal of a request before a target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("refused: {reason}, come back after {retry_after:?}")]
 pub struct Refusal {
-    /// Why.
+    /// Reason that the caller and the log line receive.
     pub reason: Reason,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// A waiting request whose time has come, or is over.
+/// Decision on a waiting request that leaves the queue.
 #[derive(Debug, PartialEq)]
 pub enum Wake {
-    /// Send it.
+    /// Send the waiting request to the target of the grant.
     Send(Ticket, Grant),
-    /// Answer its caller at once.
+    /// Refuse the waiting request and answer its caller immediately.
     Refuse(Ticket, Refusal),
 }
 
-/// What an attempt showed.
+/// Result of an attempt, as far as it says something about the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// The target answered, and the answer is not the target's own failure.
+    /// The target answered, and the answer does not state a failure of the target itself.
     Answered(Option<LoadReport>),
-    /// The target answered that it failed.
+    /// The target answered that it failed while it ran the request.
     Failed(Option<LoadReport>),
-    /// The target shed the request.
+    /// The target shed the request without a backoff.
     Shed(Option<LoadReport>),
-    /// The target shed the request, and asked the process that sent it for a backoff.
+    /// The target shed the request and requested a backoff from the process that sent it.
     ShedWithBackoff(Option<LoadReport>),
-    /// The connection broke, or what came on it is no answer.
+    /// The connection broke, or the bytes received on it are not a valid answer.
     Broken,
-    /// No answer came in time.
+    /// No answer arrived before the attempt timed out.
     TimedOut,
-    /// No connection could be opened.
+    /// No connection to the target could be opened.
     Unreachable,
 }
 
 impl Observation {
-    /// The report that came with the answer.
+    /// Returns the load report that the answer carried, if any.
     pub fn report(&self) -> Option<LoadReport> {
         match *self {
             Self::Answered(report)
