--- a/crates/thymeshift_dispatch/src/dump.rs
+++ b/crates/thymeshift_dispatch/src/dump.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher believes, for people and programs to read.
+//! State dump of a dispatcher, for operators and tools.
 
 use std::net::SocketAddr;
 
@@ -17,121 +17,121 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Usability {
-    /// It may.
+    /// The target may get the next request.
     #[display("open")]
     Open,
-    /// As many requests as the adaptive limit allows are in flight.
+    /// The requests in flight have reached the target's concurrency limit.
     #[display("at_limit")]
     AtLimit,
-    /// It reports that work takes much longer there for the moment: a request ends sooner if
-    /// it waits.
+    /// The target reports that work currently takes much longer: a request ends sooner if it waits
+    /// than if it starts now.
     #[display("slow_spell")]
     SlowSpell,
-    /// It has asked this process for a backoff.
+    /// The target has requested a backoff from this process.
     #[display("backing_off")]
     BackingOff,
-    /// It failed several times in a row and is set aside for a while.
+    /// The target failed several times in a row or could not be reached, and is ejected for a while.
     #[display("ejected")]
     Ejected,
-    /// It takes only so many requests a second, and has got them for the moment.
+    /// The target states a limit of requests per second, and no token is left for now.
     #[display("rate_limited")]
     RateLimited,
-    /// It is cold, and bears no further request for the moment.
+    /// The target is cold, and the interval since its last request is too short for another one.
     #[display("cold")]
     Cold,
-    /// An operator's order stops it for a while.
+    /// An operator's order stops new work for the target.
     #[display("stopped")]
     Stopped,
-    /// Its data hall is drained.
+    /// The data hall of the target is drained.
     #[display("hall_drained")]
     HallDrained,
-    /// It is leaving.
+    /// The target is leaving and gets no new work.
     #[display("leaving")]
     Leaving,
-    /// It is no longer configured; its last requests are still in flight.
+    /// The target is no longer configured; its last requests may still be in flight.
     #[display("removed")]
     Removed,
 }
 
-/// One target as this VM sees it.
+/// State of one target at this VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetDump {
-    /// Its name.
+    /// Name of the target in the configuration.
     pub name: TargetName,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub address: SocketAddr,
-    /// Its incarnation.
+    /// Incarnation of the target: the listed one, or a later one that the target stated itself.
     pub incarnation: Incarnation,
-    /// Whether it may get the next request.
+    /// Whether the target may get the next request, and if not, why.
     pub usability: Usability,
-    /// This VM's requests in flight.
+    /// This VM's requests in flight at the target.
     pub in_flight: u32,
-    /// Adaptive limit on them.
+    /// Adaptive limit on this VM's requests in flight at the target.
     pub limit: f64,
-    /// This VM's share of its connections.
+    /// This VM's share of the target's connections for requests.
     pub connection_share: u32,
-    /// Mean latency seen, in microseconds.
+    /// Mean latency of the target at this VM, in microseconds.
     pub latency_us: u64,
-    /// Expected time to an answer, in microseconds.
+    /// Expected time until the target answers a request, in microseconds.
     pub expected_us: u64,
     /// Share of recent attempts that failed, 0 to 1.
     pub failure_rate: f64,
-    /// Requests running, from the last report.
+    /// Requests that the target ran when it made its last load report.
     pub reported_running: Option<u32>,
-    /// Requests queued, from the last report.
+    /// Requests that the target queued when it made its last load report.
     pub reported_queued: Option<u32>,
-    /// State, from the last report.
+    /// State in the target's last load report.
     pub reported_state: Option<ReportedState>,
-    /// Age of the last report, in milliseconds.
+    /// Age of the target's last load report, in milliseconds.
     pub report_age_ms: Option<u64>,
-    /// The limit of requests a second that it has named, if it is in need.
+    /// Limit of requests per second that the target states, if it states one.
     pub rate_limit: Option<RateLimitDump>,
-    /// Time until it is no longer set aside, in milliseconds.
+    /// Remaining time of the ejection, in milliseconds.
     pub ejected_for_ms: Option<u64>,
-    /// Time until the end of the backoff that it asked this process for, in milliseconds.
+    /// Remaining time of the backoff that the target requested from this process, in milliseconds.
     pub backoff_for_ms: Option<u64>,
 }
 
-/// The limit of a target in need as a process sees it.
+/// State of a target's rate limit at this process.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RateLimitDump {
-    /// Requests a second that the target takes from all processes together.
+    /// Requests per second that the target takes from all processes together.
     pub per_s: f64,
-    /// For how long it has been in need, as far as this process knows, in milliseconds.
+    /// Time since this process first received the limit, in milliseconds.
     pub limited_for_ms: u64,
-    /// Time since it last named the limit, in milliseconds.
+    /// Time since the target last stated the limit, in milliseconds.
     pub age_ms: u64,
     /// Part of the limit that this process may grant, 0 to 1.
     pub share: f64,
-    /// Requests granted here since it has been in need: for the fleet by an allocator, else those
-    /// that this process sends.
+    /// Requests granted here since the target has been rate-limited: those of the whole fleet at an
+    /// allocator, otherwise those that this process sends.
     pub granted: u64,
 }
 
-/// Requests of one rank that wait.
+/// Length of the queue of one priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueDump {
-    /// The rank.
+    /// Priority of the waiting requests; 0 is served first.
     pub priority: u8,
-    /// How many wait.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
 
-/// One service as this VM sees it.
+/// State of one service at this VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceDump {
-    /// Its name.
+    /// Name of the service in the configuration.
     pub name: ServiceName,
-    /// How a target is chosen.
+    /// Strategy that chooses the target of a request.
     pub strategy: StrategyName,
-    /// Whose requests the counts hold.
+    /// Processes whose requests the counts include.
     pub view: View,
-    /// Retries that the budget allows now.
+    /// Retries that the retry budget currently allows.
     pub retry_reserve: f64,
-    /// Expected wait of a new request of the lowest rank, in microseconds.
+    /// Expected wait of a new request of the lowest priority, in microseconds.
     pub expected_wait_us: u64,
-    /// Ranks with waiting requests.
+    /// Queue lengths of all priorities with waiting requests.
     pub queues: Vec<QueueDump>,
-    /// The targets.
+    /// State of each target of the service, removed ones with requests in flight included.
     pub targets: Vec<TargetDump>,
 }
