--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -1,36 +1,37 @@
-//! Setting a failing target aside for a while.
+//! Outlier ejection: a failing target gets no requests for a while.
 //!
-//! What it does: after a number of failures in a row, or one connection that cannot be opened, a
-//! target is set aside; the time doubles with each ejection that follows on another. A success
-//! ends the row.
+//! A target is ejected after a number of consecutive failures, or after one failed attempt to open a
+//! connection. The ejection time doubles with each consecutive ejection, and a success resets both
+//! counts.
 //!
-//! Why: a target that fails fast looks idle and would attract work. A connection that cannot be
-//! opened leaves no doubt: while a data hall is without power, each of its targets is tried
-//! once and not five times. Where a quarter of all targets refused connections for 3 s, 1 request of
-//! 1,392 was refused in these and the next second in place of 175 (a played day, same seed).
+//! A target that fails fast looks idle and would attract requests. A failed connection is sufficient
+//! evidence: while a data hall is without power, each of its targets is tried once instead of five
+//! times. With a quarter of the targets refusing connections for 3 s, 1 of 1,392 requests is refused
+//! within 4 s instead of 175.
 //!
-//! Settings: `ejection.failures`, `ejection.base_ms`, `ejection.share_max_percent`. The
-//! last is the panic bound: beyond it nobody more is set aside, because a fault that
-//! hits most targets is not a target's fault, and the rest could not carry the load. It does not
-//! bind where other groups of the service have room: what is lost together is then a data hall,
-//! and the rest carries its load.
+//! Settings: `ejection.failures`, `ejection.base_ms`, `ejection.share_max_percent`. The last one is
+//! the panic threshold: beyond this share no further target is ejected, because a fault that hits
+//! most targets is not caused by the targets, and the rest could not carry the load. The threshold
+//! does not apply while other groups of the service have spare capacity: the failing targets then
+//! belong to one data hall, and the other halls carry its load.
 
 use std::time::Duration;
 
 use thymeshift_config::Ejection as Settings;
 use thymeshift_types::Timestamp;
 
-/// Doublings of the base time at most.
+/// Largest number of doublings of the base ejection time.
 const DOUBLINGS_MAX: u32 = 6;
-/// Weight of one attempt in the failure rate.
-const RATE_WEIGHT: f64 = 0.2;
-/// Time in which half of the failure rate is forgotten while the target is not tried.
-const RATE_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Weight of one attempt in the moving failure rate.
+const FAILURE_RATE_WEIGHT: f64 = 0.2;
+/// Time in which the failure rate of a target falls to half while the target gets no requests.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(2);
 
+/// Failure counts and ejection of one target.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Ejection {
-    failures_in_row: u64,
-    ejections_in_row: u32,
+    consecutive_failures: u64,
+    consecutive_ejections: u32,
     until: Option<Timestamp>,
     failure_rate: f64,
     rate_at: Timestamp,
@@ -45,60 +46,61 @@
         self.until
     }
 
-    /// Share of recent attempts that failed, fading while the target is not tried.
+    /// Returns the share of recent attempts that failed; the share decays while the target gets no
+    /// requests.
     pub(crate) fn failure_rate(&self, now: Timestamp) -> f64 {
         let age = now.since(self.rate_at).as_secs_f64();
-        let half_life = RATE_HALF_LIFE.as_secs_f64();
+        let half_life = FAILURE_RATE_HALF_LIFE.as_secs_f64();
         self.failure_rate * half_life / (half_life + age)
     }
 
     pub(crate) fn record_success(&mut self, now: Timestamp) {
-        self.failures_in_row = 0;
-        self.ejections_in_row = 0;
+        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         self.until = None;
-        self.move_rate(0.0, now);
+        self.update_failure_rate(0.0, now);
     }
 
-    /// Counts a failure; ejects if the row is long enough and `has_room` below the panic
-    /// bound. Returns whether the target was ejected now.
+    /// Records a failure, and ejects the target if it has enough consecutive failures and the panic
+    /// threshold allows another ejection (`may_eject`). Returns whether the target was ejected now.
     pub(crate) fn record_failure(
         &mut self,
         settings: &Settings,
-        has_room: bool,
+        may_eject: bool,
         now: Timestamp,
     ) -> bool {
-        self.failures_in_row += 1;
-        self.move_rate(1.0, now);
-        let is_due = self.failures_in_row >= settings.failures;
-        is_due && self.eject(settings, has_room, now)
+        self.consecutive_failures += 1;
+        self.update_failure_rate(1.0, now);
+        let is_due = self.consecutive_failures >= settings.failures;
+        is_due && self.eject(settings, may_eject, now)
     }
 
-    /// No connection could be opened: as [`Self::failed`], but at once.
+    /// Records that no connection could be opened: as [`Self::record_failure`], but one is enough.
     pub(crate) fn record_unreachable(
         &mut self,
         settings: &Settings,
-        has_room: bool,
+        may_eject: bool,
         now: Timestamp,
     ) -> bool {
-        self.move_rate(1.0, now);
-        self.eject(settings, has_room, now)
+        self.update_failure_rate(1.0, now);
+        self.eject(settings, may_eject, now)
     }
 
-    fn eject(&mut self, settings: &Settings, has_room: bool, now: Timestamp) -> bool {
-        if !has_room || self.is_ejected(now) {
+    fn eject(&mut self, settings: &Settings, may_eject: bool, now: Timestamp) -> bool {
+        if !may_eject || self.is_ejected(now) {
             return false;
         }
-        let factor = 1 << self.ejections_in_row.min(DOUBLINGS_MAX);
+        let factor = 1 << self.consecutive_ejections.min(DOUBLINGS_MAX);
         self.until = Some(now + Duration::from_millis(settings.base_ms) * factor);
-        self.ejections_in_row += 1;
-        // The first attempt after the ejection decides at once.
-        self.failures_in_row = settings.failures.saturating_sub(1);
+        self.consecutive_ejections += 1;
+        // One failure after the end of the ejection ejects the target again.
+        self.consecutive_failures = settings.failures.saturating_sub(1);
         true
     }
 
-    fn move_rate(&mut self, sample: f64, now: Timestamp) {
+    fn update_failure_rate(&mut self, sample: f64, now: Timestamp) {
         let rate = self.failure_rate(now);
-        self.failure_rate = rate + RATE_WEIGHT * (sample - rate);
+        self.failure_rate = rate + FAILURE_RATE_WEIGHT * (sample - rate);
         self.rate_at = now;
     }
 }
