--- a/crates/thymeshift_dispatch/src/grant.rs
+++ b/crates/thymeshift_dispatch/src/grant.rs
@@ -1,4 +1,4 @@
-//! The right to send one request to one target, and what was expected of it.
+//! Right to send one request to one target, and the expectations at the time of the choice.
 
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use thymeshift_types::Incarnation;
 use thymeshift_types::Timestamp;
 
-/// Place of a target in its service's table. Valid while the target or a request to it
-/// exists.
+/// Index of a target in the table of its service. Valid while the target is configured or has
+/// requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetIndex {
-    /// Counted from 1, so that an optional index takes no more room.
+    /// Index plus 1, so that `Option<TargetIndex>` takes no more memory than `TargetIndex`.
     place: NonZeroU32,
 }
 
@@ -24,42 +24,41 @@
     }
 }
 
-/// The right to send one request to one target. It must be given back with
-/// [`crate::Dispatcher::release`].
+/// Right to send one request to one target. Must be returned with [`crate::Dispatcher::release`].
 #[must_use = "a grant that is not released counts as a request in flight for ever"]
 #[derive(Debug, PartialEq)]
 pub struct Grant {
     pub(crate) target: TargetIndex,
     pub(crate) incarnation: Incarnation,
     pub(crate) sent_at: Timestamp,
-    /// How many times as long as at an idle target the answer was expected to take.
+    /// Expected answer time in units of the answer time of an idle target.
     pub(crate) load: f64,
-    /// Requests beyond the usual that a report told of.
+    /// Requests of other VMs at the target beyond their mean, from the last report.
     pub(crate) reported_excess: f64,
-    /// When it was expected.
+    /// Expected time from the choice to the answer, including the round trip between data halls.
     pub(crate) expected: Duration,
-    /// Time there and back, in microseconds.
+    /// Round trip between the data halls of the request and of the target, in microseconds.
     pub(crate) hall_round_trip_us: f64,
-    /// Requests in flight there, this one included.
+    /// Requests in flight at the target, this one included.
     pub(crate) in_flight: u32,
-    /// Whether the target was not known to work slower than usual.
+    /// Whether the target was neither cold nor reported to work slower than usual.
     pub(crate) is_usual_pace: bool,
-    /// Whether it was counted against a limit that the target had named.
+    /// Whether the grant was counted against a rate limit that the target had stated.
     pub(crate) is_counted: bool,
 }
 
 impl Grant {
-    /// The target chosen.
+    /// Returns the index of the chosen target.
     pub fn target(&self) -> TargetIndex {
         self.target
     }
 
-    /// The incarnation that was meant.
+    /// Returns the incarnation of the target at the time of the choice.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// When the choice was made.
+    /// Returns the time of the choice.
     pub fn sent_at(&self) -> Timestamp {
         self.sent_at
     }
