--- a/crates/thymeshift_dispatch/src/halls.rs
+++ b/crates/thymeshift_dispatch/src/halls.rs
@@ -1,19 +1,19 @@
-//! Data halls as small numbers, and what the way between them costs.
+//! Numbering of data halls, and the network cost between them.
 
 use std::time::Duration;
 
 use thymeshift_types::DataHallName;
 
-/// Length of answers, in KiB, up to which the configured detour counts as it is: a page, not a file.
-const DETOUR_KIB: f64 = 8.0;
-/// Largest part by which the detour grows for long answers: callers of files wait for seconds.
-const DETOUR_FACTOR_MAX: f64 = 16.0;
+/// Answer length in KiB up to which the configured detour applies unscaled, about that of a page.
+const DETOUR_ANSWER_KIB: f64 = 8.0;
+/// Largest factor on the detour for long answers: callers of files wait for seconds.
+const DETOUR_LENGTH_FACTOR_MAX: f64 = 16.0;
 
-/// A data hall, as numbered by one dispatcher. The first is its own.
+/// Number of a data hall within one dispatcher; 0 is the dispatcher's own data hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HallIndex(u16);
 
-/// The data halls seen so far.
+/// Names of the data halls seen so far, by number, and the network times between two halls.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Halls {
     names: Vec<DataHallName>,
@@ -22,8 +22,8 @@
 }
 
 impl Halls {
-    /// Numbers the own hall first, and notes the time of one way between two, and how much
-    /// longer an answer may take to spare that way.
+    /// Sets the own hall as number 0, the one-way network time between two halls, and the detour: how
+    /// much longer an answer from the own hall may take before another hall is preferred.
     pub(crate) fn set(&mut self, own: &DataHallName, one_way: Duration, detour: Duration) {
         if self.names.first() != Some(own) {
             self.names = vec![own.clone()];
@@ -32,7 +32,7 @@
         self.detour = detour;
     }
 
-    /// The number of a hall.
+    /// Returns the number of a data hall, and assigns the next free one to an unknown name.
     pub(crate) fn index(&mut self, name: &DataHallName) -> HallIndex {
         let known = self.names.iter().position(|known| known == name);
         let index = known.unwrap_or_else(|| {
@@ -42,19 +42,20 @@
         HallIndex(index as u16)
     }
 
-    /// Time there and back, in microseconds.
+    /// Returns the network round trip between two halls, in microseconds.
     pub(crate) fn hall_round_trip_us(&self, from: HallIndex, to: HallIndex) -> f64 {
         if from == to { 0.0 } else { 2.0 * self.one_way.as_micros() as f64 }
     }
 
-    /// What the way costs in a choice, in microseconds: its time, and what it is worth to
-    /// spare it. That grows with the length of the answer.
+    /// Returns the cost of the network between two halls in the choice of a target, in microseconds:
+    /// the round trip plus the detour, which grows with the length of the answer.
     pub(crate) fn cost_us(&self, from: HallIndex, to: HallIndex, answer_kib: u32) -> f64 {
         if from == to {
             return 0.0;
         }
-        let length = f64::from(answer_kib) / DETOUR_KIB;
-        let detour_us = self.detour.as_micros() as f64 * length.clamp(1.0, DETOUR_FACTOR_MAX);
+        let length_factor = f64::from(answer_kib) / DETOUR_ANSWER_KIB;
+        let detour_us =
+            self.detour.as_micros() as f64 * length_factor.clamp(1.0, DETOUR_LENGTH_FACTOR_MAX);
         self.hall_round_trip_us(from, to) + detour_us
     }
 }
