--- a/crates/thymeshift_dispatch/src/latency.rs
+++ b/crates/thymeshift_dispatch/src/latency.rs
@@ -1,17 +1,17 @@
-//! Latency seen from this VM.
+//! Latency of a target, measured at this VM.
 
 use std::time::Duration;
 
-/// Weight of a sample in the mean when it is above the mean: bad news travels fast.
+/// Weight of a sample above the mean; larger than that below the mean, to react fast to slowdowns.
 const RISE_WEIGHT: f64 = 0.3;
-/// Weight of a sample below the mean.
+/// Weight of a sample below the mean latency.
 const FALL_WEIGHT: f64 = 0.1;
-/// Share by which the floor rises with each sample, so that a lasting change is learnt.
-const FLOOR_RISE: f64 = 0.005;
-/// Assumed latency before the first sample, in microseconds.
+/// Share by which the latency floor rises with each sample, so that it follows a lasting increase.
+const FLOOR_RISE_SHARE: f64 = 0.005;
+/// Assumed mean and floor of the latency before the first sample, in microseconds.
 const INITIAL_US: f64 = 5_000.0;
 
-/// A moving mean and a slowly rising minimum of latency, in microseconds.
+/// Moving mean and slowly rising minimum of the latency, in microseconds.
 #[derive(Debug, Clone)]
 pub(crate) struct Latency {
     mean_us: f64,
@@ -34,7 +34,7 @@
         }
         let weight = if sample_us > self.mean_us { RISE_WEIGHT } else { FALL_WEIGHT };
         self.mean_us += weight * (sample_us - self.mean_us);
-        self.floor_us = (self.floor_us * (1.0 + FLOOR_RISE)).min(sample_us);
+        self.floor_us = (self.floor_us * (1.0 + FLOOR_RISE_SHARE)).min(sample_us);
     }
 
     pub(crate) fn mean_us(&self) -> f64 {
