--- a/crates/thymeshift_dispatch/src/adaptive_limit.rs
+++ b/crates/thymeshift_dispatch/src/adaptive_limit.rs
@@ -1,30 +1,30 @@
 //! Adaptive limit on this VM's requests in flight at one target.
 //!
-//! What it does: additive increase while the target keeps up and the limit is in use,
-//! multiplicative decrease when its queue grows, it sheds or it does not answer in time.
+//! Additive increase while the target keeps up and the limit is in use; multiplicative decrease when
+//! the target's queue grows, when it sheds a request or does not answer in time.
 //!
-//! Why: a target runs a few requests at a time, but more than a dozen VMs send to it
-//! without seeing each other. What waits inside a target can no longer be sent to a
-//! better one; what waits here can.
+//! A target runs a few requests at a time, while more than a dozen VMs send to it without knowing of
+//! each other's requests. A request that waits inside a target can no longer be sent to a better
+//! one; a request that waits at the VM can.
 //!
-//! Settings: the ceiling is the VM's share of the target's connections.
+//! The ceiling is the VM's share of the target's connections.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Smallest limit: a target that may be used may be used for one request.
+/// Smallest limit: every usable target may get at least one request.
 const LIMIT_MIN: f64 = 1.0;
-/// Factor after a full queue was reported.
-const QUEUE_FACTOR: f64 = 0.9;
-/// Factor after the target shed a request or did not answer in time.
+/// Factor on the limit after a full queue was reported or inferred from the latency.
+const QUEUE_FULL_FACTOR: f64 = 0.9;
+/// Factor on the limit after the target shed a request or did not answer in time.
 const OVERLOAD_FACTOR: f64 = 0.7;
-/// Requests that may wait inside a target for each of its slots.
+/// Requests per slot that may wait inside a target before its queue counts as full.
 const QUEUED_PER_SLOT_MAX: f64 = 1.0;
-/// Without reports: mean latency, as a multiple of its floor, taken as a full queue.
+/// Ratio of the mean latency to its floor above which a target without reports counts as full.
 const LATENCY_RATIO_MAX: f64 = 3.0;
 
-/// Whether a target keeps up with what it is sent.
+/// Whether a target keeps up with the requests that it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Pressure {
     KeepsUp,
@@ -33,18 +33,19 @@
 }
 
 impl Pressure {
-    /// Pressure read from a report.
+    /// Returns the pressure that follows from the queue length in a load report.
     pub(crate) fn from_queue(queued: u32, slots: u32) -> Self {
         let bound = f64::from(slots) * QUEUED_PER_SLOT_MAX;
         if f64::from(queued) > bound { Self::QueueFull } else { Self::KeepsUp }
     }
 
-    /// Pressure read from latency, for targets that do not report.
+    /// Returns the pressure that follows from the latency, for targets that send no load reports.
     pub(crate) fn from_latency(mean_us: f64, floor_us: f64) -> Self {
         if mean_us > floor_us * LATENCY_RATIO_MAX { Self::QueueFull } else { Self::KeepsUp }
     }
 }
 
+/// Limit on requests in flight, between 1 and the ceiling.
 #[derive(Debug, Clone)]
 pub(crate) struct AdaptiveLimit {
     value: f64,
@@ -64,7 +65,7 @@
         self.value = self.value.min(f64::from(self.ceiling));
     }
 
-    /// Learns from one attempt; `round_trip` bounds how often the limit is lowered.
+    /// Updates the limit after one attempt. The limit is lowered at most once per `round_trip`.
     pub(crate) fn update(
         &mut self,
         pressure: Pressure,
@@ -79,7 +80,7 @@
                     self.value = (self.value + 1.0 / self.value).min(f64::from(self.ceiling));
                 }
             }
-            Pressure::QueueFull => self.lower(QUEUE_FACTOR, now, round_trip),
+            Pressure::QueueFull => self.lower(QUEUE_FULL_FACTOR, now, round_trip),
             Pressure::Overloaded => self.lower(OVERLOAD_FACTOR, now, round_trip),
         }
     }
