--- a/crates/thymeshift_dispatch/src/measuring.rs
+++ b/crates/thymeshift_dispatch/src/measuring.rs
@@ -1,17 +1,16 @@
-//! This VM's share of the budget for measuring one target.
+//! This VM's share of the time budget for probing one target.
 //!
-//! What it does: allows a probe only when the VM's share of the target's time has paid
-//! for the one before. The share is the published budget divided by the published upper
-//! bound of VMs, so that the shares add up to at most the budget whatever each VM
-//! believes about the others.
+//! A probe is allowed only when the VM's share of the target's time has paid for the previous one.
+//! The share is the published budget divided by the published upper bound of VMs, so that all shares
+//! add up to at most the budget, whatever each VM believes about the others.
 //!
-//! Why equal shares and not a rotating right: a rotation needs VMs to agree on time or
-//! on members. The price is that the shares of VMs that are not running stay unused.
+//! Equal shares need no coordination, while a rotating right to probe would need VMs to agree on time
+//! or membership. The cost is that the shares of VMs that are not running stay unused.
 //!
-//! Rules that keep the bound: nothing is saved up (a pause earns nothing); a fresh
-//! process first waits one whole interval, because the process it replaces may just have
-//! spent the same share; a probe that took longer than its declared cost, failed or came
-//! late is paid for in full, at least at the declared cost.
+//! Three rules keep the bound. Unused time is not saved up, so a pause earns nothing. A fresh
+//! process first waits one whole interval, because the process that it replaces may just have spent
+//! the same share. A probe that exceeded its declared cost, failed or came late is charged in full,
+//! and at least at the declared cost.
 //!
 //! Settings: `measuring_budget_us_per_s`, `probe.cost_us`, `entry_vms_max`.
 
@@ -19,21 +18,22 @@
 
 use thymeshift_types::Timestamp;
 
-/// Microseconds in a second.
+/// Number of microseconds in a second.
 const SECOND_US: f64 = 1_000_000.0;
 
-/// When this VM may next spend target time on measuring one target.
+/// Schedule of this VM's probes of one target, within its share of the probe time budget.
 #[derive(Debug, Clone)]
 pub struct MeasuringShare {
-    /// Target time earned, in microseconds each second.
+    /// Target time that the VM may spend on probes, in microseconds per second.
     share_us_per_s: f64,
+    /// Declared cost of a probe, in microseconds of target time.
     cost_us: f64,
     next_at: Option<Timestamp>,
 }
 
 impl MeasuringShare {
-    /// A share of `budget_us_per_s` among `entry_vms_max` VMs for probes that cost
-    /// `cost_us`. `phase` in 0..1 spreads the first probes of many targets.
+    /// Creates an equal share of `budget_us_per_s` among `entry_vms_max` VMs, for probes that cost
+    /// `cost_us` each. `phase` in 0..1 spreads the first probes of many targets over time.
     pub fn new(
         budget_us_per_s: u64,
         cost_us: u64,
@@ -47,12 +47,12 @@
         share
     }
 
-    /// The moment from which the next probe is allowed; none if probes are forbidden.
+    /// Returns the time from which the next probe is allowed, or `None` if probes are forbidden.
     pub fn next_at(&self) -> Option<Timestamp> {
         self.next_at
     }
 
-    /// Takes the right to probe now. The declared cost is paid before the probe is sent.
+    /// Takes the right to probe now, if it is due. Charges the declared cost before the probe is sent.
     pub fn try_begin(&mut self, now: Timestamp) -> bool {
         let Some(next_at) = self.next_at else {
             return false;
@@ -60,12 +60,12 @@
         if now < next_at {
             return false;
         }
-        // Counted from now and not from `next_at`: time not used is not saved up.
+        // The interval starts now and not at `next_at`, so that unused time is not saved up.
         self.next_at = self.interval(self.cost_us).map(|wait| now + wait);
         true
     }
 
-    /// Pays for target time beyond the declared cost.
+    /// Charges the target time that a probe spent beyond the declared cost.
     pub fn charge_overrun(&mut self, spent: Duration) {
         let beyond_us = spent.as_micros() as f64 - self.cost_us;
         if beyond_us <= 0.0 {
