--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself, and how far that may be believed.
+//! Load reports of targets, and how their weight decreases with age.
 
 use std::time::Duration;
 
@@ -8,157 +8,165 @@
 use thymeshift_types::Incarnation;
 use thymeshift_types::Timestamp;
 
-/// What a target says about taking new work.
+/// Whether a target accepts new work, as it reports itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportedState {
-    /// It takes new work.
+    /// The target accepts new work.
     #[display("serving")]
     Serving,
-    /// It is leaving and takes no new work.
+    /// The target is leaving and accepts no new work.
     #[display("draining")]
     Draining,
 }
 
-/// A load report, as carried on an answer or returned by a probe. Counts are requests,
-/// from all VMs together, without the one that carries the report.
+/// Load report on an answer or on a probe's answer. Request counts are those of all VMs together,
+/// without the request whose answer carries the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being run.
+    /// Number of requests that the target runs.
     pub running: u32,
-    /// Requests waiting inside the target.
+    /// Number of requests that wait inside the target.
     pub queued: u32,
-    /// The target's incarnation, if it states one.
+    /// Incarnation of the target, if it states one.
     pub incarnation: Option<Incarnation>,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     pub state: ReportedState,
-    /// How long work takes there now, in percent of the usual.
+    /// Current duration of work at the target, in percent of its usual duration.
     pub pace_percent: u32,
-    /// For how much longer it is cold, in milliseconds, 0 if it is warm; none if it does not tell.
+    /// Remaining cold time in milliseconds, 0 if the target is warm, `None` if it states nothing.
     pub cold_for_ms: Option<u32>,
 }
 
-/// The pace of a target that says nothing about it.
+/// Pace, in percent, of a target that reports no pace.
 pub const USUAL_PACE_PERCENT: u32 = 100;
 
 impl LoadReport {
-    /// How many times as long as usual work takes.
+    /// Returns the duration of work as a multiple of its usual duration.
     pub fn pace(&self) -> f64 {
         f64::from(self.pace_percent) / f64::from(USUAL_PACE_PERCENT)
     }
 
-    /// Requests running and waiting.
+    /// Returns the number of requests that run or wait at the target.
     pub fn occupancy(&self) -> u32 {
         self.running.saturating_add(self.queued)
     }
 }
 
-/// Time after which a reported pace says nothing any more: neighbours on the same machine
-/// come and go many times a second.
-const PACE_MEMORY: Duration = Duration::from_millis(150);
-/// Time for which requests that are not counted here are believed to be at a target: several
-/// times as long as a target is left without a probe.
-const UNCOUNTED_MEMORY: Duration = Duration::from_millis(200);
-/// Smallest pace counted.
+/// Time after which a reported pace is ignored: noisy neighbours on the same machine come and go many
+/// times per second.
+const PACE_REPORT_TTL: Duration = Duration::from_millis(150);
+/// Time for which a report's requests from other processes count as still at the target, several
+/// times the interval between two probes of a target.
+const UNTRACKED_REQUESTS_TTL: Duration = Duration::from_millis(200);
+/// Lower bound of a pace in the expected time.
 const PACE_MIN: f64 = 0.25;
-/// Weight of a new report in the long-run mean of others' load.
-const MEAN_WEIGHT: f64 = 0.1;
+/// Weight of a new report in the long-run mean of the load from other VMs.
+const EXTERNAL_LOAD_WEIGHT: f64 = 0.1;
 
-/// The load that other VMs put on a target, estimated from reports.
+/// Load that other VMs put on a target, estimated from its reports.
 ///
-/// A report is exact only when it was made. With age the estimate moves from the report
-/// towards the long-run mean, at the pace at which a target's load changes: the time of
-/// a few requests.
+/// A report is exact only when it is made. With the age of the report, the estimate decays towards
+/// the long-run mean, over the time in which a target's load changes: that of a few requests.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ExternalLoad {
     mean: f64,
-    last: Option<Received>,
+    last: Option<ReceivedReport>,
 }
 
+/// Load report with the time of its arrival.
 #[derive(Debug, Clone, Copy)]
-struct Received {
+struct ReceivedReport {
     report: LoadReport,
-    others: f64,
-    at: Timestamp,
+    /// Requests of other VMs at the target when the report was made.
+    external_load: f64,
+    received_at: Timestamp,
 }
 
 impl ExternalLoad {
-    /// Takes in a report; `own` is this VM's requests in flight there, the reporting one
-    /// not counted. Returns the load of the others.
-    pub(crate) fn record(&mut self, report: LoadReport, own: u32, at: Timestamp) -> f64 {
-        let others = f64::from(report.occupancy().saturating_sub(own));
+    /// Records a report and returns the load of other VMs in it. `own_in_flight` is the number of this
+    /// VM's requests in flight at the target, without the one whose answer carries the report.
+    pub(crate) fn record(
+        &mut self,
+        report: LoadReport,
+        own_in_flight: u32,
+        received_at: Timestamp,
+    ) -> f64 {
+        let external_load = f64::from(report.occupancy().saturating_sub(own_in_flight));
         self.mean = match self.last {
-            Some(_) => self.mean + MEAN_WEIGHT * (others - self.mean),
-            None => others,
+            Some(_) => self.mean + EXTERNAL_LOAD_WEIGHT * (external_load - self.mean),
+            None => external_load,
         };
-        self.last = Some(Received { report, others, at });
-        others
+        self.last = Some(ReceivedReport { report, external_load, received_at });
+        external_load
     }
 
-    /// Expected requests of other VMs now, `usual` if nothing was reported; `memory` is the
-    /// time over which the load of the target changes.
-    pub(crate) fn expected(&self, now: Timestamp, memory: Duration, usual: f64) -> f64 {
+    /// Returns the expected number of other VMs' requests at the target, or `mean_load` without a
+    /// report. `decay_time` is the time in which the target's load changes.
+    pub(crate) fn expected(&self, now: Timestamp, decay_time: Duration, mean_load: f64) -> f64 {
         let Some(last) = self.last else {
-            return usual;
+            return mean_load;
         };
-        let age = now.since(last.at).as_secs_f64();
-        let memory = memory.as_secs_f64().max(f64::EPSILON);
-        // A rational fade instead of an exponential: cheaper, and the tail matters little.
-        let faith = memory / (memory + age);
-        self.mean + (last.others - self.mean) * faith
+        let age = now.since(last.received_at).as_secs_f64();
+        let decay_time = decay_time.as_secs_f64().max(f64::EPSILON);
+        // A rational decay is cheaper than an exponential one, and the tail matters little.
+        let confidence = decay_time / (decay_time + age);
+        self.mean + (last.external_load - self.mean) * confidence
     }
 
-    /// Requests at the target that are not counted here, as the last report told.
+    /// Returns the number of requests from other processes in the last report, 0 once the report is
+    /// older than [`UNTRACKED_REQUESTS_TTL`].
     pub(crate) fn untracked_requests(&self, now: Timestamp) -> u32 {
-        let last = self.last.filter(|last| now.since(last.at) <= UNCOUNTED_MEMORY);
-        last.map_or(0, |last| last.others as u32)
+        let last = self.last.filter(|last| now.since(last.received_at) <= UNTRACKED_REQUESTS_TTL);
+        last.map_or(0, |last| last.external_load as u32)
     }
 
-    /// Forgets reports that are older than the process's own pause.
+    /// Discards all reports, because the process was paused and they date from before the pause.
     pub(crate) fn discard(&mut self) {
         self.last = None;
         self.mean = 0.0;
     }
 
-    /// How many times as long as usual work takes there now, as the last report told; with
-    /// the report's age this moves to `mean`, the pace of all targets.
+    /// Returns the current duration of work at the target as a multiple of its usual duration. With
+    /// the age of the last report, the value moves to `mean_pace`, the mean over all targets.
     pub(crate) fn pace(&self, now: Timestamp, mean: f64) -> f64 {
         let Some(last) = self.last else {
             return mean;
         };
-        let age = now.since(last.at).as_secs_f64();
-        let faith = (1.0 - age / PACE_MEMORY.as_secs_f64()).max(0.0);
-        (mean + (last.report.pace() - mean) * faith).max(PACE_MIN)
+        let age = now.since(last.received_at).as_secs_f64();
+        let confidence = (1.0 - age / PACE_REPORT_TTL.as_secs_f64()).max(0.0);
+        (mean + (last.report.pace() - mean) * confidence).max(PACE_MIN)
     }
 
-    /// Whether work ends sooner if it waits until the reported slow spell is over than if it
-    /// starts now. Work keeps the pace at which it starts, and takes `service` at the pace
-    /// `usual` of all targets.
-    pub(crate) fn is_slow_spell(&self, now: Timestamp, usual: f64, service: Duration) -> bool {
+    /// Whether work that waits for the end of the reported slow spell ends sooner than work that starts
+    /// now. Work keeps the pace at which it starts, and takes `service` at `usual_pace`.
+    pub(crate) fn is_slow_spell(&self, now: Timestamp, usual_pace: f64, service: Duration) -> bool {
         let Some(last) = self.last else {
             return false;
         };
-        let spell_left = PACE_MEMORY.saturating_sub(now.since(last.at));
-        let longer = service.mul_f64((last.report.pace() - usual).max(0.0));
-        !spell_left.is_zero() && longer > spell_left
+        let spell_remaining = PACE_REPORT_TTL.saturating_sub(now.since(last.received_at));
+        let extra_time = service.mul_f64((last.report.pace() - usual_pace).max(0.0));
+        !spell_remaining.is_zero() && extra_time > spell_remaining
     }
 
-    /// The pace that the last report told, if it is not older than `age_max`.
+    /// Returns the pace in the last report, if the report is not older than `age_max`.
     pub(crate) fn reported_pace(&self, age_max: Duration, now: Timestamp) -> Option<f64> {
-        let last = self.last.filter(|last| now.since(last.at) <= age_max)?;
+        let last = self.last.filter(|last| now.since(last.received_at) <= age_max)?;
         Some(last.report.pace())
     }
 
-    /// The pace that a request meets which is sent now, as far as a report says that.
+    /// Returns the pace for a request that is sent now, if a recent report states one.
     pub(crate) fn current_pace(&self, now: Timestamp) -> Option<f64> {
-        self.reported_pace(PACE_MEMORY, now)
+        self.reported_pace(PACE_REPORT_TTL, now)
     }
 
+    /// Returns the last load report of the target, if any.
     pub(crate) fn last_report(&self) -> Option<LoadReport> {
         self.last.map(|last| last.report)
     }
 
+    /// Returns the age of the last load report, or `None` without a report.
     pub(crate) fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.last.map(|last| now.since(last.at))
+        self.last.map(|last| now.since(last.received_at))
     }
 }
