--- a/crates/thymeshift_dispatch/src/unlisted.rs
+++ b/crates/thymeshift_dispatch/src/unlisted.rs
@@ -1,7 +1,7 @@
-//! What targets have said of themselves that are not listed for a while.
+//! Retained statements of targets that are temporarily missing from the configuration.
 //!
-//! An entry may lapse while the source is away, and come back for the same start. What its target
-//! has said holds until a later start.
+//! An entry may lapse while the source is unreachable, and come back for the same incarnation. The
+//! statements of a target hold until a later incarnation.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,15 +14,16 @@
 use crate::target_state::Presence;
 use crate::target_state::Target;
 
-/// How long it is remembered that a target leaves: longer than an entry takes to come back once the
-/// source has returned.
+/// Time for which an unlisted target's leaving mark is retained, longer than an entry takes to come
+/// back after the source has returned.
 const LEAVING_TTL: Duration = Duration::from_mins(10);
 
+/// Retained state by the name of each unlisted target.
 #[derive(Debug, Default)]
-pub(crate) struct UnlistedTargets(HashMap<TargetName, Remembered>);
+pub(crate) struct UnlistedTargets(HashMap<TargetName, RetainedState>);
 
 #[derive(Debug)]
-struct Remembered {
+struct RetainedState {
     incarnation: Incarnation,
     is_leaving: bool,
     backoff: Backoff,
@@ -30,7 +31,7 @@
 }
 
 impl UnlistedTargets {
-    /// Remembers a target that is no longer listed, if it has said anything that still holds.
+    /// Retains the leaving mark and the backoff of a target that is no longer listed, if it has any.
     pub(crate) fn remember(&mut self, target: &Target, now: Timestamp) {
         let is_leaving = target.presence == Presence::Leaving;
         let backoff_until = target.backoff.active_until(now);
@@ -39,25 +40,25 @@
             return;
         };
         let Target { incarnation, backoff, .. } = *target;
-        let remembered = Remembered { incarnation, is_leaving, backoff, expires_at };
-        self.0.insert(target.name.clone(), remembered);
+        let retained = RetainedState { incarnation, is_leaving, backoff, expires_at };
+        self.0.insert(target.name.clone(), retained);
     }
 
-    /// Gives a target that is listed again what it had said, unless it has started again since.
+    /// Restores the retained state of a target that is listed again, unless its incarnation is later.
     pub(crate) fn restore(&mut self, target: &mut Target) {
-        let remembered = self.0.remove(&target.name);
-        let Some(remembered) = remembered.filter(|known| known.incarnation >= target.incarnation)
+        let retained = self.0.remove(&target.name);
+        let Some(retained) = retained.filter(|state| state.incarnation >= target.incarnation)
         else {
             return;
         };
-        target.backoff = remembered.backoff;
-        if remembered.is_leaving {
+        target.backoff = retained.backoff;
+        if retained.is_leaving {
             target.presence = Presence::Leaving;
         }
     }
 
-    /// Forgets what no longer holds.
+    /// Drops retained state that has expired.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        self.0.retain(|_, known| now < known.expires_at);
+        self.0.retain(|_, state| now < state.expires_at);
     }
 }
