--- a/crates/thymeshift_dispatch/src/elapsed_time.rs
+++ b/crates/thymeshift_dispatch/src/elapsed_time.rs
@@ -1,70 +1,72 @@
-//! How long a caller has been trying already, told by the time that it still waits.
+//! Estimate of how long a caller has been trying already, from the timeout on its request.
 //!
-//! What it does: keeps the times that callers of a kind usually say they wait. A caller that
-//! says less than the next usual time has spent the difference on earlier attempts. Usual are
-//! the longest time seen, and each time that many requests in a row of others share.
+//! Keeps the timeouts that callers of a request kind commonly state. A caller that states less than
+//! the next common timeout has spent the difference on earlier attempts. Common timeouts are the
+//! longest one seen, and each one that a large share of the requests states.
 //!
-//! Why: the objective of a kind counts from a caller's first attempt, which may have been
-//! refused here or at another process, or lost with it. A request that cannot be answered
-//! within the objective any more is worth much less than one that can.
+//! The objective of a request kind counts from a caller's first attempt, which may have been refused
+//! here or at another process, or lost with it. A request that cannot be answered within the
+//! objective any more has much less value than one that can.
 
 use std::time::Duration;
 
-/// Times told apart: parts of the longest one.
-const STEPS: usize = 32;
-/// Share of the longest time by which a caller may be late without having tried before: the
-/// way to here takes time, too.
-const SLACK: f64 = 0.01;
-/// Weight of one request in the share of requests that say a time.
-const SHARE_WEIGHT: f64 = 1.0 / 256.0;
-/// Share from which on a time is a usual one.
-const USUAL_SHARE: f64 = 0.15;
-/// Share by which the longest times fade with each request, so that one odd caller does not
-/// make all others look late for ever.
-const FADE: f64 = 0.0002;
+/// Number of buckets between zero and the longest timeout.
+const BUCKET_COUNT: usize = 32;
+/// Share of the longest timeout that a caller's timeout may be short by without an earlier attempt,
+/// because the request has spent time on the network.
+const SLACK_SHARE: f64 = 0.01;
+/// Weight of one request in the moving share of requests per bucket.
+const REQUEST_WEIGHT: f64 = 1.0 / 256.0;
+/// Share of requests from which on the timeout of a bucket counts as common.
+const COMMON_SHARE_MIN: f64 = 0.15;
+/// Share by which the longest timeouts decay with each request, so that one caller with an unusually
+/// long timeout does not make all others look late forever.
+const DECAY_SHARE: f64 = 0.0002;
 
-/// The usual times of one kind at one VM.
+/// Common timeouts of one request kind at one VM.
 #[derive(Debug, Clone, Default)]
 pub struct ElapsedTimeEstimator {
-    longest_s: f64,
-    shares: [f64; STEPS],
-    /// The longest time seen at each place.
-    largest_s: [f64; STEPS],
+    longest_timeout_s: f64,
+    /// Moving share of the requests whose timeout is in each bucket.
+    bucket_shares: [f64; BUCKET_COUNT],
+    /// Longest timeout seen in each bucket, in seconds; decays with each request.
+    bucket_max_s: [f64; BUCKET_COUNT],
 }
 
 impl ElapsedTimeEstimator {
-    /// Takes in the time that a caller says it waits, and returns how long it has been trying.
-    pub fn estimate(&mut self, told: Duration) -> Duration {
-        let told_s = told.as_secs_f64();
-        self.longest_s *= 1.0 - FADE;
-        self.largest_s.iter_mut().for_each(|largest_s| *largest_s *= 1.0 - FADE);
-        if told_s > self.longest_s * (1.0 + SLACK) {
-            // Places of other times would be wrong from now on.
-            *self = Self { longest_s: told_s, ..Self::default() };
+    /// Records the timeout that a caller states, and returns how long the caller has been trying.
+    pub fn estimate(&mut self, timeout: Duration) -> Duration {
+        let timeout_s = timeout.as_secs_f64();
+        self.longest_timeout_s *= 1.0 - DECAY_SHARE;
+        self.bucket_max_s.iter_mut().for_each(|bucket_max_s| *bucket_max_s *= 1.0 - DECAY_SHARE);
+        if timeout_s > self.longest_timeout_s * (1.0 + SLACK_SHARE) {
+            // The buckets of other timeouts depend on the longest one, so they are dropped.
+            *self = Self { longest_timeout_s: timeout_s, ..Self::default() };
         }
-        self.longest_s = self.longest_s.max(told_s);
-        let place = self.place(told_s);
-        self.largest_s[place] = self.largest_s[place].max(told_s);
-        for (index, share) in self.shares.iter_mut().enumerate() {
-            let sample = if index == place { 1.0 } else { 0.0 };
-            *share += SHARE_WEIGHT * (sample - *share);
+        self.longest_timeout_s = self.longest_timeout_s.max(timeout_s);
+        let bucket = self.bucket(timeout_s);
+        self.bucket_max_s[bucket] = self.bucket_max_s[bucket].max(timeout_s);
+        for (index, share) in self.bucket_shares.iter_mut().enumerate() {
+            let sample = if index == bucket { 1.0 } else { 0.0 };
+            *share += REQUEST_WEIGHT * (sample - *share);
         }
-        let usual_s = self.usual_from(place).unwrap_or(self.longest_s);
-        let tried_s = usual_s - told_s;
-        if tried_s <= self.longest_s * SLACK {
+        let initial_timeout_s = self.common_timeout_from(bucket).unwrap_or(self.longest_timeout_s);
+        let elapsed_s = initial_timeout_s - timeout_s;
+        if elapsed_s <= self.longest_timeout_s * SLACK_SHARE {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(tried_s)
+        Duration::from_secs_f64(elapsed_s)
     }
 
-    /// The next usual time at or above a place, if there is one below the longest.
-    fn usual_from(&self, place: usize) -> Option<f64> {
-        let next = (place..STEPS).find(|index| self.shares[*index] >= USUAL_SHARE)?;
-        Some(self.largest_s[next])
+    /// Returns the next common timeout at or above a bucket, or `None` if only the longest is left.
+    fn common_timeout_from(&self, bucket: usize) -> Option<f64> {
+        let next_common =
+            (bucket..BUCKET_COUNT).find(|index| self.bucket_shares[*index] >= COMMON_SHARE_MIN)?;
+        Some(self.bucket_max_s[next_common])
     }
 
-    fn place(&self, told_s: f64) -> usize {
-        let part = told_s / self.longest_s.max(f64::MIN_POSITIVE);
-        ((part * STEPS as f64) as usize).min(STEPS - 1)
+    fn bucket(&self, timeout_s: f64) -> usize {
+        let part = timeout_s / self.longest_timeout_s.max(f64::MIN_POSITIVE);
+        ((part * BUCKET_COUNT as f64) as usize).min(BUCKET_COUNT - 1)
     }
 }
