--- a/crates/thymeshift_dispatch/src/pause.rs
+++ b/crates/thymeshift_dispatch/src/pause.rs
@@ -1,13 +1,13 @@
-//! Noticing that this process was paused.
+//! Detection of pauses of this process.
 //!
-//! A process that slept (a suspended VM, a stopped process, a long stall) wakes with an
-//! old view. What it knew from before the gap is not used for decisions after it.
+//! A process that did not run for a while (a suspended VM, a stopped process, a long stall) resumes
+//! with an old view of the targets. State from before the gap is not used for decisions after it.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Compares each moment with the one before.
+/// Detects pauses by the gap between two consecutive observations of the clock.
 #[derive(Debug, Clone)]
 pub struct PauseDetector {
     last: Timestamp,
@@ -15,13 +15,13 @@
 }
 
 impl PauseDetector {
-    /// A detector that takes any gap above `gap_max` as a pause. Something must call
-    /// [`PauseDetector::observe`] well within that time.
+    /// Creates a detector that counts any gap above `gap_max` as a pause. A running process must call
+    /// [`PauseDetector::observe`] several times within `gap_max`.
     pub fn new(now: Timestamp, gap_max: Duration) -> Self {
         Self { last: now, gap_max }
     }
 
-    /// Notes that the process runs at `now`; returns the gap if it was paused.
+    /// Records that the process runs at `now`, and returns the gap if the process was paused.
     pub fn observe(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = now.since(self.last);
         self.last = self.last.max(now);
