--- a/crates/thymeshift_dispatch/src/probe_budget.rs
+++ b/crates/thymeshift_dispatch/src/probe_budget.rs
@@ -1,44 +1,45 @@
-//! How many targets of a group an allocator keeps fresh.
+//! Budget that bounds how many targets of a group an allocator probes.
 //!
-//! What it does: lets a group have so many probes for each request that it is asked for.
+//! A group earns a fixed number of probes with each request for one of its targets.
 //!
-//! Load pattern: a service with many targets for its requests, such as 600 targets in a data hall
-//! for 60 requests a second. Kept fresh all of them, each with 25 probes a second, take 15,000
-//! probes a second of one process, which answers requests late for it; a request is granted one
-//! target. Where targets are few for their requests, probes stay below this by themselves.
+//! The budget matters for a service with many targets for its requests, such as 600 targets in a data
+//! hall for 60 requests per second. Probing all of them 25 times per second takes 15,000 probes per
+//! second of one process, which then answers requests late, while a request needs only one target.
+//! Where a service has few targets for its requests, the probes stay below the budget.
 
-/// Probes for each request. Twice as many as are made just before a grant: what the budget keeps
-/// fresh are the targets that the next requests would be sent to.
+/// Probes earned with each request, twice as many as are made just before a grant. The budget keeps
+/// the reports of those targets fresh that the next requests would be sent to.
 const PROBES_PER_REQUEST: u32 = 10;
-/// Probes that may be saved up: so many targets are asked when the first request comes.
-const SAVED_MAX: u32 = 160;
+/// Largest number of probes that may be saved up, and the number of targets that may be probed when
+/// the first request arrives.
+const PROBES_SAVED_MAX: u32 = 160;
 
-/// The probes that a group may have now.
+/// Number of probes that a group may currently start.
 #[derive(Debug, Clone, Copy)]
 pub struct ProbeBudget {
-    left: u32,
+    available: u32,
 }
 
 impl Default for ProbeBudget {
     fn default() -> Self {
-        Self { left: SAVED_MAX }
+        Self { available: PROBES_SAVED_MAX }
     }
 }
 
 impl ProbeBudget {
-    /// A target was asked for.
+    /// Earns probes for a request for a target of the group.
     pub fn record_request(&mut self) {
-        self.left = (self.left + PROBES_PER_REQUEST).min(SAVED_MAX);
+        self.available = (self.available + PROBES_PER_REQUEST).min(PROBES_SAVED_MAX);
     }
 
-    /// Probes that may begin now.
+    /// Returns the number of probes that may start now.
     pub fn available(&self) -> usize {
-        self.left as usize
+        self.available as usize
     }
 
-    /// Probes have begun.
+    /// Deducts probes that have started.
     pub fn spend(&mut self, probes: usize) {
         let probes = u32::try_from(probes).unwrap_or(u32::MAX);
-        self.left = self.left.saturating_sub(probes);
+        self.available = self.available.saturating_sub(probes);
     }
 }
