--- a/crates/thymeshift_dispatch/src/probe_pacing.rs
+++ b/crates/thymeshift_dispatch/src/probe_pacing.rs
@@ -1,27 +1,27 @@
-//! When an allocator may probe a target again.
+//! Earliest time at which an allocator may probe a target again.
 //!
-//! What it does: leaves at least the allowed time between the beginnings of two probes of a
-//! target, and lets that time double with each probe in a row that brought no answer.
+//! Keeps at least the allowed interval between the starts of two probes of a target, and doubles the
+//! interval with each consecutive probe without an answer.
 //!
-//! A probe just before a grant may come earlier: up to [`SAVED_MAX`] of them at a time, paid for
-//! by the probes that come after, so that the rate holds over any longer time.
+//! A probe just before a grant may come earlier. Up to [`EARLY_PROBES_MAX`] probes may be ahead of
+//! schedule; later probes are delayed for them, so that the rate holds over any longer time.
 //!
-//! Why: a target that does not answer tells nothing by being asked again, and each attempt
-//! costs a connection. Without the doubling a target that resets connections would be asked
-//! at every look, beyond its measuring budget.
+//! Probing an unresponsive target again yields no information, and each attempt costs a connection.
+//! Without the doubling, a target that resets connections would be probed at every scan and beyond
+//! its measuring budget.
 
 use std::time::Duration;
 
 use thymeshift_types::Timestamp;
 
-/// Longest time between two probes of a target that does not answer.
+/// Longest interval between two probes of a target that does not answer.
 const INTERVAL_MAX: Duration = Duration::from_secs(2);
-/// Doublings at most.
+/// Largest number of doublings of the probe interval.
 const DOUBLINGS_MAX: u32 = 6;
-/// Probes that may be made ahead of their time.
-const SAVED_MAX: u32 = 6;
+/// Largest number of probes that may be ahead of the schedule.
+const EARLY_PROBES_MAX: u32 = 6;
 
-/// The probes of one target.
+/// Probe schedule of one target.
 #[derive(Debug, Clone, Default)]
 pub struct ProbePacing {
     is_running: bool,
@@ -30,7 +30,7 @@
 }
 
 impl ProbePacing {
-    /// Takes the right to probe now; `interval` is the shortest time between two probes.
+    /// Takes the right to probe now, if one is due; `interval` is the shortest time between two probes.
     pub fn try_begin(&mut self, interval: Duration, now: Timestamp) -> bool {
         if self.is_running || now < self.not_before {
             return false;
@@ -41,9 +41,12 @@
         true
     }
 
-    /// Takes the right to probe now, just before a request may be sent there.
+    /// Takes the right to probe now, possibly ahead of the schedule, just before a grant of the target.
     pub fn try_begin_early(&mut self, interval: Duration, now: Timestamp) -> bool {
-        if self.is_running || self.failures > 0 || now + interval * SAVED_MAX < self.not_before {
+        if self.is_running
+            || self.failures > 0
+            || now + interval * EARLY_PROBES_MAX < self.not_before
+        {
             return false;
         }
         self.is_running = true;
@@ -51,13 +54,13 @@
         true
     }
 
-    /// The probe has ended.
+    /// Records the end of a probe, and whether the target answered.
     pub fn finish(&mut self, is_answered: bool) {
         self.is_running = false;
         self.failures = if is_answered { 0 } else { self.failures + 1 };
     }
 
-    /// Whether nothing would be lost by forgetting this.
+    /// Whether the target has had no probe for long enough that its schedule can be dropped.
     pub fn is_idle(&self, now: Timestamp) -> bool {
         !self.is_running && now.since(self.not_before) > INTERVAL_MAX * 2
     }
