--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -1,14 +1,14 @@
-//! Requests that wait for a target, by rank.
+//! Priority queue of the requests that wait for a target.
 //!
-//! What it does: requests that can still be answered within their objective go before those
-//! that cannot, and among either lower ranks wait for higher ones; but every
-//! [`STARVATION_TURN`]th turn goes to the lowest rank that waits. Within a rank the
-//! oldest goes first, until the oldest has used up half of its time: then the rank is
-//! overloaded, and the newest goes first, because it has the best chance in time.
+//! Requests that can still be answered within their objective are served before those that cannot,
+//! and among each of these, higher priorities are served first. Every [`STARVATION_INTERVAL`]th
+//! request served is from the lowest priority with waiting requests. Within a priority, the oldest
+//! request is served first until the oldest has used up half of its wait limit. The priority is then
+//! overloaded and the newest request is served first, because it is the most likely to be in time.
 //!
-//! Why: archives may wait, but they must arrive; in overload a first-in-first-out
-//! queue answers everybody too late; and an answer that is late anyway is worth the same
-//! a little later.
+//! The lowest priority, such as archive requests, may wait but must not starve. Under overload, a
+//! first-in-first-out queue would answer every request too late. A request that is late anyway loses
+//! no further value by waiting a little longer.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -20,19 +20,19 @@
 
 use crate::Request;
 
-/// One turn in this many goes to the lowest rank that waits.
-const STARVATION_TURN: u32 = 16;
+/// Interval, in served requests, at which the lowest priority with waiting requests is served.
+const STARVATION_INTERVAL: u32 = 16;
 
-/// A place in the queue.
+/// Identifier of a waiting request in the queue of one dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket(u64);
 
-/// A request that waits.
+/// Request in the queue.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Waiter {
     pub(crate) ticket: Ticket,
     pub(crate) request: Request,
-    pub(crate) since: Timestamp,
+    pub(crate) queued_at: Timestamp,
 }
 
 impl Waiter {
@@ -40,120 +40,127 @@
         now >= self.request.wait_until
     }
 
-    /// Whether an answer that comes at `answered_at` is within the objective.
+    /// Whether an answer that arrives at `answered_at` meets the objective of the request.
     fn is_in_time(&self, answered_at: Timestamp) -> bool {
         answered_at <= self.request.objective
     }
 
-    fn is_half_spent(&self, now: Timestamp) -> bool {
-        let whole = self.since.until(self.request.wait_until);
-        now.since(self.since) * 2 > whole
+    fn is_half_expired(&self, now: Timestamp) -> bool {
+        let whole = self.queued_at.until(self.request.wait_until);
+        now.since(self.queued_at) * 2 > whole
     }
 }
 
+/// Waiting requests of one service at this VM.
 #[derive(Debug)]
 pub(crate) struct Queue {
-    /// Waiting requests by rank, which differ by organisation and kind; a rank that nobody waits
-    /// in is not kept.
-    ranks: BTreeMap<u8, VecDeque<Waiter>>,
+    /// Waiting requests by priority, in order of arrival. Priorities follow from the organisation and
+    /// the kind of a request; a priority without waiting requests has no entry.
+    by_priority: BTreeMap<u8, VecDeque<Waiter>>,
     next_ticket: u64,
-    turn: u32,
+    /// Number of requests served, modulo [`STARVATION_INTERVAL`].
+    served_count: u32,
 }
 
 impl Queue {
     pub(crate) fn new() -> Self {
-        Self { ranks: BTreeMap::new(), next_ticket: 0, turn: 0 }
+        Self { by_priority: BTreeMap::new(), next_ticket: 0, served_count: 0 }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.ranks.is_empty()
+        self.by_priority.is_empty()
     }
 
     pub(crate) fn waiting_at(&self, priority: u8) -> usize {
-        self.ranks.get(&priority).map_or(0, VecDeque::len)
+        self.by_priority.get(&priority).map_or(0, VecDeque::len)
     }
 
-    /// Waiting requests of each rank.
+    /// Returns the number of waiting requests of each priority that has any.
     pub(crate) fn waiting_by_priority(&self) -> impl Iterator<Item = (u8, usize)> {
-        self.ranks.iter().map(|(priority, rank)| (*priority, rank.len()))
+        self.by_priority.iter().map(|(priority, waiters)| (*priority, waiters.len()))
     }
 
-    /// Waiting requests that go before a new one of this priority; `is_in_time` is whether that
-    /// can be answered within its objective, and answers to requests that are sent now come
-    /// at `answered_at`.
+    /// Returns the number of waiting requests that are served before a new request of `priority`.
+    /// `is_in_time` is whether the new request can meet its objective, and `answered_at` is the
+    /// expected time of an answer to a request that is sent now.
     pub(crate) fn count_ahead(
         &self,
         priority: u8,
         is_in_time: bool,
         answered_at: Timestamp,
     ) -> usize {
-        let higher = self.ranks.range(..=priority).flat_map(|(_, rank)| rank);
+        let same_or_higher = self.by_priority.range(..=priority).flat_map(|(_, waiters)| waiters);
         if is_in_time {
-            return higher.filter(|waiter| waiter.is_in_time(answered_at)).count();
+            return same_or_higher.filter(|waiter| waiter.is_in_time(answered_at)).count();
         }
-        let lower = self.ranks.range((Bound::Excluded(priority), Bound::Unbounded));
-        let lower = lower.flat_map(|(_, rank)| rank);
-        higher.count() + lower.filter(|waiter| waiter.is_in_time(answered_at)).count()
+        let lower = self.by_priority.range((Bound::Excluded(priority), Bound::Unbounded));
+        let lower = lower.flat_map(|(_, waiters)| waiters);
+        same_or_higher.count() + lower.filter(|waiter| waiter.is_in_time(answered_at)).count()
     }
 
     pub(crate) fn push(&mut self, request: Request, now: Timestamp) -> Ticket {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let waiter = Waiter { ticket, request, since: now };
-        self.ranks.entry(request.priority).or_default().push_back(waiter);
+        let waiter = Waiter { ticket, request, queued_at: now };
+        self.by_priority.entry(request.priority).or_default().push_back(waiter);
         ticket
     }
 
-    /// Takes a waiter out, for example because its caller has gone away.
+    /// Removes a waiting request, for example because its caller has disconnected.
     pub(crate) fn remove(&mut self, ticket: Ticket) -> bool {
-        self.take_out(|waiter| waiter.ticket == ticket).is_some()
+        self.remove_first(|waiter| waiter.ticket == ticket).is_some()
     }
 
-    /// Takes out one waiter whose time is over.
+    /// Removes and returns one waiting request whose wait limit has passed.
     pub(crate) fn pop_expired(&mut self, now: Timestamp) -> Option<Waiter> {
-        self.take_out(|waiter| waiter.is_expired(now))
+        self.remove_first(|waiter| waiter.is_expired(now))
     }
 
-    /// Takes out the first waiter that is `wanted`.
-    fn take_out(&mut self, is_wanted: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
-        let place = |(priority, rank): (&u8, &VecDeque<Waiter>)| {
-            rank.iter().position(&is_wanted).map(|index| (*priority, index))
+    /// Removes and returns the first waiting request that `matches`.
+    fn remove_first(&mut self, matches: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
+        let locate = |(priority, waiters): (&u8, &VecDeque<Waiter>)| {
+            waiters.iter().position(&matches).map(|index| (*priority, index))
         };
-        let (priority, index) = self.ranks.iter().find_map(place)?;
-        let rank = self.ranks.get_mut(&priority)?;
-        let waiter = rank.remove(index);
-        if rank.is_empty() {
-            self.ranks.remove(&priority);
+        let (priority, index) = self.by_priority.iter().find_map(locate)?;
+        let waiters = self.by_priority.get_mut(&priority)?;
+        let waiter = waiters.remove(index);
+        if waiters.is_empty() {
+            self.by_priority.remove(&priority);
         }
         waiter
     }
 
-    /// The waiter whose turn it is; [`Self::take`] takes it out. Answers to requests that are
-    /// sent now come at `answered_at`.
+    /// Returns the request to serve next, which [`Self::dequeue`] removes. `answered_at` is the
+    /// expected time of an answer to a request that is sent now.
     pub(crate) fn peek(&self, now: Timestamp, answered_at: Timestamp) -> Option<Waiter> {
-        if (self.turn + 1).is_multiple_of(STARVATION_TURN) {
-            return self.ranks.values().next_back().and_then(VecDeque::front).copied();
+        if (self.served_count + 1).is_multiple_of(STARVATION_INTERVAL) {
+            return self.by_priority.values().next_back().and_then(VecDeque::front).copied();
         }
         let is_in_time = |waiter: &Waiter| waiter.is_in_time(answered_at);
-        let in_time = self.ranks.values().find_map(|rank| next_of(rank, now, is_in_time));
-        in_time.or_else(|| self.ranks.values().find_map(|rank| next_of(rank, now, |_| true)))
+        let in_time = self
+            .by_priority
+            .values()
+            .find_map(|waiters| next_in_priority(waiters, now, is_in_time));
+        in_time.or_else(|| {
+            self.by_priority.values().find_map(|waiters| next_in_priority(waiters, now, |_| true))
+        })
     }
 
-    /// Takes out a waiter that is served.
+    /// Removes a request that is served, and counts it for the starvation interval.
     pub(crate) fn dequeue(&mut self, ticket: Ticket) {
-        self.turn = (self.turn + 1) % STARVATION_TURN;
+        self.served_count = (self.served_count + 1) % STARVATION_INTERVAL;
         self.remove(ticket);
     }
 }
 
-/// The waiter of a rank that goes first, among those that may go.
-fn next_of(
-    rank: &VecDeque<Waiter>,
+/// Returns the request of one priority to serve next, among the eligible ones.
+fn next_in_priority(
+    waiters: &VecDeque<Waiter>,
     now: Timestamp,
-    may_go: impl Fn(&Waiter) -> bool,
+    is_eligible: impl Fn(&Waiter) -> bool,
 ) -> Option<Waiter> {
-    let oldest = rank.iter().find(|waiter| may_go(waiter))?;
-    let newest = || rank.iter().rev().find(|waiter| may_go(waiter));
-    let next = if oldest.is_half_spent(now) { newest()? } else { oldest };
+    let oldest = waiters.iter().find(|waiter| is_eligible(waiter))?;
+    let newest = || waiters.iter().rev().find(|waiter| is_eligible(waiter));
+    let next = if oldest.is_half_expired(now) { newest()? } else { oldest };
     Some(*next)
 }
