--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -1,16 +1,16 @@
-//! A rate-limited target takes only so many requests a second, from all processes together.
+//! Limit of requests per second that a target states for all processes together.
 //!
-//! What it does: keeps the limit that a target last stated, and a token bucket that fills at the
-//! limit times the share that whoever decides may grant; the shares of all processes add up to
-//! little more than 1 however they see the fleet. A token expires: were it kept, many processes with
-//! small shares could use theirs at one moment.
+//! Keeps the limit that a target last stated, and a token bucket that fills at the limit times the
+//! share that the deciding process may grant. The shares of all processes add up to little more than
+//! 1, however they see the fleet. Tokens expire: otherwise, many processes with small shares could
+//! use saved tokens at the same time.
 //!
-//! Why: each process learns the number, and it is meant for all of them. Kept by each process, it
-//! is exceeded as many times as there are processes.
+//! Every process receives the limit, while it applies to all of them together. If each process
+//! granted the whole limit, the target would get the limit times the number of processes.
 //!
-//! Answers arrive out of order, and through several processes. What one says counts only if it is
-//! newer than what is known: a limit as of the moment at which its answer came, the end of one as
-//! of the moment at which its request was sent, which is before the target can have said so.
+//! Answers arrive out of order and through several processes, so a statement counts only if it is
+//! newer than the known one. A limit is dated at the arrival of its answer. The end of a limit is
+//! dated at the sending of its request, because the target cannot have ended the limit earlier.
 
 use std::time::Duration;
 
@@ -21,34 +21,35 @@
 
 use crate::RateLimitDump;
 
-/// Limits from here on are none: no target of the size served here gets as much.
+/// Limit in requests per second from which on a statement counts as no limit: no target of the size
+/// served here gets as many requests.
 const LIMIT_PER_S_MAX: f64 = 1_000.0;
-/// A target gets a request this often however low its limit is: only its answers can say that its
-/// need is over.
+/// Least rate of requests to a target, however low its limit is: only its answers can state that the
+/// limit has ended.
 const RATE_MIN_PER_S: f64 = 0.5;
-/// Tokens missed within this time are made up for, since waiting requests are looked at every few
-/// milliseconds only.
+/// Time for which missed tokens are kept, because waiting requests are checked only every few
+/// milliseconds.
 const BURST_WINDOW: Duration = Duration::from_millis(100);
-/// A token expires if it is not used within this time.
+/// Time after which an unused token expires.
 const TOKEN_TTL: Duration = Duration::from_secs(1);
 
-/// What a process knows of a target's limit, as it tells another.
+/// State of a target's rate limit, as sent from one process to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitUpdate {
-    /// The limit in requests in 1,000 seconds; none if the target's need is over.
+    /// Limit in requests per 1,000 seconds, or `None` if the limit has ended.
     pub per_1000_s: Option<u64>,
-    /// How old this is.
+    /// Age of the target's statement.
     pub age: Duration,
 }
 
 impl RateLimitUpdate {
-    /// Whether the target is in need.
+    /// Whether the target states a limit.
     pub fn is_limited(&self) -> bool {
         self.per_1000_s.is_some()
     }
 }
 
-/// The part of targets' limits that a dispatcher may grant.
+/// Share of the targets' rate limits that a dispatcher may grant, from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateShare(f64);
 
@@ -59,149 +60,151 @@
 }
 
 impl RateShare {
-    /// Nothing: others may be granting all of it.
+    /// No share, for a process that must assume that others grant the whole limit.
     pub const NONE: Self = Self(0.0);
-    /// All of it.
+    /// The whole limit, for a process that is the only one to grant.
     pub const WHOLE: Self = Self(1.0);
 
-    /// A part from 0 to 1.
+    /// Creates a share; `part` is clamped to 0 to 1.
     pub fn new(part: f64) -> Self {
         Self(part.clamp(0.0, 1.0))
     }
 
-    /// An equal part among so many.
+    /// Creates an equal share among `count` processes.
     pub fn equal(count: u64) -> Self {
         Self(1.0 / count.max(1) as f64)
     }
 
-    /// The part, from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     pub fn fraction(self) -> f64 {
         self.0
     }
 }
 
-/// The limit of one target.
+/// Rate limit and token bucket of one target.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RateLimit {
-    known: Option<Known>,
-    /// When the last token was taken.
+    state: Option<LimitState>,
+    /// Time at which the last token was taken.
     last_taken_at: Timestamp,
-    /// Requests granted since the target has been in need.
+    /// Number of requests granted since the target has stated a limit.
     granted: u64,
 }
 
+/// Last statement of a target about its limit.
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    /// None if the need is over.
+struct LimitState {
+    /// Stated limit, or `None` if the limit has ended.
     rate: Option<RequestRate>,
+    /// Time of the target's statement.
     as_of: Timestamp,
-    /// When this process first learnt of the limit, or of its end.
+    /// Time at which this process first received the limit, or its end.
     since: Timestamp,
 }
 
 impl RateLimit {
-    /// An answer came at `now` to a request that was sent at `sent_at`; it states a limit or none.
-    /// Returns whether that is another one than before.
+    /// Records the limit, or its absence, in an answer that arrived at `now` to a request sent at
+    /// `sent_at`. Returns whether the limit changed.
     pub(crate) fn observe(
         &mut self,
         rate: Option<RequestRate>,
         sent_at: Timestamp,
         now: Timestamp,
     ) -> bool {
-        if rate.is_none() && self.known.is_none() {
+        if rate.is_none() && self.state.is_none() {
             return false;
         }
         let as_of = if rate.is_some() { now } else { sent_at };
-        self.take(rate, as_of, now)
+        self.apply(rate, as_of, now)
     }
 
-    /// Takes in what another process knows. Returns whether that is another limit than before.
+    /// Merges the state that another process sent. Returns whether the limit changed.
     pub(crate) fn merge(&mut self, update: &RateLimitUpdate, now: Timestamp) -> bool {
         let rate = update.per_1000_s.map(RequestRate::per_1000_s);
-        self.take(rate, now.minus(update.age), now)
+        self.apply(rate, now.minus(update.age), now)
     }
 
-    /// What is known, for another process.
+    /// Returns the state to send to another process, or `None` if the target never stated a limit.
     pub(crate) fn latest_update(&self, now: Timestamp) -> Option<RateLimitUpdate> {
-        let known = self.known?;
-        let per_1000_s = known.rate.map(RequestRate::in_1000_s);
-        Some(RateLimitUpdate { per_1000_s, age: now.since(known.as_of) })
+        let state = self.state?;
+        let per_1000_s = state.rate.map(RequestRate::in_1000_s);
+        Some(RateLimitUpdate { per_1000_s, age: now.since(state.as_of) })
     }
 
-    fn take(&mut self, rate: Option<RequestRate>, as_of: Timestamp, now: Timestamp) -> bool {
+    fn apply(&mut self, rate: Option<RequestRate>, as_of: Timestamp, now: Timestamp) -> bool {
         let rate = rate.filter(|rate| per_s(*rate) < LIMIT_PER_S_MAX);
-        if self.known.is_some_and(|known| known.as_of >= as_of) {
+        if self.state.is_some_and(|state| state.as_of >= as_of) {
             return false;
         }
         let before = self.rate();
         let is_first = before.is_none() && rate.is_some();
-        let since = match self.known {
-            Some(known) if known.rate.is_some() == rate.is_some() => known.since,
+        let since = match self.state {
+            Some(state) if state.rate.is_some() == rate.is_some() => state.since,
             Some(_) | None => now,
         };
         if is_first {
-            // Others may have used the token of this moment.
+            // Other processes may have used the current token already.
             self.last_taken_at = self.last_taken_at.max(now);
             self.granted = 0;
         }
-        self.known = Some(Known { rate, as_of, since });
+        self.state = Some(LimitState { rate, as_of, since });
         before != rate
     }
 
-    /// The limit, if the target is in need.
+    /// Returns the limit that the target states, if any.
     pub(crate) fn rate(&self) -> Option<RequestRate> {
-        self.known?.rate
+        self.state?.rate
     }
 
-    /// The limit, for people and programs to read.
+    /// Returns the limit for the state dump, if the target states one.
     pub(crate) fn dump(&self, share: RateShare, now: Timestamp) -> Option<RateLimitDump> {
-        let known = self.known?;
+        let state = self.state?;
         Some(RateLimitDump {
-            per_s: per_s(known.rate?),
-            limited_for_ms: now.since(known.since).as_millis() as u64,
-            age_ms: now.since(known.as_of).as_millis() as u64,
+            per_s: per_s(state.rate?),
+            limited_for_ms: now.since(state.since).as_millis() as u64,
+            age_ms: now.since(state.as_of).as_millis() as u64,
             share: share.fraction(),
             granted: self.granted,
         })
     }
 
-    /// Requests a second that may be granted here; none if the target is not in need.
+    /// Returns the requests per second that may be granted here, or `None` without a limit.
     pub(crate) fn granted_per_s(&self, share: RateShare) -> Option<f64> {
         Some(per_s(self.rate()?).max(RATE_MIN_PER_S) * share.fraction())
     }
 
-    /// Whether a request may be granted now.
+    /// Whether a token for a request is available now; always true without a limit.
     pub(crate) fn has_token(&self, share: RateShare, now: Timestamp) -> bool {
         let Some(per_s) = self.granted_per_s(share) else {
             return true;
         };
-        let Some(between) = between(per_s) else {
+        let Some(interval) = token_interval(per_s) else {
             return false;
         };
         let waited = now.since(self.last_taken_at);
-        if waited < between {
+        if waited < interval {
             return false;
         }
-        let since_token = waited.as_secs_f64() % between.as_secs_f64();
+        let since_token = waited.as_secs_f64() % interval.as_secs_f64();
         since_token <= TOKEN_TTL.as_secs_f64()
     }
 
-    /// Time until a request may be granted; none if it is never.
+    /// Returns the time until the next token, or `None` if there will never be one.
     pub(crate) fn next_token_in(&self, share: RateShare, now: Timestamp) -> Option<Duration> {
         if self.has_token(share, now) {
             return Some(Duration::ZERO);
         }
-        let between = between(self.granted_per_s(share)?)?.as_secs_f64();
+        let interval = token_interval(self.granted_per_s(share)?)?.as_secs_f64();
         let waited = now.since(self.last_taken_at).as_secs_f64();
-        let left = between - waited % between;
-        Some(Duration::from_secs_f64(left))
+        let remaining = interval - waited % interval;
+        Some(Duration::from_secs_f64(remaining))
     }
 
-    /// A request was granted.
+    /// Counts a granted request, and takes its token if the target states a limit.
     pub(crate) fn record_grant(&mut self, share: RateShare, now: Timestamp) {
         self.granted += 1;
-        let between = self.granted_per_s(share).and_then(between).unwrap_or_default();
-        self.last_taken_at = (self.last_taken_at + between).max(now.minus(BURST_WINDOW)).min(now);
+        let interval = self.granted_per_s(share).and_then(token_interval).unwrap_or_default();
+        self.last_taken_at = (self.last_taken_at + interval).max(now.minus(BURST_WINDOW)).min(now);
     }
 }
 
@@ -209,7 +212,7 @@
     rate.in_1000_s() as f64 / 1_000.0
 }
 
-/// Time between two turns; none if there are none.
-fn between(per_s: f64) -> Option<Duration> {
+/// Returns the time between two tokens, or `None` if the rate is zero.
+fn token_interval(per_s: f64) -> Option<Duration> {
     Duration::try_from_secs_f64(1.0 / per_s).ok()
 }
