--- a/crates/thymeshift_dispatch/src/request.rs
+++ b/crates/thymeshift_dispatch/src/request.rs
@@ -1,21 +1,21 @@
-//! What the dispatcher needs to know of a request.
+//! Properties of a request that a dispatcher decides on.
 
 use thymeshift_types::Timestamp;
 
 use crate::HallIndex;
 use crate::TargetIndex;
 
-/// Most targets remembered as tried; equal to the largest `attempts_max`.
+/// Largest number of tried targets kept per request, equal to the largest valid `attempts_max`.
 const TRIED_MAX: usize = 10;
-/// Most targets that a request can exclude: their names must fit into one datagram.
+/// Largest number of targets that a request can exclude: their names must fit into one datagram.
 pub(crate) const EXCLUDED_MAX: usize = 32;
 
-/// Targets that this request was already sent to. Another one goes before them.
+/// Targets that a request was already sent to; any other target is preferred to them.
 pub type Tried = TargetSet<TRIED_MAX>;
-/// Targets that this request must not be sent to: its process may not use them now.
+/// Targets that a request must not be sent to, because its process may not use them now.
 pub type Excluded = TargetSet<EXCLUDED_MAX>;
 
-/// Up to `N` targets.
+/// Set of up to `N` targets, without heap allocation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetSet<const N: usize> {
     targets: [Option<TargetIndex>; N],
@@ -28,24 +28,24 @@
 }
 
 impl<const N: usize> TargetSet<N> {
-    /// Adds a target; beyond `N` the oldest knowledge is kept.
+    /// Adds a target; a full set keeps its targets and drops the new one.
     pub fn add(&mut self, target: TargetIndex) {
         if let Some(free) = self.targets.iter_mut().find(|entry| entry.is_none()) {
             *free = Some(target);
         }
     }
 
-    /// Whether `target` is in it.
+    /// Whether `target` is in the set.
     pub fn contains(&self, target: TargetIndex) -> bool {
         self.iter().any(|known| known == target)
     }
 
-    /// The targets.
+    /// Returns the targets of the set in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = TargetIndex> + '_ {
         self.targets.iter().map_while(|entry| *entry)
     }
 
-    /// Whether there are none.
+    /// Whether the set has no targets.
     pub fn is_empty(&self) -> bool {
         self.targets[0].is_none()
     }
@@ -61,25 +61,25 @@
     }
 }
 
-/// A request as the dispatcher sees it.
+/// Request as a dispatcher sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Request {
-    /// Rank by organisation and kind; the smallest goes first.
+    /// Priority by organisation and kind of the request; the smallest value is served first.
     pub priority: u8,
-    /// When its answer must have begun.
+    /// Time at which the answer must have begun.
     pub deadline: Timestamp,
-    /// When it stops waiting for a target; at most the deadline.
+    /// Time at which the request stops waiting for a target; at most the deadline.
     pub wait_until: Timestamp,
-    /// Until when its answer is worth most to the caller; later ones are worth much less.
+    /// Time until which an answer has its full value to the caller; a later one has much less.
     pub objective: Timestamp,
-    /// Most requests of its rank waiting at one time.
+    /// Largest number of waiting requests of the same priority.
     pub queue_max: u32,
-    /// Targets it was already sent to.
+    /// Targets that earlier attempts of the request were sent to.
     pub tried: Tried,
-    /// Targets it must not be sent to.
+    /// Targets that the request must not be sent to.
     pub excluded: Excluded,
-    /// The data hall it comes from.
+    /// Data hall that the request comes from.
     pub origin: HallIndex,
-    /// Length of the answers to its kind in the mean, in KiB; 0 if that is not known.
+    /// Mean length of answers to the request's kind, in KiB; 0 if unknown.
     pub answer_kib: u32,
 }
