--- a/crates/thymeshift_dispatch/src/view.rs
+++ b/crates/thymeshift_dispatch/src/view.rs
@@ -1,21 +1,21 @@
-//! How much of the load on the targets a dispatcher counts itself.
+//! Part of the load on the targets that a dispatcher counts itself.
 
 use derive_more::Display;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whose requests the counts of a dispatcher hold.
+/// Processes whose requests the counts of a dispatcher include.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum View {
-    /// Those of this process; others decide by themselves at the same time.
+    /// Requests of this process only; other processes decide for themselves at the same time.
     #[default]
     #[display("own")]
     Own,
-    /// Those of the whole fleet: everybody asks here.
+    /// Requests of the whole fleet: all processes obtain their targets from this one.
     #[display("fleet")]
     Fleet,
-    /// Those of this process, while the one that counts for the fleet does not answer.
+    /// Requests of this process only, while the allocator for the fleet does not answer.
     #[display("fallback")]
     Fallback,
 }
