--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -129,13 +129,13 @@
 
     /// Returns the current duration of work at the target as a multiple of its usual duration. With
     /// the age of the last report, the value moves to `mean_pace`, the mean over all targets.
-    pub(crate) fn pace(&self, now: Timestamp, mean: f64) -> f64 {
+    pub(crate) fn pace(&self, now: Timestamp, mean_pace: f64) -> f64 {
         let Some(last) = self.last else {
-            return mean;
+            return mean_pace;
         };
         let age = now.since(last.received_at).as_secs_f64();
         let confidence = (1.0 - age / PACE_REPORT_TTL.as_secs_f64()).max(0.0);
-        (mean + (last.report.pace() - mean) * confidence).max(PACE_MIN)
+        (mean_pace + (last.report.pace() - mean_pace) * confidence).max(PACE_MIN)
     }
 
     /// Whether work that waits for the end of the reported slow spell ends sooner than work that starts
