--- a/crates/thymeshift_dispatch/src/slowness.rs
+++ b/crates/thymeshift_dispatch/src/slowness.rs
@@ -29,40 +29,43 @@
 /// Mean ratio and share of late answers of one target.
 #[derive(Debug, Clone)]
 pub(crate) struct Slowness {
-    ratio: f64,
+    /// Moving mean of the actual over the expected answer time.
+    mean_ratio: f64,
+    /// Moving share of the answers that took longer than expected.
     late_share: f64,
-    at: Timestamp,
+    recorded_at: Timestamp,
 }
 
 impl Default for Slowness {
     fn default() -> Self {
-        Self { ratio: 1.0, late_share: EXPECTED_LATE_SHARE, at: Timestamp::default() }
+        Self { mean_ratio: 1.0, late_share: EXPECTED_LATE_SHARE, recorded_at: Timestamp::default() }
     }
 }
 
 impl Slowness {
+    /// Records the actual and the expected time of an answer, in microseconds.
     pub(crate) fn record(&mut self, taken_us: f64, expected_us: f64, now: Timestamp) {
         let sample = (taken_us / expected_us.max(1.0)).min(ANSWER_RATIO_MAX);
         let is_late = if sample > 1.0 { 1.0 } else { 0.0 };
-        let ratio = self.decayed(self.ratio, 1.0, now);
+        let mean_ratio = self.decayed(self.mean_ratio, 1.0, now);
         let late_share = self.decayed(self.late_share, EXPECTED_LATE_SHARE, now);
-        self.ratio = ratio + ANSWER_WEIGHT * (sample - ratio);
+        self.mean_ratio = mean_ratio + ANSWER_WEIGHT * (sample - mean_ratio);
         self.late_share = late_share + ANSWER_WEIGHT * (is_late - late_share);
-        self.at = now;
+        self.recorded_at = now;
     }
 
     /// Returns the factor on the target's expected time, at least 1.
     pub(crate) fn factor(&self, now: Timestamp) -> f64 {
-        let ratio = self.decayed(self.ratio, 1.0, now);
+        let mean_ratio = self.decayed(self.mean_ratio, 1.0, now);
         let late_share = self.decayed(self.late_share, EXPECTED_LATE_SHARE, now);
         // Ratio of means at which exponentially distributed answer times give this late share.
-        let ratio_by_late_share = -1.0 / late_share.clamp(f64::EPSILON, 1.0 - f64::EPSILON).ln();
-        let slower = ratio.min(ratio_by_late_share).min(SLOWNESS_FACTOR_MAX);
-        1.0 + (slower - NOISE_RATIO_MAX).max(0.0)
+        let ratio_from_late_share = -1.0 / late_share.clamp(f64::EPSILON, 1.0 - f64::EPSILON).ln();
+        let slowdown = mean_ratio.min(ratio_from_late_share).min(SLOWNESS_FACTOR_MAX);
+        1.0 + (slowdown - NOISE_RATIO_MAX).max(0.0)
     }
 
     fn decayed(&self, value: f64, neutral: f64, now: Timestamp) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
+        let age = now.since(self.recorded_at).as_secs_f64();
         let half_life = DECAY_HALF_LIFE.as_secs_f64();
         neutral + (value - neutral) * half_life / (half_life + age)
     }
