--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! All decisions of one service at one VM.
+//! Decisions of one service at one VM.
 //!
-//! * [`reconfiguration`]: taking in a configuration.
-//! * [`observations`]: what attempts and probes teach.
-//! * [`probing`]: which targets are worth a probe.
+//! * [`reconfiguration`]: applies a configuration.
+//! * [`observations`]: records the results of attempts and probes.
+//! * [`probing`]: selects the targets to probe.
 
 mod observations;
 mod probing;
@@ -44,11 +44,11 @@
 use crate::request::EXCLUDED_MAX;
 use crate::table::TargetTable;
 
-/// A gap in the process's own time above this is a pause. The entry process calls
+/// Gap between two ticks above which the process counts as paused. The entry process calls
 /// [`Dispatcher::tick`] ten times as often.
 const PAUSE_GAP_MAX: Duration = Duration::from_millis(500);
 
-/// The dispatcher of one service.
+/// Dispatcher of one service.
 #[derive(Debug)]
 pub struct Dispatcher<S> {
     service: ServiceName,
@@ -60,12 +60,12 @@
     ejection: Ejection,
     pause: PauseDetector,
     view: View,
-    /// Whether others have room for what finds no target here.
+    /// Whether other groups of the service have spare capacity for requests without a target here.
     can_overflow: bool,
 }
 
 impl Dispatcher<AnyStrategy> {
-    /// What this dispatcher believes.
+    /// Returns the state of this dispatcher for operators and tools.
     pub fn dump(&self, now: Timestamp) -> ServiceDump {
         let queues = self.queue.waiting_by_priority();
         let queues = queues.map(|(priority, waiting)| QueueDump { priority, waiting }).collect();
@@ -83,7 +83,7 @@
 }
 
 impl<S: Strategy> Dispatcher<S> {
-    /// A dispatcher without targets.
+    /// Creates a dispatcher without targets.
     pub fn new(service: ServiceName, strategy: S, now: Timestamp) -> Self {
         Self {
             service,
@@ -99,24 +99,24 @@
         }
     }
 
-    /// Says whether requests that find no target here may go elsewhere: then any number of
-    /// targets may be set aside.
-    pub fn set_can_overflow(&mut self, is_backed: bool) {
-        self.can_overflow = is_backed;
+    /// Sets whether requests without a target here can go to other groups of the service. If so, any
+    /// number of targets may be ejected.
+    pub fn set_can_overflow(&mut self, can_overflow: bool) {
+        self.can_overflow = can_overflow;
     }
 
-    /// Says whose requests the counts hold from now on.
+    /// Sets the processes whose requests the counts include from now on.
     pub fn set_view(&mut self, view: View) {
         self.view = view;
     }
 
-    /// Whose requests the counts hold.
+    /// Returns the processes whose requests the counts include.
     pub fn view(&self) -> View {
         self.view
     }
 
-    /// The right to send to the target called `name`, which another process chose knowing
-    /// `limit` of it. None if it is not known here, or may not receive new work.
+    /// Grants the target called `name`, which an allocator chose and counted against its rate limit
+    /// `limit`, if any. Returns `None` if the target is unknown here or may not get new work.
     pub fn grant_target(
         &mut self,
         name: &TargetName,
@@ -136,41 +136,41 @@
         Some(Grant { is_counted, ..grant })
     }
 
-    /// Whether a grant was counted against the limit that its target has named, if there is one.
-    /// One that was not must not be used: whoever chose did not know of the limit, or it is newer
-    /// than the choice.
+    /// Whether a grant was counted against its target's rate limit, if the target states one. A grant
+    /// that was not counted must not be used: the limit was unknown to the process that chose the
+    /// target, or is newer than the choice.
     pub fn is_within_limit(&self, grant: &Grant) -> bool {
         grant.is_counted || !self.table.get(grant.target).is_rate_limited()
     }
 
-    /// Most requests that one target serves well at a time.
+    /// Returns the best number of concurrent requests at one target.
     pub fn concurrency(&self, now: Timestamp) -> u32 {
         self.table.concurrency(now)
     }
 
-    /// Takes over that number from a process that counts for the fleet, so that it need not
-    /// be found out anew when this one takes its place.
+    /// Adopts the best number of concurrent requests from an allocator, so that this process need not
+    /// measure it again when it takes over as the allocator.
     pub fn adopt_concurrency(&mut self, number: u32) {
         self.table.adopt_concurrency(number);
     }
 
-    /// The number of a data hall, for [`Request::origin`].
+    /// Returns the number of a data hall, for [`Request::origin`].
     pub fn hall_index(&mut self, name: &DataHallName) -> HallIndex {
         self.table.hall_index(name)
     }
 
-    /// The place of the target called `name`.
+    /// Returns the index of the target called `name`, or `None` if it is not configured.
     pub fn index_of(&self, name: &TargetName) -> Option<TargetIndex> {
         self.table.find(name)
     }
 
-    /// The name of the target at `index`.
+    /// Returns the name of the target at `index`.
     pub fn name_at(&self, index: TargetIndex) -> TargetName {
         self.table.get(index).name.clone()
     }
 
-    /// Must be called several times in [`PAUSE_GAP_MAX`]: it notices pauses of the process.
-    /// Returns the pause, if there was one.
+    /// Detects pauses of the process; a running process must call it several times in
+    /// [`PAUSE_GAP_MAX`]. Returns the duration of the pause, if there was one.
     pub fn tick(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = self.pause.observe(now)?;
         for target in self.table.iter_mut() {
@@ -179,7 +179,7 @@
         Some(gap)
     }
 
-    /// Decides on a new request, or on another attempt of one.
+    /// Decides on a new request, or on a further attempt of a request.
     pub fn request<R: Rng>(&mut self, request: Request, now: Timestamp, rng: &mut R) -> Decision {
         self.tick(now);
         if now >= request.deadline {
@@ -188,7 +188,7 @@
         if let Some(grant) = self.choose(&request, now, rng) {
             return Decision::Send(grant);
         }
-        if !self.is_served(&request) {
+        if !self.is_any_target_eligible(&request) {
             return Decision::Refuse(self.refusal(Reason::NoTarget, &request, now, rng));
         }
         if let Some(refusal) = self.backoff_refusal(&request, now, rng) {
@@ -197,7 +197,7 @@
         if self.queue.waiting_at(request.priority) >= request.queue_max as usize {
             return Decision::Refuse(self.refusal(Reason::QueueFull, &request, now, rng));
         }
-        let ahead = self.ahead_of(&request, now);
+        let ahead = self.count_ahead(&request, now);
         if let Some(refusal) = self.rate_limit_refusal(&request, ahead, now, rng) {
             return Decision::Refuse(refusal);
         }
@@ -208,64 +208,64 @@
         Decision::Wait(self.queue.push(request, now))
     }
 
-    /// Whether requests wait.
+    /// Whether any requests wait for a target.
     pub fn has_waiting(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Counts a request that this process received, for the retry budget.
+    /// Earns a share of a retry for a request that this process received.
     pub fn record_request(&mut self) {
         self.retry.record_request();
     }
 
-    /// Whether the budget allows a retry.
+    /// Whether the retry budget allows a retry.
     pub fn has_retry(&self) -> bool {
         self.retry.reserve() >= 1.0
     }
 
-    /// Spends one retry of the budget.
+    /// Spends one retry of the retry budget and returns true, if the budget holds one.
     pub fn try_spend_retry(&mut self) -> bool {
         self.retry.try_spend()
     }
 
-    /// Whether the request may still be sent: ask immediately before the first byte. The
-    /// target may have begun to leave, or the process may have slept, since the choice.
+    /// Whether a granted request may still be sent. Must be checked immediately before the first byte:
+    /// since the choice, the target may have begun to leave, or the process may have been paused.
     pub fn may_send(&self, grant: &Grant, deadline: Timestamp, now: Timestamp) -> bool {
         let target = self.table.get(grant.target);
-        let is_meant = target.may_receive(now) && target.incarnation == grant.incarnation;
-        is_meant && self.is_within_limit(grant) && now < deadline
+        let is_receiving = target.may_receive(now) && target.incarnation == grant.incarnation;
+        is_receiving && self.is_within_limit(grant) && now < deadline
     }
 
-    /// Where a granted request goes.
+    /// Returns the address of a granted request's target.
     pub fn address(&self, grant: &Grant) -> std::net::SocketAddr {
         self.table.get(grant.target).address
     }
 
-    /// Name of a granted request's target.
+    /// Returns the name of a granted request's target.
     pub fn target_name(&self, grant: &Grant) -> TargetName {
         self.table.get(grant.target).name.clone()
     }
 
-    /// Gives a grant back: the target is done with the request, or never saw it.
+    /// Releases a grant, because the target has finished the request or never received it.
     #[expect(clippy::needless_pass_by_value, reason = "a grant is given back once")]
     pub fn release(&mut self, grant: Grant, now: Timestamp) {
         self.table.get_mut(grant.target).release(&grant);
         self.admission.record_release(now, !self.queue.is_empty());
     }
 
-    /// The next waiting request that may go or whose time is over. Ask until there is
-    /// none, after each release, update and tick.
+    /// Returns the next waiting request that can be sent or must be refused. After each release, update
+    /// and tick, it must be called until it returns `None`.
     pub fn next_wake<R: Rng>(&mut self, now: Timestamp, rng: &mut R) -> Option<Wake> {
         if let Some(waiter) = self.queue.pop_expired(now) {
             let refusal = self.refusal(Reason::DeadlineUnreachable, &waiter.request, now, rng);
             return Some(Wake::Refuse(waiter.ticket, refusal));
         }
-        let waiter = self.queue.peek(now, self.answered_at(now))?;
+        let waiter = self.queue.peek(now, self.expected_answer_at(now))?;
         if let Some(grant) = self.choose(&waiter.request, now, rng) {
             self.queue.dequeue(waiter.ticket);
             return Some(Wake::Send(waiter.ticket, grant));
         }
-        let refusal = if self.is_served(&waiter.request) {
+        let refusal = if self.is_any_target_eligible(&waiter.request) {
             self.backoff_refusal(&waiter.request, now, rng)?
         } else {
             self.refusal(Reason::NoTarget, &waiter.request, now, rng)
@@ -274,19 +274,19 @@
         Some(Wake::Refuse(waiter.ticket, refusal))
     }
 
-    /// Takes a waiting request out because its caller went away. Returns whether it
-    /// still waited.
+    /// Removes a waiting request because its caller has disconnected. Returns whether the request was
+    /// still waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket)
     }
 
-    /// Marks an incarnation of a target, and all earlier ones, as leaving. Returns
-    /// whether that is news.
+    /// Marks an incarnation of a target, and all earlier ones, as leaving. Returns whether the mark is
+    /// new here.
     pub fn mark_leaving(&mut self, name: &TargetName, incarnation: Incarnation) -> bool {
         self.table.mark_leaving(name, incarnation)
     }
 
-    /// Applies operators' orders: targets for which `is_stopped` holds get no new work.
+    /// Applies operators' orders: targets for which `is_stopped` returns true get no new work.
     pub fn set_stopped(&mut self, mut is_stopped: impl FnMut(&TargetName) -> bool) {
         for target in self.table.iter_mut() {
             target.is_stopped = is_stopped(&target.name);
@@ -297,7 +297,7 @@
         let candidates = Candidates::new(&self.table, self.view, now, &request.tried, request);
         let chosen = match self.strategy.choose(&candidates, rng) {
             Some(index) => index,
-            // A second attempt at the same target is better than none.
+            // If all open targets were tried, one of them is tried again rather than none.
             None if !request.tried.is_empty() => {
                 let untried = Tried::default();
                 let candidates = Candidates::new(&self.table, self.view, now, &untried, request);
@@ -315,25 +315,26 @@
         now: Timestamp,
         rng: &mut R,
     ) -> Refusal {
-        let ahead = self.ahead_of(request, now);
+        let ahead = self.count_ahead(request, now);
         Refusal { reason, retry_after: self.admission.retry_after(ahead, rng) }
     }
 
-    /// Whether any target may get the request now or later.
-    fn is_served(&self, request: &Request) -> bool {
-        let mut places = self.table.targets().iter().enumerate();
-        places.any(|(place, target)| {
-            target.is_serving() && !request.excluded.contains(TargetIndex::new(place))
+    /// Whether any target that is not excluded may get the request, now or later.
+    fn is_any_target_eligible(&self, request: &Request) -> bool {
+        let mut targets = self.table.targets().iter().enumerate();
+        targets.any(|(index, target)| {
+            target.is_serving() && !request.excluded.contains(TargetIndex::new(index))
         })
     }
 
-    /// When the first target may be used again, if all of them have asked this process for a backoff.
+    /// Returns the end of the first backoff, if all serving targets have requested one from this
+    /// process.
     pub fn all_backing_off_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.table.all_backing_off_until(now)
     }
 
-    /// Refuses a request that cannot be sent before its wait ends, because all targets have asked this
-    /// process for a backoff.
+    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets have
+    /// requested a backoff from this process.
     pub fn backoff_refusal<R: Rng>(
         &self,
         request: &Request,
@@ -346,8 +347,8 @@
         (!is_in_time).then_some(Refusal { reason: Reason::BackingOff, retry_after })
     }
 
-    /// Names of targets of a data hall, or of all, that have asked this process for a backoff: as
-    /// many as a request can exclude.
+    /// Returns the names of the targets of a data hall, or of all halls, that have requested a backoff
+    /// from this process, up to the number that a request can exclude.
     pub fn backing_off_targets(
         &mut self,
         hall: Option<&DataHallName>,
@@ -355,20 +356,20 @@
     ) -> Vec<TargetName> {
         let hall = hall.map(|hall| self.table.hall_index(hall));
         let targets = self.table.targets().iter();
-        let meant = targets.filter(|target| {
+        let backing_off = targets.filter(|target| {
             hall.is_none_or(|hall| target.hall == hall) && target.backoff.is_active(now)
         });
-        meant.take(EXCLUDED_MAX).map(|target| target.name.clone()).collect()
+        backing_off.take(EXCLUDED_MAX).map(|target| target.name.clone()).collect()
     }
 
-    /// Whether a target has asked this process for a backoff.
+    /// Whether a target has requested a backoff from this process that is still active.
     pub fn is_backing_off(&self, name: &TargetName, now: Timestamp) -> bool {
         let index = self.table.find(name);
         index.is_some_and(|index| self.table.get(index).backoff.is_active(now))
     }
 
-    /// Refuses a request that cannot be sent before its wait ends, because all targets are in need
-    /// and take only so many requests a second.
+    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets state
+    /// a rate limit and their tokens are used up.
     fn rate_limit_refusal<R: Rng>(
         &self,
         request: &Request,
@@ -378,8 +379,9 @@
     ) -> Option<Refusal> {
         let limited = self.table.limited_rate(self.view, now)?;
         let wait = limited.next_in.map(|next_in| {
-            let behind_s = ahead as f64 / limited.per_s;
-            Duration::try_from_secs_f64(behind_s).map_or(Duration::MAX, |behind| next_in + behind)
+            let queue_drain_s = ahead as f64 / limited.per_s;
+            Duration::try_from_secs_f64(queue_drain_s)
+                .map_or(Duration::MAX, |queue_drain| next_in + queue_drain)
         });
         if wait.is_some_and(|wait| now + wait <= request.wait_until) {
             return None;
@@ -388,24 +390,24 @@
         Some(Refusal { reason: Reason::RateLimited, retry_after: jittered_retry_after(wait, rng) })
     }
 
-    /// Waiting requests that go before this one.
-    fn ahead_of(&self, request: &Request, now: Timestamp) -> usize {
-        let answered_at = self.answered_at(now);
-        let is_in_time = answered_at <= request.objective;
-        self.queue.count_ahead(request.priority, is_in_time, answered_at)
+    /// Returns the number of waiting requests that are served before `request`.
+    fn count_ahead(&self, request: &Request, now: Timestamp) -> usize {
+        let expected_answer_at = self.expected_answer_at(now);
+        let is_in_time = expected_answer_at <= request.objective;
+        self.queue.count_ahead(request.priority, is_in_time, expected_answer_at)
     }
 
-    /// When the answer to a request that is sent now usually comes.
-    fn answered_at(&self, now: Timestamp) -> Timestamp {
+    /// Returns the expected time of the answer to a request that is sent now.
+    fn expected_answer_at(&self, now: Timestamp) -> Timestamp {
         now + Duration::from_micros(self.table.model().service_us() as u64)
     }
 
-    /// Further requests that targets would serve at nearly their usual pace.
+    /// Returns the number of further requests that targets would serve at nearly their usual pace.
     pub fn spare_capacity(&self, now: Timestamp) -> u32 {
         self.table.spare_capacity(self.view, now)
     }
 
-    /// Requests in flight to one target, for tests and dumps.
+    /// Returns the number of requests in flight at one target, for tests and dumps.
     pub fn in_flight(&self, index: TargetIndex) -> u32 {
         self.table.get(index).in_flight()
     }
