--- a/crates/thymeshift_dispatch/src/dispatcher/observations.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/observations.rs
@@ -1,4 +1,4 @@
-//! What attempts and probes teach a dispatcher.
+//! Results of attempts and probes, as a dispatcher records them.
 
 use std::time::Duration;
 
@@ -18,17 +18,16 @@
 use crate::Strategy;
 use crate::TargetIndex;
 
-/// An attempt that was given up counts as the target's failure once it took this many
-/// times as long as expected.
+/// Factor on the expected time from which on a timed-out attempt counts as a failure of the target.
 const TIMEOUT_FACTOR: u32 = 3;
 
-/// How old what is told of a limit may be: several times as long as news takes. Older knowledge is
-/// wrong more often than not, since a target in need is heard of every few seconds.
+/// Largest age of a rate limit that is sent to other processes, several times the propagation time.
+/// An older limit is usually wrong, because a rate-limited target states its limit every few seconds.
 const RATE_LIMIT_TTL: Duration = Duration::from_mins(1);
 
 impl<S: Strategy> Dispatcher<S> {
-    /// Learns from an attempt, at most once for each grant. If the target said that it is
-    /// leaving and that is news, returns the mark to pass on to other VMs.
+    /// Records the result of an attempt, at most once for each grant. Returns the leaving mark to
+    /// forward to other VMs, if the target reported that it is leaving and the mark is new here.
     pub fn record_attempt(
         &mut self,
         grant: &Grant,
@@ -36,7 +35,7 @@
         now: Timestamp,
     ) -> Option<LeavingMark> {
         let mark = observation.report().and_then(|report| self.record_report(grant, report, now));
-        let has_room =
+        let may_eject =
             self.can_overflow || self.table.may_eject_another(self.ejection.share_max_percent, now);
         if let Observation::Answered(report) = observation {
             self.table.record_latency(grant, report, now);
@@ -49,10 +48,10 @@
             }
             Observation::Failed(_) => {
                 target.record_answer();
-                target.record_failure(&self.ejection, has_room, now);
+                target.record_failure(&self.ejection, may_eject, now);
             }
-            Observation::Broken => target.record_failure(&self.ejection, has_room, now),
-            Observation::Unreachable => target.record_unreachable(&self.ejection, has_room, now),
+            Observation::Broken => target.record_failure(&self.ejection, may_eject, now),
+            Observation::Unreachable => target.record_unreachable(&self.ejection, may_eject, now),
             Observation::Shed(_) => target.record_overload(now),
             Observation::ShedWithBackoff(_) => {
                 target.record_overload(now);
@@ -61,9 +60,9 @@
             Observation::TimedOut => {
                 target.record_latency(grant, now);
                 target.record_overload(now);
-                // A caller with little time left does not prove that the target is slow.
+                // A timeout of a caller with little time left does not show that the target is slow.
                 if now.since(grant.sent_at) > grant.expected * TIMEOUT_FACTOR {
-                    target.record_failure(&self.ejection, has_room, now);
+                    target.record_failure(&self.ejection, may_eject, now);
                 }
             }
         }
@@ -80,8 +79,8 @@
         self.record_state(grant.target, report)
     }
 
-    /// Learns what an answer to a granted request stated of the target's limit. Returns whether
-    /// that is another limit than before.
+    /// Records the rate limit, or its absence, in the answer to a granted request. Returns whether the
+    /// limit changed.
     pub fn record_rate_limit(
         &mut self,
         grant: &Grant,
@@ -89,41 +88,43 @@
         now: Timestamp,
     ) -> bool {
         let target = self.table.get_mut(grant.target);
-        let is_meant = target.incarnation == grant.incarnation;
-        is_meant && target.rate_limit.observe(stated, grant.sent_at, now)
+        let is_same_incarnation = target.incarnation == grant.incarnation;
+        is_same_incarnation && target.rate_limit.observe(stated, grant.sent_at, now)
     }
 
-    /// Learns what another process knows of the limit of a granted request's target.
-    pub fn merge_rate_limit(&mut self, grant: &Grant, told: &RateLimitUpdate, now: Timestamp) {
+    /// Merges the rate limit of a granted request's target that another process sent.
+    pub fn merge_rate_limit(&mut self, grant: &Grant, update: &RateLimitUpdate, now: Timestamp) {
         let target = self.table.get_mut(grant.target);
         if target.incarnation == grant.incarnation {
-            target.rate_limit.merge(told, now);
+            target.rate_limit.merge(update, now);
         }
     }
 
-    /// What is known of the limit of a granted request's target, to be told to another process;
-    /// none if the target never named one.
+    /// Returns the rate limit of a granted request's target to send to another process, or `None` if
+    /// the target never stated one.
     pub fn rate_limit_update(&self, grant: &Grant, now: Timestamp) -> Option<RateLimitUpdate> {
         self.table.get(grant.target).rate_limit.latest_update(now)
     }
 
-    /// What was heard of targets' limits lately, to be told to other processes.
+    /// Returns the recent rate limits of all serving targets, to send to other processes.
     pub fn rate_limits(&self, now: Timestamp) -> Vec<(TargetName, Incarnation, RateLimitUpdate)> {
         let serving = self.table.targets().iter().filter(|target| target.is_serving());
         let known = serving.filter_map(|target| {
-            let told =
-                target.rate_limit.latest_update(now).filter(|told| told.age < RATE_LIMIT_TTL)?;
-            Some((target.name.clone(), target.incarnation, told))
+            let update = target
+                .rate_limit
+                .latest_update(now)
+                .filter(|update| update.age < RATE_LIMIT_TTL)?;
+            Some((target.name.clone(), target.incarnation, update))
         });
         known.collect()
     }
 
-    /// Learns what another process knows of a target's limit.
+    /// Merges the rate limit of a target that another process sent.
     pub fn merge_target_rate_limit(
         &mut self,
         name: &TargetName,
         incarnation: Incarnation,
-        told: &RateLimitUpdate,
+        update: &RateLimitUpdate,
         now: Timestamp,
     ) {
         let Some(index) = self.table.find(name) else {
@@ -131,11 +132,11 @@
         };
         let target = self.table.get_mut(index);
         if target.incarnation == incarnation {
-            target.rate_limit.merge(told, now);
+            target.rate_limit.merge(update, now);
         }
     }
 
-    /// The target of a granted request asked this process for a backoff.
+    /// Records that the target of a granted request requested a backoff from this process.
     pub fn record_backoff(&mut self, grant: &Grant, wait: Duration, now: Timestamp) {
         let target = self.table.get_mut(grant.target);
         if target.incarnation == grant.incarnation {
@@ -143,36 +144,37 @@
         }
     }
 
-    /// A target asked this process for a backoff when it was probed.
+    /// Records that a target requested a backoff from this process in the answer to a probe.
     pub fn record_probe_backoff(&mut self, name: &TargetName, wait: Duration, now: Timestamp) {
         if let Some(index) = self.table.find(name) {
             self.table.get_mut(index).backoff.extend(wait, now);
         }
     }
 
-    /// The target of a granted request said that it leaves. Returns the mark to pass on to other
-    /// VMs, if that is news.
+    /// Marks the target of a granted request as leaving, as the target stated. Returns the mark to
+    /// forward to other VMs, if the mark is new here.
     pub fn mark_granted_leaving(&mut self, grant: &Grant) -> Option<LeavingMark> {
         let target = self.target_name(grant);
         let incarnation = grant.incarnation();
-        let is_news = self.table.mark_leaving(&target, incarnation);
+        let is_new = self.table.mark_leaving(&target, incarnation);
         let service = self.service.clone();
-        is_news.then_some(LeavingMark { service, target, incarnation })
+        is_new.then_some(LeavingMark { service, target, incarnation })
     }
 
-    /// The incarnation of a target that is known to leave, if it is.
+    /// Returns the incarnation of a target that is leaving, or `None` if the target is not.
     pub fn leaving_incarnation(&self, index: TargetIndex) -> Option<Incarnation> {
         let target = self.table.get(index);
         target.is_leaving().then_some(target.incarnation)
     }
 
-    /// Says which part of targets' limits this dispatcher may grant while it decides for the fleet.
+    /// Sets the share of the targets' rate limits that this dispatcher may grant while it decides for
+    /// the fleet.
     pub fn set_rate_share(&mut self, share: RateShare) {
         self.table.set_fleet_share(share);
     }
 
-    /// Takes in a report that no request carried (a probe's). As [`Dispatcher::record_attempt`],
-    /// returns a mark that is news.
+    /// Records the load report in the answer to a probe. Returns a new leaving mark, as
+    /// [`Dispatcher::record_attempt`] does.
     pub fn record_probe(
         &mut self,
         name: &TargetName,
@@ -193,9 +195,9 @@
                 None
             }
             ReportedState::Draining => {
-                let is_news = self.table.mark_leaving(&name, incarnation);
+                let is_new = self.table.mark_leaving(&name, incarnation);
                 let service = self.service.clone();
-                is_news.then_some(LeavingMark { service, target: name, incarnation })
+                is_new.then_some(LeavingMark { service, target: name, incarnation })
             }
         }
     }
