--- a/crates/thymeshift_dispatch/src/dispatcher/probing.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/probing.rs
@@ -1,4 +1,4 @@
-//! Which targets are worth a probe.
+//! Selection of the targets to probe.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::target_state::Target;
 
 impl<S: Strategy> Dispatcher<S> {
-    /// Names and addresses of the targets that may be probed.
+    /// Returns the names and addresses of the targets that may be probed.
     pub fn probe_targets(
         &self,
         now: Timestamp,
@@ -24,8 +24,8 @@
         probed.map(|target| (target.name.clone(), target.address))
     }
 
-    /// The targets that a request would most likely be sent to, and of which nothing was heard for
-    /// `age`: up to `count`, and none if the first of them was heard of.
+    /// Returns up to `count` of the targets that `request` would most likely be sent to, without those
+    /// that have reported within `age`. Returns none if the most likely target has reported.
     pub fn likely_stale_targets(
         &self,
         request: &Request,
@@ -46,14 +46,14 @@
         if !best.first().is_some_and(|(_, first)| is_stale(first)) {
             return Vec::new();
         }
-        let unheard = best.into_iter().filter(|(_, candidate)| is_stale(candidate));
-        unheard
+        let stale = best.into_iter().filter(|(_, candidate)| is_stale(candidate));
+        stale
             .map(|(_, candidate)| (candidate.target.name.clone(), candidate.target.address))
             .collect()
     }
 
-    /// Names and addresses of the targets that may be probed and of which nothing was heard
-    /// for `age`: up to `count`, those from which answers are expected soonest.
+    /// Returns the names and addresses of the targets that may be probed and have not reported for
+    /// `age`: up to `count`, those with the smallest expected answer time.
     pub fn stale_targets(
         &self,
         age: Duration,
@@ -61,16 +61,16 @@
         now: Timestamp,
     ) -> Vec<(TargetName, SocketAddr)> {
         let is_stale = |target: &&Target| target.may_be_probed(now) && target.is_stale(age, now);
-        let unheard = self.table.targets().iter().filter(is_stale);
+        let stale = self.table.targets().iter().filter(is_stale);
         let model = self.table.model();
-        let mut unheard: Vec<(f64, &Target)> =
-            unheard.map(|target| (target.expected_us(now, model), target)).collect();
-        keep_least(&mut unheard, count);
-        unheard.into_iter().map(|(_, target)| (target.name.clone(), target.address)).collect()
+        let mut stale: Vec<(f64, &Target)> =
+            stale.map(|target| (target.expected_us(now, model), target)).collect();
+        keep_least(&mut stale, count);
+        stale.into_iter().map(|(_, target)| (target.name.clone(), target.address)).collect()
     }
 }
 
-/// Keeps the `count` entries with the least cost, in any order.
+/// Keeps the `count` entries with the lowest cost, in any order.
 fn keep_least<T>(entries: &mut Vec<(f64, T)>, count: usize) {
     if count < entries.len() {
         entries.select_nth_unstable_by(count, |(one, _), (other, _)| one.total_cmp(other));
