--- a/crates/thymeshift_dispatch/src/dispatcher/reconfiguration.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Taking in a configuration of the service.
+//! Application of a configuration to a dispatcher.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::table::FleetSettings;
 
 impl Dispatcher<AnyStrategy> {
-    /// A dispatcher for a configured service, with the strategy it names.
+    /// Creates a dispatcher for a configured service, with the strategy that the service names.
     pub fn configured(
         configuration: &Configuration,
         service: &Service,
@@ -26,7 +26,7 @@
         dispatcher
     }
 
-    /// Takes in a new configuration of the service, the strategy included.
+    /// Applies a new configuration of the service, including a change of the strategy.
     pub fn reconfigure(
         &mut self,
         configuration: &Configuration,
@@ -42,7 +42,7 @@
 }
 
 impl<S: Strategy> Dispatcher<S> {
-    /// Takes in a new configuration of the service.
+    /// Applies a new configuration of the service, and keeps the strategy.
     pub fn update(
         &mut self,
         configuration: &Configuration,
@@ -50,14 +50,14 @@
         own_data_hall: &DataHallName,
         now: Timestamp,
     ) {
-        let surroundings = FleetSettings {
+        let fleet_settings = FleetSettings {
             own_data_hall: own_data_hall.clone(),
             one_way: Duration::from_micros(configuration.data_hall_one_way_us),
             detour: Duration::from_micros(configuration.data_hall_detour_us),
             entry_vms_max: configuration.entry_vms_max,
             drained_halls: configuration.drained_halls.clone(),
         };
-        self.table.update(service, &surroundings, now);
+        self.table.update(service, &fleet_settings, now);
         self.ejection = service.ejection.clone();
         self.retry.set_percent(service.retry_budget_percent);
         self.retry.set_reserve_max(service.retry_reserve);
