--- a/crates/thymeshift_dispatch/src/grant.rs
+++ b/crates/thymeshift_dispatch/src/grant.rs
@@ -32,7 +32,7 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) sent_at: Timestamp,
     /// Expected answer time in units of the answer time of an idle target.
-    pub(crate) load: f64,
+    pub(crate) load_factor: f64,
     /// Requests of other VMs at the target beyond their mean, from the last report.
     pub(crate) reported_excess: f64,
     /// Expected time from the choice to the answer, including the round trip between data halls.
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, at places that stay valid while requests are in flight.
+//! Targets of one service, at indices that stay valid while requests are in flight.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -32,7 +32,7 @@
 use crate::target_state::TargetParameters;
 use crate::unlisted::UnlistedTargets;
 
-/// What of the configuration beside the service itself the table depends on.
+/// Settings of the whole fleet that the table depends on, beside the service itself.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetSettings {
     pub(crate) own_data_hall: DataHallName,
@@ -42,57 +42,59 @@
     pub(crate) drained_halls: Vec<DataHallName>,
 }
 
-/// Requests in flight from this process at one target while it decides alone for lack of
-/// an answer: every other process may be doing the same.
+/// Largest number of requests in flight from this process at one target while the process is in
+/// fallback, because every other process may be in fallback too.
 const FALLBACK_IN_FLIGHT_MAX: u32 = 1;
 
-/// Targets for each one that explores another number of requests: the answers of one target
-/// tell enough within a second or two, and its share of the work bounds what exploring costs.
+/// Number of targets for each one that explores another concurrency level. The answers of one target
+/// suffice within a second or two, and its share of the requests bounds the cost of exploring.
 const TARGETS_PER_EXPLORER: usize = 8;
 
-/// A target has room only while an answer is expected within this many times the usual.
-const ROOM_FACTOR_MAX: f64 = 1.6;
-/// A target of which nothing was heard for this long counts as one at its usual pace.
-const ROOM_UNHEARD: Duration = Duration::from_secs(1);
-
-/// Time between two looks at all targets' paces, and how old they may be: targets that are
-/// probed tell theirs several times as often.
-const USUAL_PACE_EVERY: Duration = Duration::from_millis(50);
-const USUAL_PACE_AGE_MAX: Duration = Duration::from_secs(1);
-
-/// Numbers of requests at a target whose costs are told apart.
-const MARGINAL_COSTS: usize = 8;
-/// What one more request costs all requests at a target, by how many it has, over the time
-/// of one alone.
-pub(crate) type MarginalCosts = [f64; MARGINAL_COSTS];
-
+/// Largest expected answer time, as a multiple of the mean service time, at which a target counts as
+/// having spare capacity.
+const USUAL_PACE_TIME_FACTOR_MAX: f64 = 1.6;
+/// Age of the last report from which on a target counts as working at its usual pace.
+const REPORT_AGE_MAX: Duration = Duration::from_secs(1);
+
+/// Interval between two updates of the usual pace from the reported paces of all targets.
+const USUAL_PACE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Largest age of a report that counts for the usual pace; probed targets report several times as
+/// often.
+const PACE_REPORT_AGE_MAX: Duration = Duration::from_secs(1);
+
+/// Number of concurrency levels with a marginal cost of their own; the last also covers higher ones.
+const MARGINAL_COST_LEVELS: usize = 8;
+/// Marginal cost of one more request at a target, by the requests in flight there, in units of the
+/// time of a lone request.
+pub(crate) type MarginalCosts = [f64; MARGINAL_COST_LEVELS];
+
+/// Targets of one service, and the estimates that they share.
 #[derive(Debug, Default)]
 pub(crate) struct TargetTable {
     targets: Vec<Target>,
-    /// Places of the current incarnations: those that are not removed. Looked through one by one,
-    /// 15,000 targets took 25.6 s to be taken in and changed four times; by name, 1.3 s (built
-    /// without optimisation).
-    places: HashMap<TargetName, TargetIndex>,
-    /// What targets have said that are not listed now.
+    /// Indices of the targets that are not removed, by name. A linear search takes 25.6 s to insert
+    /// 15,000 targets and update them four times, the map 1.3 s (both without optimisation).
+    indices: HashMap<TargetName, TargetIndex>,
+    /// Retained state of targets that are currently not listed.
     unlisted: UnlistedTargets,
-    is_filled: bool,
+    is_configured: bool,
     model: ServiceModel,
     concurrency: Concurrency,
     slots: u32,
     halls: Halls,
-    usual_pace_at: Timestamp,
-    /// The part of targets' limits that is granted here, of a fleet in which this process decides
-    /// for itself, and of one for which it allocates.
+    usual_pace_checked_at: Timestamp,
+    /// Share of the targets' rate limits in [`View::Own`], where each process decides for itself.
     own_share: RateShare,
+    /// Share of the targets' rate limits in [`View::Fleet`], where this process is an allocator.
     fleet_share: RateShare,
 }
 
-/// How soon targets that are all in need take requests.
+/// Rate at which a service can grant requests if all serving targets state a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct LimitedRate {
-    /// Requests a second that all of them together may be granted here.
+    /// Requests per second that may be granted here for all targets together.
     pub(crate) per_s: f64,
-    /// Time until the first of them may be granted one; none if none ever may.
+    /// Time until the first target has a token, or `None` if no target ever has one.
     pub(crate) next_in: Option<Duration>,
 }
 
@@ -101,12 +103,12 @@
         &self.targets
     }
 
-    /// What the targets have in common.
+    /// Returns the estimates that the targets have in common.
     pub(crate) fn model(&self) -> &ServiceModel {
         &self.model
     }
 
-    /// What bounds the requests in flight at each target.
+    /// Returns the bound on the requests in flight at each target.
     pub(crate) fn bound(&self, view: View, now: Timestamp) -> Bound {
         match view {
             View::Own => Bound::Adaptive,
@@ -118,12 +120,12 @@
         }
     }
 
-    /// The part of targets' limits that may be granted.
+    /// Returns the share of the targets' rate limits that may be granted here.
     pub(crate) fn rate_share(&self, view: View) -> RateShare {
         match view {
             View::Own => self.own_share,
             View::Fleet => self.fleet_share,
-            // Somebody who does not answer may be granting all of it.
+            // An allocator that does not answer this process may still grant the whole limit.
             View::Fallback => RateShare::NONE,
         }
     }
@@ -132,24 +134,25 @@
         self.fleet_share = share;
     }
 
-    /// How soon requests are taken, if all targets that serve are in need.
+    /// Returns the granted rate if all serving targets state a rate limit, otherwise `None`.
     pub(crate) fn limited_rate(&self, view: View, now: Timestamp) -> Option<LimitedRate> {
         let share = self.rate_share(view);
-        let mut all = LimitedRate { per_s: 0.0, next_in: None };
+        let mut total = LimitedRate { per_s: 0.0, next_in: None };
         for target in self.targets.iter().filter(|target| target.is_serving()) {
-            all.per_s += target.rate_limit.granted_per_s(share)?;
+            total.per_s += target.rate_limit.granted_per_s(share)?;
             let next_in = target.rate_limit.next_token_in(share, now);
-            all.next_in = all.next_in.into_iter().chain(next_in).min();
+            total.next_in = total.next_in.into_iter().chain(next_in).min();
         }
-        Some(all)
+        Some(total)
     }
 
-    /// Most requests that one target serves well at a time.
+    /// Returns the best number of concurrent requests at one target.
     pub(crate) fn concurrency(&self, now: Timestamp) -> u32 {
         self.concurrency.best(self.slots, now)
     }
 
-    /// When the first backoff ends, if all targets that serve have asked this process for one.
+    /// Returns the end of the first backoff, if all serving targets have requested one from this
+    /// process.
     pub(crate) fn all_backing_off_until(&self, now: Timestamp) -> Option<Timestamp> {
         let mut first: Option<Timestamp> = None;
         for target in self.targets.iter().filter(|target| target.is_serving()) {
@@ -159,22 +162,24 @@
         first
     }
 
-    /// Further requests that targets would serve at nearly their usual pace.
+    /// Returns the number of further requests that targets would serve at nearly their usual pace.
     pub(crate) fn spare_capacity(&self, view: View, now: Timestamp) -> u32 {
         let bound = self.bound(view, now);
-        let usual_us = self.model.service_us() * ROOM_FACTOR_MAX;
-        let is_quick = |target: &&Target| {
-            target.is_stale(ROOM_UNHEARD, now) || target.expected_us(now, &self.model) <= usual_us
+        let expected_us_max = self.model.service_us() * USUAL_PACE_TIME_FACTOR_MAX;
+        let is_at_usual_pace = |target: &&Target| {
+            target.is_stale(REPORT_AGE_MAX, now)
+                || target.expected_us(now, &self.model) <= expected_us_max
         };
         let share = self.rate_share(view);
         let open =
             self.targets.iter().filter(|target| target.is_open(now, bound, share, &self.model));
-        open.filter(is_quick).map(|target| target.spare_capacity(bound, now)).sum()
+        open.filter(is_at_usual_pace).map(|target| target.spare_capacity(bound, now)).sum()
     }
 
-    /// What one more request costs all requests at a target, by how many it has.
+    /// Returns the marginal cost of one more request at a target, by the requests in flight there. All
+    /// costs are 1 unless this process counts the requests of the whole fleet.
     pub(crate) fn marginal_costs(&self, view: View, now: Timestamp) -> MarginalCosts {
-        let mut costs = [1.0; MARGINAL_COSTS];
+        let mut costs = [1.0; MARGINAL_COST_LEVELS];
         if view == View::Fleet {
             for (in_flight, cost) in costs.iter_mut().enumerate() {
                 *cost = self.concurrency.marginal_cost(in_flight as u32, self.slots, now);
@@ -183,19 +188,19 @@
         costs
     }
 
-    /// Takes over that number from a process that counts for the fleet.
-    pub(crate) fn adopt_concurrency(&mut self, number: u32) {
-        self.concurrency.adopt(number);
+    /// Adopts the best number of concurrent requests at one target from an allocator.
+    pub(crate) fn adopt_concurrency(&mut self, level: u32) {
+        self.concurrency.adopt(level);
     }
 
-    /// What is believed of each target.
+    /// Returns the state of each target for the state dump.
     pub(crate) fn dump(&self, view: View, now: Timestamp) -> Vec<TargetDump> {
         let bound = self.bound(view, now);
         let share = self.rate_share(view);
         self.targets.iter().map(|target| target.dump(now, bound, share, &self.model)).collect()
     }
 
-    /// Learns from an answer's time, for its target and for the service.
+    /// Records the time of an answer, for its target and for the service.
     pub(crate) fn record_latency(
         &mut self,
         grant: &Grant,
@@ -203,46 +208,46 @@
         now: Timestamp,
     ) {
         let taken_us = self.get_mut(grant.target).record_latency(grant, now);
-        self.model.record_answer(taken_us, grant.load, grant.reported_excess);
+        self.model.record_answer(taken_us, grant.load_factor, grant.reported_excess);
         let Some(report) = report.filter(|report| report.queued == 0) else {
             return;
         };
-        // The target may run requests that are not counted here, those of a process that
-        // decides alone for example. Neither count holds the request that was answered.
-        let counted = self.get(grant.target).in_flight().saturating_sub(1);
-        if report.running <= counted && grant.is_usual_pace {
+        // If the target runs requests that this process does not track, such as those of a process in
+        // fallback, the level is unknown. Neither count includes the answered request.
+        let tracked = self.get(grant.target).in_flight().saturating_sub(1);
+        if report.running <= tracked && grant.is_usual_pace {
             self.concurrency.record(grant.in_flight, taken_us, now);
         }
     }
 
-    /// Learns from a report that came with an answer.
+    /// Records a load report that came with the answer to a request.
     pub(crate) fn record_report(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
         let others = self.get_mut(index).record_report(report, now);
         self.model.record_pace(report.pace());
         self.model.record_external_load(others);
-        self.learn_usual_pace(now);
+        self.update_usual_pace(now);
     }
 
-    /// Learns from a report that came with a probe.
+    /// Records a load report that came with the answer to a probe.
     pub(crate) fn record_probe(&mut self, index: TargetIndex, report: LoadReport, now: Timestamp) {
         let others = self.get_mut(index).record_probe(report, now);
         self.model.record_pace(report.pace());
         self.model.record_external_load(others);
-        self.learn_usual_pace(now);
+        self.update_usual_pace(now);
     }
 
-    fn learn_usual_pace(&mut self, now: Timestamp) {
-        if now.since(self.usual_pace_at) < USUAL_PACE_EVERY {
+    fn update_usual_pace(&mut self, now: Timestamp) {
+        if now.since(self.usual_pace_checked_at) < USUAL_PACE_CHECK_INTERVAL {
             return;
         }
-        self.usual_pace_at = now;
+        self.usual_pace_checked_at = now;
         let serving = self.targets.iter().filter(|target| target.is_serving());
-        let paces = serving.filter_map(|target| target.reported_pace(USUAL_PACE_AGE_MAX, now));
+        let paces = serving.filter_map(|target| target.reported_pace(PACE_REPORT_AGE_MAX, now));
         let paces = paces.collect();
         self.model.record_usual_pace(paces, now);
     }
 
-    /// Gives the right to send to a target.
+    /// Grants the right to send one request to a target, and takes a token of its rate limit.
     pub(crate) fn grant(
         &mut self,
         index: TargetIndex,
@@ -257,12 +262,12 @@
         target.grant(index, way_us, now, &self.model)
     }
 
-    /// Data halls and ways.
+    /// Returns the numbering of the data halls and the network costs between them.
     pub(crate) fn halls(&self) -> &Halls {
         &self.halls
     }
 
-    /// The number of a data hall.
+    /// Returns the number of a data hall.
     pub(crate) fn hall_index(&mut self, name: &DataHallName) -> HallIndex {
         self.halls.index(name)
     }
@@ -279,36 +284,36 @@
         self.targets.iter_mut()
     }
 
-    /// The current incarnation of `name`.
+    /// Returns the index of the current incarnation of the target called `name`.
     pub(crate) fn find(&self, name: &TargetName) -> Option<TargetIndex> {
-        self.places.get(name).copied()
+        self.indices.get(name).copied()
     }
 
-    /// Brings the table in line with the configuration.
+    /// Updates the table to the configuration.
     pub(crate) fn update(
         &mut self,
         service: &Service,
-        surroundings: &FleetSettings,
+        fleet_settings: &FleetSettings,
         now: Timestamp,
     ) {
-        let FleetSettings { own_data_hall, one_way, detour, .. } = surroundings;
+        let FleetSettings { own_data_hall, one_way, detour, .. } = fleet_settings;
         self.halls.set(own_data_hall, *one_way, *detour);
         self.remove_unlisted(service, now);
-        self.own_share = RateShare::equal(surroundings.entry_vms_max);
-        let mut free = self.free_places();
+        self.own_share = RateShare::equal(fleet_settings.entry_vms_max);
+        let mut free = self.free_indices();
         self.slots = u32::try_from(service.slots_per_target).unwrap_or(u32::MAX);
-        let shape = TargetParameters {
+        let parameters = TargetParameters {
             slots: u32::try_from(service.slots_per_target).unwrap_or(u32::MAX),
-            connection_share: share_for_requests(service, surroundings.entry_vms_max),
-            cold_intervals: ColdIntervals::for_service(service, surroundings.entry_vms_max),
+            connection_share: request_connection_share(service, fleet_settings.entry_vms_max),
+            cold_intervals: ColdIntervals::for_service(service, fleet_settings.entry_vms_max),
             cold_ramp: Duration::from_millis(service.cold_start_ramp_ms),
         };
         for listed in &service.targets {
-            let index = self.place_of(listed, shape, &mut free, now);
+            let index = self.find_or_insert(listed, parameters, &mut free, now);
             let hall = self.halls.index(&listed.data_hall);
-            let is_hall_drained = surroundings.drained_halls.contains(&listed.data_hall);
+            let is_hall_drained = fleet_settings.drained_halls.contains(&listed.data_hall);
             let target = self.get_mut(index);
-            target.set_parameters(shape);
+            target.set_parameters(parameters);
             target.hall = hall;
             target.set_hall_drained(is_hall_drained, now);
             target.set_listed_cold_for(listed.cold_for_ms, now);
@@ -318,7 +323,7 @@
             }
         }
         self.choose_explorers();
-        self.is_filled = true;
+        self.is_configured = true;
     }
 
     fn remove_unlisted(&mut self, service: &Service, now: Timestamp) {
@@ -331,22 +336,23 @@
                 target.presence = Presence::Removed;
             }
         }
-        self.places.retain(|name, _| listed.contains(name));
+        self.indices.retain(|name, _| listed.contains(name));
     }
 
-    /// Places that a new target may have, the last first.
-    fn free_places(&self) -> Vec<usize> {
+    /// Returns the indices that a new target may reuse, the highest first.
+    fn free_indices(&self) -> Vec<usize> {
         let is_free =
             |target: &Target| target.presence == Presence::Removed && target.in_flight() == 0;
-        let places = self.targets.iter().enumerate().rev();
-        places.filter(|(_, target)| is_free(target)).map(|(place, _)| place).collect()
+        let targets = self.targets.iter().enumerate().rev();
+        targets.filter(|(_, target)| is_free(target)).map(|(index, _)| index).collect()
     }
 
-    /// One target in [`TARGETS_PER_EXPLORER`] explores more requests, and another one fewer.
+    /// Selects the exploring targets: in each [`TARGETS_PER_EXPLORER`] targets, one explores one request
+    /// more and another one request fewer.
     fn choose_explorers(&mut self) {
         let serving = self.targets.iter_mut().filter(|target| target.is_serving());
-        for (place, target) in serving.enumerate() {
-            target.exploration = match place % TARGETS_PER_EXPLORER {
+        for (position, target) in serving.enumerate() {
+            target.exploration = match position % TARGETS_PER_EXPLORER {
                 0 => Exploration::More,
                 1 => Exploration::Fewer,
                 _ => Exploration::Disabled,
@@ -354,12 +360,12 @@
         }
     }
 
-    /// The place of a listed target; a new incarnation or address gets a new place, so
-    /// that requests in flight to the old one keep theirs.
-    fn place_of(
+    /// Returns the index of a listed target. A new incarnation or address gets a new index, so that
+    /// requests in flight to the old one keep theirs.
+    fn find_or_insert(
         &mut self,
         listed: &TargetSettings,
-        shape: TargetParameters,
+        parameters: TargetParameters,
         free: &mut Vec<usize>,
         now: Timestamp,
     ) -> TargetIndex {
@@ -367,7 +373,7 @@
             let known = self.get_mut(index);
             let is_same =
                 known.address == listed.address && known.incarnation >= listed.incarnation;
-            // An earlier start never comes back, wherever it was.
+            // An earlier incarnation never comes back, at whatever address it ran.
             let is_earlier = listed.incarnation < known.listed_incarnation;
             if is_same || is_earlier {
                 known.listed_incarnation = known.listed_incarnation.max(listed.incarnation);
@@ -375,34 +381,35 @@
             }
             known.presence = Presence::Removed;
         }
-        // Targets of the first configuration were there before this process.
-        let cold_start = if self.is_filled && listed.cold_for_ms.is_none() {
-            ColdStart::new(now, shape.cold_ramp, shape.cold_ramp)
+        // Targets in the first configuration ran before this process started, so they are warm.
+        let cold_start = if self.is_configured && listed.cold_for_ms.is_none() {
+            ColdStart::new(now, parameters.cold_ramp, parameters.cold_ramp)
         } else {
             ColdStart::warm()
         };
         let name = listed.name.clone();
-        let mut target = Target::new(name, listed.address, listed.incarnation, shape, cold_start);
+        let mut target =
+            Target::new(name, listed.address, listed.incarnation, parameters, cold_start);
         self.unlisted.restore(&mut target);
         self.insert(target, free)
     }
 
     fn insert(&mut self, target: Target, free: &mut Vec<usize>) -> TargetIndex {
         let name = target.name.clone();
-        let place = if let Some(place) = free.pop() {
-            self.targets[place] = target;
-            place
+        let index = if let Some(index) = free.pop() {
+            self.targets[index] = target;
+            index
         } else {
             self.targets.push(target);
             self.targets.len() - 1
         };
-        let index = TargetIndex::new(place);
-        self.places.insert(name, index);
+        let index = TargetIndex::new(index);
+        self.indices.insert(name, index);
         index
     }
 
-    /// Notes the incarnation that a target states of itself: it may have started anew on
-    /// the same address before the configuration says so.
+    /// Records the incarnation that a target states itself: the target may have restarted on the same
+    /// address before the configuration lists the new incarnation.
     pub(crate) fn record_incarnation(&mut self, index: TargetIndex, incarnation: Incarnation) {
         let target = self.get_mut(index);
         if target.presence == Presence::Serving && target.incarnation < incarnation {
@@ -410,8 +417,8 @@
         }
     }
 
-    /// Marks a target as leaving if the mark is about its incarnation or a later one.
-    /// Returns whether that is news.
+    /// Marks a target as leaving if the mark is for its incarnation or a later one. Returns whether the
+    /// mark is new here.
     pub(crate) fn mark_leaving(&mut self, name: &TargetName, incarnation: Incarnation) -> bool {
         let Some(index) = self.find(name) else {
             return false;
@@ -424,7 +431,7 @@
         true
     }
 
-    /// Whether one more target may be set aside.
+    /// Whether one more target may be ejected without exceeding the panic threshold.
     pub(crate) fn may_eject_another(&self, share_max_percent: u64, now: Timestamp) -> bool {
         let serving = self.targets.iter().filter(|target| target.is_serving());
         let (count, ejected) = serving.fold((0_u64, 0_u64), |(count, ejected), target| {
@@ -434,8 +441,8 @@
     }
 }
 
-/// Connections for requests: the VM's share, less one that probes use.
-fn share_for_requests(service: &Service, entry_vms_max: u64) -> u32 {
+/// Returns the connections for requests to one target: the VM's share, less one for probes.
+fn request_connection_share(service: &Service, entry_vms_max: u64) -> u32 {
     let share = connection_share(service.connections_per_target, entry_vms_max);
     let is_probed = service.probe.is_some() && service.measuring_budget_us_per_s > 0;
     if is_probed { (share - 1).max(1) } else { share }
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -1,4 +1,4 @@
-//! One target as this VM sees it: what is configured, what runs there, what was learnt.
+//! State of one target at this VM: its configuration, its requests in flight and its estimates.
 
 mod capacity;
 mod expectation;
@@ -33,44 +33,49 @@
 pub(crate) use crate::target_state::capacity::Bound;
 pub(crate) use crate::target_state::capacity::Exploration;
 
-/// Figures of a target's service that its own state depends on.
+/// Parameters of a service that the state of each of its targets depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TargetParameters {
+    /// Number of requests that a target runs at a time.
     pub(crate) slots: u32,
+    /// This VM's share of a target's connections for requests.
     pub(crate) connection_share: u32,
-    /// None if a cold target gets as many requests as a warm one.
+    /// Least intervals between requests to a cold target, or `None` if a cold target gets as many
+    /// requests as a warm one.
     pub(crate) cold_intervals: Option<ColdIntervals>,
-    /// How long a target is taken to be cold that does not tell.
+    /// Time for which a target counts as cold if it does not report its cold time.
     pub(crate) cold_ramp: Duration,
 }
 
-/// Whether the target is still in the configuration and may get new work.
+/// Whether a target is configured and may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Presence {
     Serving,
     Leaving,
-    /// No longer configured; kept only until its last request is released.
+    /// The target is no longer configured, and is kept only until its last request is released.
     Removed,
 }
 
+/// State of one target.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) name: TargetName,
     pub(crate) address: SocketAddr,
     pub(crate) incarnation: Incarnation,
-    /// The same as it is listed; the target may have stated a later one since.
+    /// Incarnation in the configuration; the target may have stated a later one itself.
     pub(crate) listed_incarnation: Incarnation,
     pub(crate) presence: Presence,
-    /// An operator's order says that it gets no new work for now.
+    /// Whether an operator's order stops new work for the target.
     pub(crate) is_stopped: bool,
-    /// Its data hall is drained: it gets no new work until the hall is taken back.
+    /// Whether the target's data hall is drained, which stops new work until the hall is taken back.
     is_hall_drained: bool,
-    /// For how long it was last listed to be cold, in milliseconds.
+    /// Cold time in the last configuration, in milliseconds.
     listed_cold_for_ms: Option<u64>,
     pub(crate) hall: HallIndex,
     pub(crate) exploration: Exploration,
     pub(crate) parameters: TargetParameters,
     in_flight: u32,
+    /// Sum of the send times of all requests in flight, in microseconds, for their mean age.
     sent_at_sum_us: u64,
     granted_at: Timestamp,
     latency: Latency,
@@ -80,7 +85,7 @@
     cold_start: ColdStart,
     slowness: Slowness,
     pub(crate) rate_limit: RateLimit,
-    /// What it asked of this process.
+    /// Backoff that the target requested from this process.
     pub(crate) backoff: Backoff,
     refusals: RefusalStreak,
 }
@@ -90,7 +95,7 @@
         name: TargetName,
         address: SocketAddr,
         incarnation: Incarnation,
-        shape: TargetParameters,
+        parameters: TargetParameters,
         cold_start: ColdStart,
     ) -> Self {
         Self {
@@ -104,13 +109,13 @@
             listed_cold_for_ms: None,
             hall: HallIndex::default(),
             exploration: Exploration::Disabled,
-            parameters: shape,
+            parameters,
             in_flight: 0,
             sent_at_sum_us: 0,
             granted_at: Timestamp::default(),
             latency: Latency::default(),
             external_load: ExternalLoad::default(),
-            limit: AdaptiveLimit::new(shape.slots, shape.connection_share),
+            limit: AdaptiveLimit::new(parameters.slots, parameters.connection_share),
             ejection: Ejection::default(),
             cold_start,
             slowness: Slowness::default(),
@@ -120,7 +125,8 @@
         }
     }
 
-    /// What was learnt of an earlier incarnation does not hold for this one.
+    /// Sets the incarnation, and resets the rate limit, the backoff and the refusals, which hold for
+    /// the earlier incarnation only.
     pub(crate) fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.rate_limit = RateLimit::default();
@@ -128,17 +134,18 @@
         self.refusals = RefusalStreak::default();
     }
 
-    pub(crate) fn set_parameters(&mut self, shape: TargetParameters) {
-        self.parameters = shape;
-        self.limit.set_ceiling(shape.connection_share);
+    pub(crate) fn set_parameters(&mut self, parameters: TargetParameters) {
+        self.parameters = parameters;
+        self.limit.set_ceiling(parameters.connection_share);
     }
 
-    /// The pace that it told within `age_max`.
+    /// Returns the pace that the target reported within `age_max`.
     pub(crate) fn reported_pace(&self, age_max: Duration, now: Timestamp) -> Option<f64> {
         self.external_load.reported_pace(age_max, now)
     }
 
-    /// Whether it may be open again without a change of configuration.
+    /// Whether the target can get new work, now or later, without a change of the configuration or of
+    /// an operator's orders.
     pub(crate) fn is_serving(&self) -> bool {
         self.presence == Presence::Serving && !self.is_stopped && !self.is_hall_drained
     }
@@ -147,8 +154,8 @@
         self.presence == Presence::Leaving
     }
 
-    /// Its data hall is drained, or is not. A hall that is taken back may have become cold
-    /// meanwhile: its targets count as cold until they tell otherwise.
+    /// Sets whether the target's data hall is drained. Targets of a hall that is taken back may have
+    /// become cold, and count as cold until they report otherwise.
     pub(crate) fn set_hall_drained(&mut self, is_drained: bool, now: Timestamp) {
         if self.is_hall_drained && !is_drained {
             let ramp = self.parameters.cold_ramp;
@@ -157,7 +164,7 @@
         self.is_hall_drained = is_drained;
     }
 
-    /// It is listed to be cold for so long; the same listing again is no news.
+    /// Applies the cold time in the configuration, unless it is the same as in the previous one.
     pub(crate) fn set_listed_cold_for(&mut self, cold_for_ms: Option<u64>, now: Timestamp) {
         if self.listed_cold_for_ms == cold_for_ms {
             return;
@@ -172,18 +179,18 @@
         }
     }
 
-    /// Whether it has named a limit of requests a second, and has not ended it.
+    /// Whether the target states a limit of requests per second that it has not ended.
     pub(crate) fn is_rate_limited(&self) -> bool {
         self.rate_limit.rate().is_some()
     }
 
-    /// Whether a probe may ask for its load: to one in need, or that asked for a backoff, a probe
-    /// may be a request like others.
+    /// Whether the target may be probed. A target with a rate limit or a backoff may count a probe as a
+    /// request.
     pub(crate) fn may_be_probed(&self, now: Timestamp) -> bool {
         self.is_serving() && !self.is_rate_limited() && !self.backoff.is_active(now)
     }
 
-    /// Whether a request that was granted may be sent.
+    /// Whether a granted request may be sent to the target.
     pub(crate) fn may_receive(&self, now: Timestamp) -> bool {
         self.is_serving() && !self.backoff.is_active(now)
     }
@@ -203,19 +210,19 @@
     pub(crate) fn grant(
         &mut self,
         index: TargetIndex,
-        way_us: f64,
+        hall_round_trip_us: f64,
         now: Timestamp,
         model: &ServiceModel,
     ) -> Grant {
-        let expected_us = self.base_us(now, model) + way_us;
+        let expected_us = self.base_expected_us(now, model) + hall_round_trip_us;
         let grant = Grant {
             target: index,
             incarnation: self.incarnation,
             sent_at: now,
-            load: self.load(model),
+            load_factor: self.load_factor(model),
             reported_excess: self.reported_excess(now, model),
             expected: Duration::from_micros(expected_us as u64),
-            hall_round_trip_us: way_us,
+            hall_round_trip_us,
             in_flight: self.in_flight + 1,
             is_usual_pace: self.is_usual_pace(now, model) && !self.cold_start.is_cold(now),
             is_counted: self.is_rate_limited(),
@@ -231,38 +238,40 @@
         self.sent_at_sum_us = self.sent_at_sum_us.saturating_sub(grant.sent_at.as_micros());
     }
 
-    /// Returns the load of other VMs that the report tells of.
+    /// Records a report on the answer to a request, and returns the load of other VMs in the report.
     pub(crate) fn record_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         self.external_load.record(report, self.in_flight.saturating_sub(1), now)
     }
 
-    /// Whether the last report is older than `age`, or there is none.
+    /// Whether the target's last report is at least `age` old, or missing.
     pub(crate) fn is_stale(&self, age: Duration, now: Timestamp) -> bool {
-        self.external_load.age(now).is_none_or(|heard| heard >= age)
+        self.external_load.age(now).is_none_or(|report_age| report_age >= age)
     }
 
-    /// A probe's report: the probe itself is not among this VM's requests in flight.
+    /// Records a report on the answer to a probe, and returns the load of other VMs in the report. The
+    /// probe itself is not among this VM's requests in flight.
     pub(crate) fn record_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         if let Some(cold_for_ms) = report.cold_for_ms {
-            let left = Duration::from_millis(u64::from(cold_for_ms));
-            self.cold_start.set_remaining(left, self.parameters.cold_ramp, now);
+            let remaining = Duration::from_millis(u64::from(cold_for_ms));
+            self.cold_start.set_remaining(remaining, self.parameters.cold_ramp, now);
         }
         self.external_load.record(report, self.in_flight, now)
     }
 
-    /// Learns from the time an answer took; returns that time without the way, in
-    /// microseconds.
+    /// Records the time of an answer, and returns that time without the round trip between data halls,
+    /// in microseconds.
     pub(crate) fn record_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
         let taken = now.since(grant.sent_at);
         self.latency.record(taken);
-        let way_us = grant.hall_round_trip_us;
-        let taken_us = (taken.as_micros() as f64 - way_us).max(1.0);
-        let expected_us = grant.expected.as_micros() as f64 - way_us;
+        let hall_round_trip_us = grant.hall_round_trip_us;
+        let taken_us = (taken.as_micros() as f64 - hall_round_trip_us).max(1.0);
+        let expected_us = grant.expected.as_micros() as f64 - hall_round_trip_us;
         self.slowness.record(taken_us, expected_us, now);
         taken_us
     }
 
-    /// Learns whether the target keeps up, from its queue or, without one, from latency.
+    /// Updates the adaptive limit after an answer, from the reported queue or, without a report, from
+    /// the latency.
     pub(crate) fn update_limit(&mut self, report: Option<LoadReport>, now: Timestamp) {
         let pressure = match report {
             Some(report) => Pressure::from_queue(report.queued, self.parameters.slots),
@@ -285,7 +294,7 @@
         self.record_answer();
     }
 
-    /// It ran a request.
+    /// Records that the target ran a request, which ends a streak of refusals.
     pub(crate) fn record_answer(&mut self) {
         self.refusals.reset();
     }
@@ -297,26 +306,26 @@
     pub(crate) fn record_failure(
         &mut self,
         settings: &EjectionSettings,
-        has_room: bool,
+        may_eject: bool,
         now: Timestamp,
     ) {
-        self.ejection.record_failure(settings, has_room, now);
+        self.ejection.record_failure(settings, may_eject, now);
     }
 
     pub(crate) fn record_unreachable(
         &mut self,
         settings: &EjectionSettings,
-        has_room: bool,
+        may_eject: bool,
         now: Timestamp,
     ) {
-        self.ejection.record_unreachable(settings, has_room, now);
+        self.ejection.record_unreachable(settings, may_eject, now);
     }
 
     pub(crate) fn discard_reports(&mut self) {
         self.external_load.discard();
     }
 
-    /// What is believed of this target.
+    /// Returns the state of the target for the state dump.
     pub(crate) fn dump(
         &self,
         now: Timestamp,
--- a/crates/thymeshift_dispatch/src/target_state/capacity.rs
+++ b/crates/thymeshift_dispatch/src/target_state/capacity.rs
@@ -11,31 +11,32 @@
 use crate::target_state::Presence;
 use crate::target_state::Target;
 
-/// A target that is full with requests of others gets one from here after this time.
-const TRIED_BESIDE_OTHERS_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which a target that is full with other processes' requests gets one from this process.
+const FULL_TARGET_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What bounds the requests in flight at one target.
+/// Bound on the requests in flight at one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Bound {
-    /// The limit that this process has learnt for the target.
+    /// Adaptive limit that this process has for the target.
     Adaptive,
-    /// A number.
+    /// Fixed number of requests, used in fallback.
     Fixed(u32),
-    /// The best number, but for targets that explore.
+    /// Best concurrency level of the service, and the levels that exploring targets use instead.
     Best(u32, ExplorationLevels),
 }
 
-/// What a target explores.
+/// Concurrency level that a target explores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exploration {
     Disabled,
-    /// One request more than the best number.
+    /// One request more than the best level.
     More,
-    /// One fewer.
+    /// One request fewer than the best level.
     Fewer,
 }
 
 impl Target {
+    /// Returns whether the target may get a request now, and if not, the first reason that applies.
     pub(crate) fn usability(
         &self,
         now: Timestamp,
@@ -51,8 +52,8 @@
             Presence::Serving if self.backoff.is_active(now) => Usability::BackingOff,
             Presence::Serving if self.ejection.is_ejected(now) => Usability::Ejected,
             Presence::Serving if !self.rate_limit.has_token(share, now) => Usability::RateLimited,
-            Presence::Serving if !self.has_room(bound, now) => Usability::AtLimit,
-            Presence::Serving if self.is_held_cold(now, bound) => Usability::Cold,
+            Presence::Serving if !self.has_spare_capacity(bound, now) => Usability::AtLimit,
+            Presence::Serving if self.is_cold_throttled(now, bound) => Usability::Cold,
             Presence::Serving if self.is_slow_spell(now, model) => Usability::SlowSpell,
             Presence::Serving => Usability::Open,
         }
@@ -73,55 +74,64 @@
         self.external_load.is_slow_spell(now, model.usual_pace(), service)
     }
 
-    /// Whether it is cold and got its last request too recently for another one.
-    fn is_held_cold(&self, now: Timestamp, bound: Bound) -> bool {
-        let Some(paces) = self.parameters.cold_intervals.filter(|_| self.cold_start.is_cold(now))
+    /// Whether the target is cold and got its last request too recently for another one.
+    fn is_cold_throttled(&self, now: Timestamp, bound: Bound) -> bool {
+        let Some(intervals) =
+            self.parameters.cold_intervals.filter(|_| self.cold_start.is_cold(now))
         else {
             return false;
         };
-        let waited = now.since(self.granted_at);
+        let since_grant = now.since(self.granted_at);
         match bound {
-            Bound::Best(..) => waited < paces.fleet,
-            Bound::Adaptive => waited.min(now.since(self.cold_start.since())) < paces.own,
-            Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.fallback,
+            Bound::Best(..) => since_grant < intervals.fleet,
+            Bound::Adaptive => since_grant.min(now.since(self.cold_start.since())) < intervals.own,
+            Bound::Fixed(_) => {
+                since_grant.min(now.since(self.cold_start.since())) < intervals.fallback
+            }
         }
     }
 
-    fn has_room(&self, bound: Bound, now: Timestamp) -> bool {
+    fn has_spare_capacity(&self, bound: Bound, now: Timestamp) -> bool {
         self.spare_capacity(bound, now) > 0
     }
 
-    /// Further requests that it may get.
+    /// Returns the number of further requests that the target may get.
     pub(crate) fn spare_capacity(&self, bound: Bound, now: Timestamp) -> u32 {
-        let most = match bound {
+        let in_flight_max = match bound {
             Bound::Adaptive => self.limit.value() as u32,
-            Bound::Fixed(most) => most.min(self.parameters.connection_share),
-            Bound::Best(best, explored) => {
-                let best = self.explored_or(best, explored).min(self.parameters.connection_share);
-                self.left_by_others(best, now)
+            Bound::Fixed(in_flight_max) => in_flight_max.min(self.parameters.connection_share),
+            Bound::Best(best, exploration_levels) => {
+                let best = self
+                    .exploration_level_or(best, exploration_levels)
+                    .min(self.parameters.connection_share);
+                self.untracked_deducted(best, now)
             }
         };
-        let most =
-            self.refusals.in_flight_max(self.granted_at, now).map_or(most, |room| room.min(most));
-        let most = most.saturating_sub(self.in_flight);
-        if self.is_rate_limited() { most.min(1) } else { most }
+        let in_flight_max = self
+            .refusals
+            .in_flight_max(self.granted_at, now)
+            .map_or(in_flight_max, |refusals_max| refusals_max.min(in_flight_max));
+        let in_flight_max = in_flight_max.saturating_sub(self.in_flight);
+        if self.is_rate_limited() { in_flight_max.min(1) } else { in_flight_max }
     }
 
-    /// What is left of `most` requests beside those that a report tells of and that are not
-    /// counted here: another process may allocate too, or decide alone. One request is tried
-    /// now and then, however many others there are.
-    fn left_by_others(&self, most: u32, now: Timestamp) -> u32 {
-        let is_tried_long_ago = now.since(self.granted_at) >= TRIED_BESIDE_OTHERS_EVERY;
+    /// Returns `in_flight_max` less the reported requests that this process does not track, because
+    /// another process may allocate the target too, or be in fallback. However many those are, one
+    /// request is allowed at each [`FULL_TARGET_TRIAL_INTERVAL`].
+    fn untracked_deducted(&self, in_flight_max: u32, now: Timestamp) -> u32 {
+        let is_tried_long_ago = now.since(self.granted_at) >= FULL_TARGET_TRIAL_INTERVAL;
         let least = u32::from(is_tried_long_ago);
-        most.saturating_sub(self.external_load.untracked_requests(now)).max(least.min(most))
+        in_flight_max
+            .saturating_sub(self.external_load.untracked_requests(now))
+            .max(least.min(in_flight_max))
     }
 
-    fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
-        let explored = match self.exploration {
+    fn exploration_level_or(&self, best: u32, exploration_levels: ExplorationLevels) -> u32 {
+        let exploration_levels = match self.exploration {
             Exploration::Disabled => None,
-            Exploration::More => explored.more,
-            Exploration::Fewer => explored.fewer,
+            Exploration::More => exploration_levels.more,
+            Exploration::Fewer => exploration_levels.fewer,
         };
-        explored.unwrap_or(best)
+        exploration_levels.unwrap_or(best)
     }
 }
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -1,4 +1,4 @@
-//! The time in which a target is expected to answer.
+//! Expected answer time of a target.
 
 use std::time::Duration;
 
@@ -7,54 +7,61 @@
 use crate::model::ServiceModel;
 use crate::target_state::Target;
 
-/// Requests over which a target's load changes: the memory of a report.
-const REPORT_MEMORY_REQUESTS: f64 = 2.0;
-/// A pace up to this many times the usual one counts as usual.
+/// Time in which the weight of a report decays, in service times: a target's load changes within the
+/// time of a few requests.
+const REPORT_DECAY_REQUESTS: f64 = 2.0;
+/// Largest multiple of the usual pace that still counts as usual.
 const USUAL_PACE_FACTOR_MAX: f64 = 1.3;
-/// Smallest share of successes counted, which bounds the cost of a failing target.
-const SUCCESS_SHARE_MIN: f64 = 0.02;
+/// Lower bound of the success rate in the expected time, which bounds the cost of a failing target.
+const SUCCESS_RATE_MIN: f64 = 0.02;
 
 impl Target {
-    /// Time in which an answer is expected, in microseconds.
+    /// Returns the time in which the target is expected to answer, in microseconds, without the round
+    /// trip between data halls.
     ///
-    /// Own requests in flight and the usual load of others fill the slots and then queue.
-    /// What the last report tells beyond the usual is added for what reports have been
-    /// worth. That is lengthened by how far earlier expectations were off, by the cold
-    /// start, and if own requests are out longer than expected (a stall that no report
-    /// tells of); and divided by the share of successes. The way is not counted.
+    /// This VM's requests in flight and the mean load of other VMs fill the slots and then queue. The
+    /// load in the last report beyond that mean is added with the weight of reports in the model. The
+    /// sum is multiplied by the factors for slowness, cold start and the reported pace. If this VM's
+    /// requests are in flight for longer than expected, which indicates a stall that no report shows,
+    /// the excess is added. The result is divided by the success rate.
     pub(crate) fn expected_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
-        let base_us = self.base_us(now, model);
+        let base_expected_us = self.base_expected_us(now, model);
         let factor = self.slowness.factor(now) * self.cold_start.factor(now);
         let factor = factor * self.external_load.pace(now, model.mean_pace());
-        let stalled_us = self.overdue_us(now, base_us);
-        let success_share = (1.0 - self.ejection.failure_rate(now)).max(SUCCESS_SHARE_MIN);
-        (base_us * factor + stalled_us) / success_share
+        let stalled_us = self.overdue_us(now, base_expected_us);
+        let success_rate = (1.0 - self.ejection.failure_rate(now)).max(SUCCESS_RATE_MIN);
+        (base_expected_us * factor + stalled_us) / success_rate
     }
 
-    pub(super) fn base_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
-        let told_us = model.reported_request_us(self.slots()) * self.reported_excess(now, model);
-        (model.service_us() * self.load(model) + told_us).max(model.service_us())
+    /// Returns the expected answer time from the load alone, in microseconds: without the factors of
+    /// the target itself, and without the round trip between data halls.
+    pub(super) fn base_expected_us(&self, now: Timestamp, model: &ServiceModel) -> f64 {
+        let reported_us =
+            model.reported_request_us(self.slots()) * self.reported_excess(now, model);
+        (model.service_us() * self.load_factor(model) + reported_us).max(model.service_us())
     }
 
-    /// How many times as long as at an idle target an answer takes by what this VM knows
-    /// itself: each request that queues ahead waits for a slot.
-    pub(super) fn load(&self, model: &ServiceModel) -> f64 {
+    /// Returns the expected answer time in units of the answer time of an idle target, without reports.
+    /// Each request that is queued ahead waits for a slot.
+    pub(super) fn load_factor(&self, model: &ServiceModel) -> f64 {
         let ahead = f64::from(self.in_flight) + model.external_load();
         1.0 + (ahead + 1.0 - self.slots()).max(0.0) / self.slots()
     }
 
-    /// Requests beyond the usual that the last report tells of.
+    /// Returns the requests of other VMs in the last report beyond their mean, weighted by the age of
+    /// the report.
     pub(super) fn reported_excess(&self, now: Timestamp, model: &ServiceModel) -> f64 {
-        let memory_us = model.service_us() * REPORT_MEMORY_REQUESTS;
-        let memory = Duration::from_micros(memory_us as u64);
-        self.external_load.expected(now, memory, model.external_load()) - model.external_load()
+        let decay_us = model.service_us() * REPORT_DECAY_REQUESTS;
+        let decay_time = Duration::from_micros(decay_us as u64);
+        self.external_load.expected(now, decay_time, model.external_load()) - model.external_load()
     }
 
     fn slots(&self) -> f64 {
         f64::from(self.parameters.slots)
     }
 
-    /// How much longer than expected own requests have been out on average.
+    /// Returns by how much the mean age of this VM's requests in flight exceeds the expected answer
+    /// time, in microseconds.
     fn overdue_us(&self, now: Timestamp, expected_us: f64) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
@@ -65,6 +72,7 @@
         (age_us - expected_us).max(0.0)
     }
 
+    /// Whether the target is not reported to work slower than the usual pace of its service.
     pub(super) fn is_usual_pace(&self, now: Timestamp, model: &ServiceModel) -> bool {
         let pace = self.external_load.current_pace(now);
         pace.is_none_or(|pace| pace <= model.usual_pace() * USUAL_PACE_FACTOR_MAX)
