--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -170,7 +170,7 @@
     }
 
     /// Detects pauses of the process; a running process must call it several times in
-    /// [`PAUSE_GAP_MAX`]. Returns the duration of the pause, if there was one.
+    /// `PAUSE_GAP_MAX`. Returns the duration of the pause, if there was one.
     pub fn tick(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = self.pause.observe(now)?;
         for target in self.table.iter_mut() {
