--- a/crates/thymeshift_dispatch/src/adaptive_limit.rs
+++ b/crates/thymeshift_dispatch/src/adaptive_limit.rs
@@ -1,10 +1,10 @@
 //! Adaptive limit on this VM's requests in flight at one target.
 //!
-//! Additive increase while the target keeps up and the limit is in use; multiplicative decrease when
-//! the target's queue grows, when it sheds a request or does not answer in time.
+//! Additive increase while the target keeps up and the limit is in use; multiplicative decrease
+//! when the target's queue grows, when it sheds a request or does not answer in time.
 //!
-//! A target runs a few requests at a time, while more than a dozen VMs send to it without knowing of
-//! each other's requests. A request that waits inside a target can no longer be sent to a better
+//! A target runs a few requests at a time, while more than a dozen VMs send to it without knowing
+//! of each other's requests. A request that waits inside a target can no longer be sent to a better
 //! one; a request that waits at the VM can.
 //!
 //! The ceiling is the VM's share of the target's connections.
--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -1,8 +1,9 @@
 //! Backoffs that a target requests from a process when it refuses a request.
 //!
-//! [`Backoff`] holds the time until which this process may not send to a target. [`RefusalStreak`]
-//! counts consecutive refusals with a backoff, from all processes that this one decides for; once
-//! the streak reaches [`STREAK_MIN`], the target gets one request at a time, at an interval.
+//! [`Backoff`] holds the time until which this process may not send to a target.
+//! [`RefusalStreak`] counts consecutive refusals with a backoff, from all processes that this one
+//! decides for; once the streak reaches [`STREAK_MIN`], the target gets one request at a
+//! time, at an interval.
 //!
 //! A backoff binds only the process that received it, because a target may refuse some processes
 //! and serve others. Without the streak, an allocator would send every other process to the target
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -44,8 +44,8 @@
 use crate::request::EXCLUDED_MAX;
 use crate::table::TargetTable;
 
-/// Gap between two ticks above which the process counts as paused. The entry process calls
-/// [`Dispatcher::tick`] ten times as often.
+/// Gap between two ticks above which the process counts as paused.
+/// The entry process calls [`Dispatcher::tick`] ten times as often.
 const PAUSE_GAP_MAX: Duration = Duration::from_millis(500);
 
 /// Dispatcher of one service.
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Sets whether requests without a target here can go to other groups of the service. If so, any
-    /// number of targets may be ejected.
+    /// Sets whether requests without a target here can go to other groups of the service.
+    /// If so, any number of targets may be ejected.
     pub fn set_can_overflow(&mut self, can_overflow: bool) {
         self.can_overflow = can_overflow;
     }
@@ -136,9 +136,9 @@
         Some(Grant { is_counted, ..grant })
     }
 
-    /// Whether a grant was counted against its target's rate limit, if the target states one. A grant
-    /// that was not counted must not be used: the limit was unknown to the process that chose the
-    /// target, or is newer than the choice.
+    /// Whether a grant was counted against its target's rate limit, if the target states one.
+    /// A grant that was not counted must not be used: the limit was unknown to the process that
+    /// chose the target, or is newer than the choice.
     pub fn is_within_limit(&self, grant: &Grant) -> bool {
         grant.is_counted || !self.table.get(grant.target).is_rate_limited()
     }
@@ -148,8 +148,8 @@
         self.table.concurrency(now)
     }
 
-    /// Adopts the best number of concurrent requests from an allocator, so that this process need not
-    /// measure it again when it takes over as the allocator.
+    /// Adopts the best number of concurrent requests from an allocator, so that this process need
+    /// not measure it again when it takes over as the allocator.
     pub fn adopt_concurrency(&mut self, number: u32) {
         self.table.adopt_concurrency(number);
     }
@@ -228,8 +228,9 @@
         self.retry.try_spend()
     }
 
-    /// Whether a granted request may still be sent. Must be checked immediately before the first byte:
-    /// since the choice, the target may have begun to leave, or the process may have been paused.
+    /// Whether a granted request may still be sent.
+    /// Must be checked immediately before the first byte: since the choice, the target may have
+    /// begun to leave, or the process may have been paused.
     pub fn may_send(&self, grant: &Grant, deadline: Timestamp, now: Timestamp) -> bool {
         let target = self.table.get(grant.target);
         let is_receiving = target.may_receive(now) && target.incarnation == grant.incarnation;
@@ -253,8 +254,8 @@
         self.admission.record_release(now, !self.queue.is_empty());
     }
 
-    /// Returns the next waiting request that can be sent or must be refused. After each release, update
-    /// and tick, it must be called until it returns `None`.
+    /// Returns the next waiting request that can be sent or must be refused.
+    /// After each release, update and tick, it must be called until it returns `None`.
     pub fn next_wake<R: Rng>(&mut self, now: Timestamp, rng: &mut R) -> Option<Wake> {
         if let Some(waiter) = self.queue.pop_expired(now) {
             let refusal = self.refusal(Reason::DeadlineUnreachable, &waiter.request, now, rng);
@@ -274,14 +275,14 @@
         Some(Wake::Refuse(waiter.ticket, refusal))
     }
 
-    /// Removes a waiting request because its caller has disconnected. Returns whether the request was
-    /// still waiting.
+    /// Removes a waiting request because its caller has disconnected.
+    /// Returns whether the request was still waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket)
     }
 
-    /// Marks an incarnation of a target, and all earlier ones, as leaving. Returns whether the mark is
-    /// new here.
+    /// Marks an incarnation of a target, and all earlier ones, as leaving.
+    /// Returns whether the mark is new here.
     pub fn mark_leaving(&mut self, name: &TargetName, incarnation: Incarnation) -> bool {
         self.table.mark_leaving(name, incarnation)
     }
@@ -327,14 +328,14 @@
         })
     }
 
-    /// Returns the end of the first backoff, if all serving targets have requested one from this
-    /// process.
+    /// Returns the end of the first backoff, if all serving targets have requested
+    /// one from this process.
     pub fn all_backing_off_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.table.all_backing_off_until(now)
     }
 
-    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets have
-    /// requested a backoff from this process.
+    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets
+    /// have requested a backoff from this process.
     pub fn backoff_refusal<R: Rng>(
         &self,
         request: &Request,
@@ -347,8 +348,8 @@
         (!is_in_time).then_some(Refusal { reason: Reason::BackingOff, retry_after })
     }
 
-    /// Returns the names of the targets of a data hall, or of all halls, that have requested a backoff
-    /// from this process, up to the number that a request can exclude.
+    /// Returns the names of the targets of a data hall, or of all halls, that have requested a
+    /// backoff from this process, up to the number that a request can exclude.
     pub fn backing_off_targets(
         &mut self,
         hall: Option<&DataHallName>,
@@ -368,8 +369,8 @@
         index.is_some_and(|index| self.table.get(index).backoff.is_active(now))
     }
 
-    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets state
-    /// a rate limit and their tokens are used up.
+    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets
+    /// state a rate limit and their tokens are used up.
     fn rate_limit_refusal<R: Rng>(
         &self,
         request: &Request,
--- a/crates/thymeshift_dispatch/src/dispatcher/probing.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/probing.rs
@@ -24,8 +24,8 @@
         probed.map(|target| (target.name.clone(), target.address))
     }
 
-    /// Returns up to `count` of the targets that `request` would most likely be sent to, without those
-    /// that have reported within `age`. Returns none if the most likely target has reported.
+    /// Returns up to `count` of the targets that `request` would most likely be sent to, without
+    /// those that have reported within `age`. Returns none if the most likely target has reported.
     pub fn likely_stale_targets(
         &self,
         request: &Request,
--- a/crates/thymeshift_dispatch/src/dump.rs
+++ b/crates/thymeshift_dispatch/src/dump.rs
@@ -30,7 +30,8 @@
     /// The target has requested a backoff from this process.
     #[display("backing_off")]
     BackingOff,
-    /// The target failed several times in a row or could not be reached, and is ejected for a while.
+    /// The target failed several times in a row or could not be reached, and is
+    /// ejected for a while.
     #[display("ejected")]
     Ejected,
     /// The target states a limit of requests per second, and no token is left for now.
--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -1,19 +1,19 @@
 //! Outlier ejection: a failing target gets no requests for a while.
 //!
-//! A target is ejected after a number of consecutive failures, or after one failed attempt to open a
-//! connection. The ejection time doubles with each consecutive ejection, and a success resets both
-//! counts.
+//! A target is ejected after a number of consecutive failures, or after one failed attempt to open
+//! a connection. The ejection time doubles with each consecutive ejection, and a
+//! success resets both counts.
 //!
-//! A target that fails fast looks idle and would attract requests. A failed connection is sufficient
-//! evidence: while a data hall is without power, each of its targets is tried once instead of five
-//! times. With a quarter of the targets refusing connections for 3 s, 1 of 1,392 requests is refused
-//! within 4 s instead of 175.
+//! A target that fails fast looks idle and would attract requests.
+//! A failed connection is sufficient evidence: while a data hall is without power, each of its
+//! targets is tried once instead of five times. With a quarter of the targets refusing connections
+//! for 3 s, 1 of 1,392 requests is refused within 4 s instead of 175.
 //!
-//! Settings: `ejection.failures`, `ejection.base_ms`, `ejection.share_max_percent`. The last one is
-//! the panic threshold: beyond this share no further target is ejected, because a fault that hits
-//! most targets is not caused by the targets, and the rest could not carry the load. The threshold
-//! does not apply while other groups of the service have spare capacity: the failing targets then
-//! belong to one data hall, and the other halls carry its load.
+//! Settings: `ejection.failures`, `ejection.base_ms`, `ejection.share_max_percent`.
+//! The last one is the panic threshold: beyond this share no further target is ejected, because a
+//! fault that hits most targets is not caused by the targets, and the rest could not carry the
+//! load. The threshold does not apply while other groups of the service have spare capacity: the
+//! failing targets then belong to one data hall, and the other halls carry its load.
 
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
         self.until
     }
 
-    /// Returns the share of recent attempts that failed; the share decays while the target gets no
-    /// requests.
+    /// Returns the share of recent attempts that failed; the share decays while the
+    /// target gets no requests.
     pub(crate) fn failure_rate(&self, now: Timestamp) -> f64 {
         let age = now.since(self.rate_at).as_secs_f64();
         let half_life = FAILURE_RATE_HALF_LIFE.as_secs_f64();
--- a/crates/thymeshift_dispatch/src/elapsed_time.rs
+++ b/crates/thymeshift_dispatch/src/elapsed_time.rs
@@ -1,12 +1,14 @@
 //! Estimate of how long a caller has been trying already, from the timeout on its request.
 //!
-//! Keeps the timeouts that callers of a request kind commonly state. A caller that states less than
-//! the next common timeout has spent the difference on earlier attempts. Common timeouts are the
-//! longest one seen, and each one that a large share of the requests states.
+//! Keeps the timeouts that callers of a request kind commonly state.
+//! A caller that states less than the next common timeout has spent the difference on earlier
+//! attempts. Common timeouts are the longest one seen, and each one that a large share
+//! of the requests states.
 //!
-//! The objective of a request kind counts from a caller's first attempt, which may have been refused
-//! here or at another process, or lost with it. A request that cannot be answered within the
-//! objective any more has much less value than one that can.
+//! The objective of a request kind counts from a caller's first attempt, which may have been
+//! refused here or at another process, or lost with it.
+//! A request that cannot be answered within the objective any more has much less value
+//! than one that can.
 
 use std::time::Duration;
 
@@ -19,8 +21,8 @@
 const REQUEST_WEIGHT: f64 = 1.0 / 256.0;
 /// Share of requests from which on the timeout of a bucket counts as common.
 const COMMON_SHARE_MIN: f64 = 0.15;
-/// Share by which the longest timeouts decay with each request, so that one caller with an unusually
-/// long timeout does not make all others look late forever.
+/// Share by which the longest timeouts decay with each request, so that one caller with an
+/// unusually long timeout does not make all others look late forever.
 const DECAY_SHARE: f64 = 0.0002;
 
 /// Common timeouts of one request kind at one VM.
--- a/crates/thymeshift_dispatch/src/grant.rs
+++ b/crates/thymeshift_dispatch/src/grant.rs
@@ -6,8 +6,8 @@
 use thymeshift_types::Incarnation;
 use thymeshift_types::Timestamp;
 
-/// Index of a target in the table of its service. Valid while the target is configured or has
-/// requests in flight.
+/// Index of a target in the table of its service.
+/// Valid while the target is configured or has requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetIndex {
     /// Index plus 1, so that `Option<TargetIndex>` takes no more memory than `TargetIndex`.
--- a/crates/thymeshift_dispatch/src/halls.rs
+++ b/crates/thymeshift_dispatch/src/halls.rs
@@ -22,8 +22,8 @@
 }
 
 impl Halls {
-    /// Sets the own hall as number 0, the one-way network time between two halls, and the detour: how
-    /// much longer an answer from the own hall may take before another hall is preferred.
+    /// Sets the own hall as number 0, the one-way network time between two halls, and the detour:
+    /// how much longer an answer from the own hall may take before another hall is preferred.
     pub(crate) fn set(&mut self, own: &DataHallName, one_way: Duration, detour: Duration) {
         if self.names.first() != Some(own) {
             self.names = vec![own.clone()];
@@ -47,8 +47,8 @@
         if from == to { 0.0 } else { 2.0 * self.one_way.as_micros() as f64 }
     }
 
-    /// Returns the cost of the network between two halls in the choice of a target, in microseconds:
-    /// the round trip plus the detour, which grows with the length of the answer.
+    /// Returns the cost of the network between two halls in the choice of a target, in
+    /// microseconds: the round trip plus the detour, which grows with the length of the answer.
     pub(crate) fn cost_us(&self, from: HallIndex, to: HallIndex, answer_kib: u32) -> f64 {
         if from == to {
             return 0.0;
--- a/crates/thymeshift_dispatch/src/measuring.rs
+++ b/crates/thymeshift_dispatch/src/measuring.rs
@@ -1,16 +1,16 @@
 //! This VM's share of the time budget for probing one target.
 //!
 //! A probe is allowed only when the VM's share of the target's time has paid for the previous one.
-//! The share is the published budget divided by the published upper bound of VMs, so that all shares
-//! add up to at most the budget, whatever each VM believes about the others.
+//! The share is the published budget divided by the published upper bound of VMs, so that all
+//! shares add up to at most the budget, whatever each VM believes about the others.
 //!
-//! Equal shares need no coordination, while a rotating right to probe would need VMs to agree on time
-//! or membership. The cost is that the shares of VMs that are not running stay unused.
+//! Equal shares need no coordination, while a rotating right to probe would need VMs to agree on
+//! time or membership. The cost is that the shares of VMs that are not running stay unused.
 //!
-//! Three rules keep the bound. Unused time is not saved up, so a pause earns nothing. A fresh
-//! process first waits one whole interval, because the process that it replaces may just have spent
-//! the same share. A probe that exceeded its declared cost, failed or came late is charged in full,
-//! and at least at the declared cost.
+//! Three rules keep the bound. Unused time is not saved up, so a pause earns nothing.
+//! A fresh process first waits one whole interval, because the process that it replaces may just
+//! have spent the same share. A probe that exceeded its declared cost, failed or came late is
+//! charged in full, and at least at the declared cost.
 //!
 //! Settings: `measuring_budget_us_per_s`, `probe.cost_us`, `entry_vms_max`.
 
@@ -52,7 +52,8 @@
         self.next_at
     }
 
-    /// Takes the right to probe now, if it is due. Charges the declared cost before the probe is sent.
+    /// Takes the right to probe now, if it is due.
+    /// Charges the declared cost before the probe is sent.
     pub fn try_begin(&mut self, now: Timestamp) -> bool {
         let Some(next_at) = self.next_at else {
             return false;
--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -1,14 +1,14 @@
 //! Properties that the targets of a service have in common, estimated from answers and reports.
 //!
-//! * Mean service time: the time of a request at an idle target. It is kept per service and not per
-//!   target, because the estimate of a single target is noisy and targets with randomly low estimates
-//!   would attract all requests.
+//! * Mean service time: the time of a request at an idle target.
+//!   It is kept per service and not per target, because the estimate of a single target is noisy
+//!   and targets with randomly low estimates would attract all requests.
 //! * Mean load that other VMs put on a target.
 //! * Mean pace in the targets' reports, and the usual pace, which is that of the faster targets.
-//! * Weight of a report: the slope of the answer time beyond its expectation without the report, over
-//!   the load in the report. Fresh and honest reports have a slope near the time of one queued
-//!   request. Late, false or meaningless reports have a slope near zero and are then ignored. The
-//!   slope needs no knowledge of a report's age, which reports do not state.
+//! * Weight of a report: the slope of the answer time beyond its expectation without the report,
+//!   over the load in the report. Fresh and honest reports have a slope near the time of one queued
+//!   request. Late, false or meaningless reports have a slope near zero and are then ignored.
+//!   The slope needs no knowledge of a report's age, which reports do not state.
 
 use std::time::Duration;
 
@@ -33,8 +33,8 @@
 /// Initial slope, as a share of the time of one queued request.
 const PRIOR_SLOPE_SHARE: f64 = 0.5;
 
-/// Time after which a slow pace counts as usual if nearly all targets are slow. The window covers at
-/// least half of this time.
+/// Time after which a slow pace counts as usual if nearly all targets are slow.
+/// The window covers at least half of this time.
 const USUAL_PACE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Pace of the faster targets, as the minimum over a sliding window: if a service has few targets,
@@ -114,8 +114,8 @@
         *mean += PACE_WEIGHT * (pace - *mean);
     }
 
-    /// Returns the time that one request in a target's report adds to the expected answer time, in
-    /// microseconds.
+    /// Returns the time that one request in a target's report adds to the expected
+    /// answer time, in microseconds.
     pub(crate) fn reported_request_us(&self, slots: f64) -> f64 {
         let queued_us = self.service_us() / slots;
         let prior_us = queued_us * PRIOR_SLOPE_SHARE * PRIOR_VARIANCE;
@@ -128,9 +128,9 @@
         *mean += EXTERNAL_LOAD_WEIGHT * (external_load - *mean);
     }
 
-    /// Records an answer that took `taken_us` without the round trip between data halls, at a target
-    /// with `load_factor` times the expected answer time of an idle target, and `reported_excess`
-    /// requests above the mean in its report.
+    /// Records an answer that took `taken_us` without the round trip between data halls, at a
+    /// target with `load_factor` times the expected answer time of an idle target, and
+    /// `reported_excess` requests above the mean in its report.
     pub(crate) fn record_answer(&mut self, taken_us: f64, load_factor: f64, reported_excess: f64) {
         let beyond_us = taken_us - self.service_us() * load_factor;
         self.load_variance +=
--- a/crates/thymeshift_dispatch/src/pause.rs
+++ b/crates/thymeshift_dispatch/src/pause.rs
@@ -15,8 +15,8 @@
 }
 
 impl PauseDetector {
-    /// Creates a detector that counts any gap above `gap_max` as a pause. A running process must call
-    /// [`PauseDetector::observe`] several times within `gap_max`.
+    /// Creates a detector that counts any gap above `gap_max` as a pause.
+    /// A running process must call [`PauseDetector::observe`] several times within `gap_max`.
     pub fn new(now: Timestamp, gap_max: Duration) -> Self {
         Self { last: now, gap_max }
     }
--- a/crates/thymeshift_dispatch/src/probe_budget.rs
+++ b/crates/thymeshift_dispatch/src/probe_budget.rs
@@ -2,13 +2,13 @@
 //!
 //! A group earns a fixed number of probes with each request for one of its targets.
 //!
-//! The budget matters for a service with many targets for its requests, such as 600 targets in a data
-//! hall for 60 requests per second. Probing all of them 25 times per second takes 15,000 probes per
-//! second of one process, which then answers requests late, while a request needs only one target.
-//! Where a service has few targets for its requests, the probes stay below the budget.
+//! The budget matters for a service with many targets for its requests, such as 600 targets in a
+//! data hall for 60 requests per second. Probing all of them 25 times per second takes 15,000
+//! probes per second of one process, which then answers requests late, while a request needs only
+//! one target. Where a service has few targets for its requests, the probes stay below the budget.
 
-/// Probes earned with each request, twice as many as are made just before a grant. The budget keeps
-/// the reports of those targets fresh that the next requests would be sent to.
+/// Probes earned with each request, twice as many as are made just before a grant.
+/// The budget keeps the reports of those targets fresh that the next requests would be sent to.
 const PROBES_PER_REQUEST: u32 = 10;
 /// Largest number of probes that may be saved up, and the number of targets that may be probed when
 /// the first request arrives.
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -1,14 +1,15 @@
 //! Priority queue of the requests that wait for a target.
 //!
 //! Requests that can still be answered within their objective are served before those that cannot,
-//! and among each of these, higher priorities are served first. Every [`STARVATION_INTERVAL`]th
-//! request served is from the lowest priority with waiting requests. Within a priority, the oldest
-//! request is served first until the oldest has used up half of its wait limit. The priority is then
-//! overloaded and the newest request is served first, because it is the most likely to be in time.
+//! and among each of these, higher priorities are served first.
+//! Every [`STARVATION_INTERVAL`]th request served is from the lowest priority with waiting
+//! requests. Within a priority, the oldest request is served first until the oldest has used up
+//! half of its wait limit. The priority is then overloaded and the newest request is served first,
+//! because it is the most likely to be in time.
 //!
-//! The lowest priority, such as archive requests, may wait but must not starve. Under overload, a
-//! first-in-first-out queue would answer every request too late. A request that is late anyway loses
-//! no further value by waiting a little longer.
+//! The lowest priority, such as archive requests, may wait but must not starve.
+//! Under overload, a first-in-first-out queue would answer every request too late.
+//! A request that is late anyway loses no further value by waiting a little longer.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -54,8 +55,9 @@
 /// Waiting requests of one service at this VM.
 #[derive(Debug)]
 pub(crate) struct Queue {
-    /// Waiting requests by priority, in order of arrival. Priorities follow from the organisation and
-    /// the kind of a request; a priority without waiting requests has no entry.
+    /// Waiting requests by priority, in order of arrival.
+    /// Priorities follow from the organisation and the kind of a request; a priority without
+    /// waiting requests has no entry.
     by_priority: BTreeMap<u8, VecDeque<Waiter>>,
     next_ticket: u64,
     /// Number of requests served, modulo [`STARVATION_INTERVAL`].
@@ -130,8 +132,8 @@
         waiter
     }
 
-    /// Returns the request to serve next, which [`Self::dequeue`] removes. `answered_at` is the
-    /// expected time of an answer to a request that is sent now.
+    /// Returns the request to serve next, which [`Self::dequeue`] removes.
+    /// `answered_at` is the expected time of an answer to a request that is sent now.
     pub(crate) fn peek(&self, now: Timestamp, answered_at: Timestamp) -> Option<Waiter> {
         if (self.served_count + 1).is_multiple_of(STARVATION_INTERVAL) {
             return self.by_priority.values().next_back().and_then(VecDeque::front).copied();
--- a/crates/thymeshift_dispatch/src/retry.rs
+++ b/crates/thymeshift_dispatch/src/retry.rs
@@ -1,11 +1,12 @@
 //! Retry budget: bounds the attempts after the first one.
 //!
-//! Each request earns a share of a retry, and each retry or hedge spends a whole one. Earned retries
-//! are kept up to a small bound.
+//! Each request earns a share of a retry, and each retry or hedge spends a whole one.
+//! Earned retries are kept up to a small bound.
 //!
-//! When everything fails, unbounded retries would multiply the load just when it must fall; the budget
-//! bounds them to a share of the requests. Requests earn retries instead of successes, because a
-//! service whose targets shed every other request needs its retries most.
+//! When everything fails, unbounded retries would multiply the load just when it must fall; the
+//! budget bounds them to a share of the requests.
+//! Requests earn retries instead of successes, because a service whose targets shed every other
+//! request needs its retries most.
 //!
 //! Settings: `retry_budget_percent`, `retry_reserve`.
 
--- a/crates/thymeshift_dispatch/src/slowness.rs
+++ b/crates/thymeshift_dispatch/src/slowness.rs
@@ -1,13 +1,15 @@
 //! How much slower a target answers than comparable targets.
 //!
-//! Keeps two values over the ratio of the actual to the expected answer time: the mean ratio, and the
-//! share of answers that were later than expected. The smaller slowdown that follows from the two is
-//! used. Both decay while the target gets no requests, so that the target is tried again.
+//! Keeps two values over the ratio of the actual to the expected answer time: the mean ratio, and
+//! the share of answers that were later than expected.
+//! The smaller slowdown that follows from the two is used.
+//! Both decay while the target gets no requests, so that the target is tried again.
 //!
 //! This detects slow machines, and load reports that contradict the answer times: a target that
-//! reports no load and answers late is expected to answer late. The mean alone would also avoid every
-//! target that just had a short stall (a noisy neighbour), at all VMs at once and for longer than the
-//! stall. The share alone would take a steady small difference for a large one.
+//! reports no load and answers late is expected to answer late.
+//! The mean alone would also avoid every target that just had a short stall (a noisy neighbour), at
+//! all VMs at once and for longer than the stall.
+//! The share alone would take a steady small difference for a large one.
 
 use std::time::Duration;
 
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -46,23 +46,25 @@
 /// fallback, because every other process may be in fallback too.
 const FALLBACK_IN_FLIGHT_MAX: u32 = 1;
 
-/// Number of targets for each one that explores another concurrency level. The answers of one target
-/// suffice within a second or two, and its share of the requests bounds the cost of exploring.
+/// Number of targets for each one that explores another concurrency level.
+/// The answers of one target suffice within a second or two, and its share of the requests bounds
+/// the cost of exploring.
 const TARGETS_PER_EXPLORER: usize = 8;
 
-/// Largest expected answer time, as a multiple of the mean service time, at which a target counts as
-/// having spare capacity.
+/// Largest expected answer time, as a multiple of the mean service time, at which a target counts
+/// as having spare capacity.
 const USUAL_PACE_TIME_FACTOR_MAX: f64 = 1.6;
 /// Age of the last report from which on a target counts as working at its usual pace.
 const REPORT_AGE_MAX: Duration = Duration::from_secs(1);
 
 /// Interval between two updates of the usual pace from the reported paces of all targets.
 const USUAL_PACE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Largest age of a report that counts for the usual pace; probed targets report several times as
-/// often.
+/// Largest age of a report that counts for the usual pace; probed targets report
+/// several times as often.
 const PACE_REPORT_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// Number of concurrency levels with a marginal cost of their own; the last also covers higher ones.
+/// Number of concurrency levels with a marginal cost of their own; the last
+/// also covers higher ones.
 const MARGINAL_COST_LEVELS: usize = 8;
 /// Marginal cost of one more request at a target, by the requests in flight there, in units of the
 /// time of a lone request.
@@ -72,8 +74,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct TargetTable {
     targets: Vec<Target>,
-    /// Indices of the targets that are not removed, by name. A linear search takes 25.6 s to insert
-    /// 15,000 targets and update them four times, the map 1.3 s (both without optimisation).
+    /// Indices of the targets that are not removed, by name.
+    /// A linear search takes 25.6 s to insert 15,000 targets and update them four times, the map
+    /// 1.3 s (both without optimisation).
     indices: HashMap<TargetName, TargetIndex>,
     /// Retained state of targets that are currently not listed.
     unlisted: UnlistedTargets,
@@ -151,8 +154,8 @@
         self.concurrency.best(self.slots, now)
     }
 
-    /// Returns the end of the first backoff, if all serving targets have requested one from this
-    /// process.
+    /// Returns the end of the first backoff, if all serving targets have requested
+    /// one from this process.
     pub(crate) fn all_backing_off_until(&self, now: Timestamp) -> Option<Timestamp> {
         let mut first: Option<Timestamp> = None;
         for target in self.targets.iter().filter(|target| target.is_serving()) {
@@ -176,8 +179,8 @@
         open.filter(is_at_usual_pace).map(|target| target.spare_capacity(bound, now)).sum()
     }
 
-    /// Returns the marginal cost of one more request at a target, by the requests in flight there. All
-    /// costs are 1 unless this process counts the requests of the whole fleet.
+    /// Returns the marginal cost of one more request at a target, by the requests in flight there.
+    /// All costs are 1 unless this process counts the requests of the whole fleet.
     pub(crate) fn marginal_costs(&self, view: View, now: Timestamp) -> MarginalCosts {
         let mut costs = [1.0; MARGINAL_COST_LEVELS];
         if view == View::Fleet {
@@ -212,8 +215,8 @@
         let Some(report) = report.filter(|report| report.queued == 0) else {
             return;
         };
-        // If the target runs requests that this process does not track, such as those of a process in
-        // fallback, the level is unknown. Neither count includes the answered request.
+        // If the target runs requests that this process does not track, such as those of a process
+        // in fallback, the level is unknown. Neither count includes the answered request.
         let tracked = self.get(grant.target).in_flight().saturating_sub(1);
         if report.running <= tracked && grant.is_usual_pace {
             self.concurrency.record(grant.in_flight, taken_us, now);
@@ -347,8 +350,8 @@
         targets.filter(|(_, target)| is_free(target)).map(|(index, _)| index).collect()
     }
 
-    /// Selects the exploring targets: in each [`TARGETS_PER_EXPLORER`] targets, one explores one request
-    /// more and another one request fewer.
+    /// Selects the exploring targets: in each [`TARGETS_PER_EXPLORER`] targets, one explores one
+    /// request more and another one request fewer.
     fn choose_explorers(&mut self) {
         let serving = self.targets.iter_mut().filter(|target| target.is_serving());
         for (position, target) in serving.enumerate() {
@@ -408,8 +411,8 @@
         index
     }
 
-    /// Records the incarnation that a target states itself: the target may have restarted on the same
-    /// address before the configuration lists the new incarnation.
+    /// Records the incarnation that a target states itself: the target may have restarted on the
+    /// same address before the configuration lists the new incarnation.
     pub(crate) fn record_incarnation(&mut self, index: TargetIndex, incarnation: Incarnation) {
         let target = self.get_mut(index);
         if target.presence == Presence::Serving && target.incarnation < incarnation {
@@ -417,8 +420,8 @@
         }
     }
 
-    /// Marks a target as leaving if the mark is for its incarnation or a later one. Returns whether the
-    /// mark is new here.
+    /// Marks a target as leaving if the mark is for its incarnation or a later one.
+    /// Returns whether the mark is new here.
     pub(crate) fn mark_leaving(&mut self, name: &TargetName, incarnation: Incarnation) -> bool {
         let Some(index) = self.find(name) else {
             return false;
--- a/crates/thymeshift_dispatch/src/target_state/capacity.rs
+++ b/crates/thymeshift_dispatch/src/target_state/capacity.rs
@@ -11,7 +11,8 @@
 use crate::target_state::Presence;
 use crate::target_state::Target;
 
-/// Interval at which a target that is full with other processes' requests gets one from this process.
+/// Interval at which a target that is full with other processes' requests gets
+/// one from this process.
 const FULL_TARGET_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bound on the requests in flight at one target.
@@ -116,8 +117,8 @@
     }
 
     /// Returns `in_flight_max` less the reported requests that this process does not track, because
-    /// another process may allocate the target too, or be in fallback. However many those are, one
-    /// request is allowed at each [`FULL_TARGET_TRIAL_INTERVAL`].
+    /// another process may allocate the target too, or be in fallback.
+    /// However many those are, one request is allowed at each [`FULL_TARGET_TRIAL_INTERVAL`].
     fn untracked_deducted(&self, in_flight_max: u32, now: Timestamp) -> u32 {
         let is_tried_long_ago = now.since(self.granted_at) >= FULL_TARGET_TRIAL_INTERVAL;
         let least = u32::from(is_tried_long_ago);
--- a/crates/thymeshift_dispatch/src/unlisted.rs
+++ b/crates/thymeshift_dispatch/src/unlisted.rs
@@ -1,7 +1,7 @@
 //! Retained statements of targets that are temporarily missing from the configuration.
 //!
-//! An entry may lapse while the source is unreachable, and come back for the same incarnation. The
-//! statements of a target hold until a later incarnation.
+//! An entry may lapse while the source is unreachable, and come back for the same incarnation.
+//! The statements of a target hold until a later incarnation.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -31,7 +31,8 @@
 }
 
 impl UnlistedTargets {
-    /// Retains the leaving mark and the backoff of a target that is no longer listed, if it has any.
+    /// Retains the leaving mark and the backoff of a target that is no longer listed,
+    /// if it has any.
     pub(crate) fn remember(&mut self, target: &Target, now: Timestamp) {
         let is_leaving = target.presence == Presence::Leaving;
         let backoff_until = target.backoff.active_until(now);
@@ -44,7 +45,8 @@
         self.0.insert(target.name.clone(), retained);
     }
 
-    /// Restores the retained state of a target that is listed again, unless its incarnation is later.
+    /// Restores the retained state of a target that is listed again, unless
+    /// its incarnation is later.
     pub(crate) fn restore(&mut self, target: &mut Target) {
         let retained = self.0.remove(&target.name);
         let Some(retained) = retained.filter(|state| state.incarnation >= target.incarnation)
