--- a/crates/thymeshift_dispatch/src/adaptive_limit.rs
+++ b/crates/thymeshift_dispatch/src/adaptive_limit.rs
@@ -4,8 +4,8 @@
 //! when the target's queue grows, when it sheds a request or does not answer in time.
 //!
 //! A target runs a few requests at a time, while more than a dozen VMs send to it without knowing
-//! of each other's requests. A request that waits inside a target can no longer be sent to a better
-//! one; a request that waits at the VM can.
+//! of each other's requests. A request that waits inside a target can no longer be sent
+//! to a better one; a request that waits at the VM can.
 //!
 //! The ceiling is the VM's share of the target's connections.
 
--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -2,8 +2,8 @@
 //!
 //! Estimates when a new request would be answered, from the rate at which this VM releases requests
 //! of the service and the number of requests ahead in the queue.
-//! A request whose estimate is past its deadline is refused immediately, with the time after which
-//! the queue should have drained.
+//! A request whose estimate is past its deadline is refused immediately,
+//! with the time after which the queue should have drained.
 //!
 //! A request that waits and then misses its deadline delays its caller, occupies a place in the
 //! queue and makes the target do work whose result is discarded.
@@ -23,8 +23,8 @@
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 /// Longest retry-after time that a refused caller receives, without jitter.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
-/// Largest jitter of the retry-after time, as a share of that time: without jitter, refused callers
-/// would all retry at the same time.
+/// Largest jitter of the retry-after time, as a share of that time:
+/// without jitter, refused callers would all retry at the same time.
 const RETRY_AFTER_JITTER: f64 = 1.0;
 /// Largest jitter for callers that are told to retry at the end of the same backoff.
 const RETURN_JITTER_MAX: Duration = Duration::from_millis(500);
@@ -58,8 +58,8 @@
         Duration::from_micros((self.gap_us * (ahead as f64 + 1.0)) as u64)
     }
 
-    /// Returns the retry-after time of a refused caller: the time in which the `ahead` queued
-    /// requests drain, with jitter.
+    /// Returns the retry-after time of a refused caller: the time in
+    /// which the `ahead` queued requests drain, with jitter.
     pub(crate) fn retry_after(&self, ahead: usize, rng: &mut impl Rng) -> Duration {
         jittered_retry_after(self.expected_wait(ahead), rng)
     }
--- a/crates/thymeshift_dispatch/src/backoff.rs
+++ b/crates/thymeshift_dispatch/src/backoff.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Backoff`] holds the time until which this process may not send to a target.
 //! [`RefusalStreak`] counts consecutive refusals with a backoff, from all processes that this one
-//! decides for; once the streak reaches [`STREAK_MIN`], the target gets one request at a
-//! time, at an interval.
+//! decides for; once the streak reaches [`STREAK_MIN`],
+//! the target gets one request at a time, at an interval.
 //!
 //! A backoff binds only the process that received it, because a target may refuse some processes
 //! and serve others. Without the streak, an allocator would send every other process to the target
@@ -55,8 +55,8 @@
         self.refusals = 0;
     }
 
-    /// Returns the requests in flight that the streak allows a target whose last grant was at
-    /// `granted_at`, or `None` without a streak.
+    /// Returns the requests in flight that the streak allows a target whose last grant was
+    /// at `granted_at`, or `None` without a streak.
     pub(crate) fn in_flight_max(self, granted_at: Timestamp, now: Timestamp) -> Option<u32> {
         let is_trial_due = now.since(granted_at) >= TRIAL_INTERVAL;
         (self.refusals >= STREAK_MIN).then_some(u32::from(is_trial_due))
--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -2,18 +2,18 @@
 //!
 //! A target is cold for a while after it appeared, after its data hall was taken back, or after it
 //! reported that it is cold. Its expected time is then multiplied by a factor that falls to 1.
-//! Where the service states how many requests per second a cold target bears, the
-//! target gets no more.
+//! A service may state the request rate
+//! that a cold target bears, and cold targets then get no more.
 //!
 //! A target that has just started reports no load and answers slowly, so that all VMs together
-//! would overload it. A data hall that comes back as a whole is the worst case: a quarter of the
-//! targets is idle and looks best to every VM.
+//! would overload it. A data hall that comes back as a whole is the worst case:
+//! a quarter of the targets is idle and looks best to every VM.
 //!
 //! The process that allocates a target spaces its grants at the rate that the target bears.
 //! Two processes may allocate the same target for a short time.
 //! The part of the bound that these two leave is divided among all processes that may run, for
-//! processes in fallback. A process in fallback first waits one full interval, because all
-//! processes may enter fallback at once.
+//! processes in fallback. A process in fallback first waits one full interval,
+//! because all processes may enter fallback at once.
 
 use std::time::Duration;
 
--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -2,8 +2,8 @@
 //!
 //! Keeps the latest answer times for each concurrency level, which is the number of requests that
 //! were at the target when a request was sent, and compares a low quantile of them.
-//! The best level is the highest one at which one more request still raises the throughput, which
-//! is the level divided by the answer time.
+//! The best level is the highest one at which one more request still raises the throughput,
+//! which is the level divided by the answer time.
 //!
 //! A level without samples is assumed to raise the throughput, except in the last third of the
 //! slots if a target has more than three. A few targets explore: they may have one request more or
@@ -14,8 +14,8 @@
 //! by more than it adds in throughput. That level differs from the number of slots that a target
 //! states. A process without samples would overload all targets if it started with all slots, and
 //! wastes little capacity if it starts with two thirds.
-//! A low quantile is used because some answers take many times as long for reasons
-//! other than the concurrency.
+//! A low quantile is used because some answers take many times
+//! as long for reasons other than the concurrency.
 
 use std::time::Duration;
 
@@ -32,18 +32,18 @@
 const SAMPLES_MIN_PER_REQUEST: usize = 4;
 /// Quantile of the answer times that is compared between concurrency levels.
 const LATENCY_QUANTILE: f64 = 0.3;
-/// Least share by which one more request must raise the throughput, unless [`IDEAL_GAIN_SHARE_MIN`]
-/// of the ideal gain is less.
+/// Least share by which one more request must raise the throughput,
+/// unless [`IDEAL_GAIN_SHARE_MIN`] of the ideal gain is less.
 const THROUGHPUT_GAIN_MIN: f64 = 0.12;
-/// Least part of the ideal throughput gain that one more request must bring; the ideal gain is that
-/// of a request that slows no other.
+/// Least part of the ideal throughput gain that one more request must bring;
+/// the ideal gain is that of a request that slows no other.
 const IDEAL_GAIN_SHARE_MIN: f64 = 0.5;
 /// Assumed factor on the answer time for one more request when a target is nearly full.
 const ASSUMED_SLOWDOWN_FACTOR: f64 = 1.3;
 /// Largest number of slots of which all are assumed to raise the throughput: one slot is then a
 /// third of the capacity or more, which costs more than slightly slower targets.
-/// Against a bound of two slots, three raise the score of rosters by 0.011 and lower that of tariff
-/// days by 0.001 (docs/DECISIONS.md).
+/// Against a bound of two slots, three raise the score of rosters by 0.011 and lower
+/// that of tariff days by 0.001 (docs/DECISIONS.md).
 const ALL_SLOTS_ASSUMED_MAX: u32 = 3;
 /// Time without an answer after which the samples of a concurrency level are dropped.
 const LEVEL_TTL: Duration = Duration::from_secs(30);
@@ -140,8 +140,7 @@
         (total(level) - before).max(1.0)
     }
 
-    /// Returns the factor on a request's answer time among `level` requests,
-    /// against a lone request.
+    /// Returns the answer time among `level` requests as a multiple of that of a lone request.
     fn slowdown(&self, level: u32, slots: u32, now: Timestamp) -> f64 {
         let measured_step =
             || Some(self.known_us(level, now)? / self.known_us(level - 1, now)?.max(1.0));
@@ -153,8 +152,8 @@
         (fewer * step).max(1.0)
     }
 
-    /// Returns the quantile of the answer times at `level` requests in microseconds, if
-    /// there are enough samples.
+    /// Returns the quantile of the answer times at `level` requests
+    /// in microseconds, if there are enough samples.
     fn known_us(&self, level: u32, now: Timestamp) -> Option<f64> {
         let samples_min = SAMPLES_MIN.max(SAMPLES_MIN_PER_REQUEST * level as usize);
         self.levels[level_index(level)].known_us(samples_min, now)
@@ -168,8 +167,7 @@
         }
     }
 
-    /// Whether `level` requests raise the throughput over one request fewer, or
-    /// `None` without enough samples.
+    /// Whether `level` requests raise the throughput over one fewer; `None` without enough samples.
     fn raises_throughput(&self, level: u32, now: Timestamp) -> Option<bool> {
         let slowdown_step = self.known_us(level, now)? / self.known_us(level - 1, now)?.max(1.0);
         let ideal_gain = 1.0 / f64::from(level - 1);
@@ -179,8 +177,8 @@
 }
 
 /// Returns the assumed factor on the answer time of `level` requests against one request fewer:
-/// only the last third of the slots slows a target down, and
-/// only above [`ALL_SLOTS_ASSUMED_MAX`] slots.
+/// only the last third of the slots slows a target down,
+/// and only above [`ALL_SLOTS_ASSUMED_MAX`] slots.
 fn assumed_slowdown(level: u32, slots: u32) -> f64 {
     let is_last_third = level * 3 > slots * 2;
     if slots > ALL_SLOTS_ASSUMED_MAX && is_last_third { ASSUMED_SLOWDOWN_FACTOR } else { 1.0 }
--- a/crates/thymeshift_dispatch/src/connections.rs
+++ b/crates/thymeshift_dispatch/src/connections.rs
@@ -1,8 +1,8 @@
 //! Share of a target's connections that one VM may hold.
 //!
 //! The target's connection limit is divided by the published upper bound of VMs, not by a count of
-//! live VMs: VMs may disagree about which others are alive, and the shares must fit the limit in
-//! every mixture of views.
+//! live VMs: VMs may disagree about which others are alive,
+//! and the shares must fit the limit in every mixture of views.
 
 /// Returns the connections that one VM may hold to one target, at least 1.
 /// The check of the configuration guarantees that the division alone gives every VM at least 1.
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -137,8 +137,8 @@
     }
 
     /// Whether a grant was counted against its target's rate limit, if the target states one.
-    /// A grant that was not counted must not be used: the limit was unknown to the process that
-    /// chose the target, or is newer than the choice.
+    /// A grant that was not counted must not be used: the limit was unknown to the process
+    /// that chose the target, or is newer than the choice.
     pub fn is_within_limit(&self, grant: &Grant) -> bool {
         grant.is_counted || !self.table.get(grant.target).is_rate_limited()
     }
@@ -328,14 +328,14 @@
         })
     }
 
-    /// Returns the end of the first backoff, if all serving targets have requested
-    /// one from this process.
+    /// Returns the end of the first backoff,
+    /// if all serving targets have requested one from this process.
     pub fn all_backing_off_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.table.all_backing_off_until(now)
     }
 
-    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets
-    /// have requested a backoff from this process.
+    /// Returns a refusal if the request cannot be sent within its wait limit,
+    /// because all targets have requested a backoff from this process.
     pub fn backoff_refusal<R: Rng>(
         &self,
         request: &Request,
@@ -369,8 +369,8 @@
         index.is_some_and(|index| self.table.get(index).backoff.is_active(now))
     }
 
-    /// Returns a refusal if the request cannot be sent within its wait limit, because all targets
-    /// state a rate limit and their tokens are used up.
+    /// Returns a refusal if the request cannot be sent within its wait limit,
+    /// because all targets state a rate limit and their tokens are used up.
     fn rate_limit_refusal<R: Rng>(
         &self,
         request: &Request,
--- a/crates/thymeshift_dispatch/src/dispatcher/observations.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher/observations.rs
@@ -22,14 +22,14 @@
 const TIMEOUT_FACTOR: u32 = 3;
 
 /// Largest age of a rate limit that is sent to other processes, several times the propagation time.
-/// An older limit is usually wrong, because a rate-limited target states its
-/// limit every few seconds.
+/// An older limit is usually wrong,
+/// because a rate-limited target states its limit every few seconds.
 const RATE_LIMIT_TTL: Duration = Duration::from_mins(1);
 
 impl<S: Strategy> Dispatcher<S> {
     /// Records the result of an attempt, at most once for each grant.
-    /// Returns the leaving mark to forward to other VMs, if the target reported that it is leaving
-    /// and the mark is new here.
+    /// Returns the leaving mark to forward to other VMs,
+    /// if the target reported that it is leaving and the mark is new here.
     pub fn record_attempt(
         &mut self,
         grant: &Grant,
@@ -62,8 +62,7 @@
             Observation::TimedOut => {
                 target.record_latency(grant, now);
                 target.record_overload(now);
-                // A timeout of a caller with little time left does not show that
-                // the target is slow.
+                // A caller with little time left may time out although the target is not slow.
                 if now.since(grant.sent_at) > grant.expected * TIMEOUT_FACTOR {
                     target.record_failure(&self.ejection, may_eject, now);
                 }
@@ -103,8 +102,8 @@
         }
     }
 
-    /// Returns the rate limit of a granted request's target to send to another process, or `None`
-    /// if the target never stated one.
+    /// Returns the rate limit of a granted request's target to send to another process,
+    /// or `None` if the target never stated one.
     pub fn rate_limit_update(&self, grant: &Grant, now: Timestamp) -> Option<RateLimitUpdate> {
         self.table.get(grant.target).rate_limit.latest_update(now)
     }
@@ -170,8 +169,8 @@
         target.is_leaving().then_some(target.incarnation)
     }
 
-    /// Sets the share of the targets' rate limits that this dispatcher may grant while it
-    /// decides for the fleet.
+    /// Sets the share of the targets' rate limits
+    /// that this dispatcher may grant while it decides for the fleet.
     pub fn set_rate_share(&mut self, share: RateShare) {
         self.table.set_fleet_share(share);
     }
--- a/crates/thymeshift_dispatch/src/dump.rs
+++ b/crates/thymeshift_dispatch/src/dump.rs
@@ -23,15 +23,15 @@
     /// The requests in flight have reached the target's concurrency limit.
     #[display("at_limit")]
     AtLimit,
-    /// The target reports that work currently takes much longer: a request ends sooner if it waits
-    /// than if it starts now.
+    /// The target reports that work currently takes much longer:
+    /// a request ends sooner if it waits than if it starts now.
     #[display("slow_spell")]
     SlowSpell,
     /// The target has requested a backoff from this process.
     #[display("backing_off")]
     BackingOff,
-    /// The target failed several times in a row or could not be reached, and is
-    /// ejected for a while.
+    /// The target failed several times in a row
+    /// or could not be reached, and is ejected for a while.
     #[display("ejected")]
     Ejected,
     /// The target states a limit of requests per second, and no token is left for now.
--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -1,8 +1,8 @@
 //! Outlier ejection: a failing target gets no requests for a while.
 //!
 //! A target is ejected after a number of consecutive failures, or after one failed attempt to open
-//! a connection. The ejection time doubles with each consecutive ejection, and a
-//! success resets both counts.
+//! a connection. The ejection time doubles with each consecutive ejection.
+//! A success resets both counts.
 //!
 //! A target that fails fast looks idle and would attract requests.
 //! A failed connection is sufficient evidence: while a data hall is without power, each of its
@@ -46,8 +46,8 @@
         self.until
     }
 
-    /// Returns the share of recent attempts that failed; the share decays while the
-    /// target gets no requests.
+    /// Returns the share of recent attempts that failed;
+    /// the share decays while the target gets no requests.
     pub(crate) fn failure_rate(&self, now: Timestamp) -> f64 {
         let age = now.since(self.rate_at).as_secs_f64();
         let half_life = FAILURE_RATE_HALF_LIFE.as_secs_f64();
--- a/crates/thymeshift_dispatch/src/elapsed_time.rs
+++ b/crates/thymeshift_dispatch/src/elapsed_time.rs
@@ -2,13 +2,12 @@
 //!
 //! Keeps the timeouts that callers of a request kind commonly state.
 //! A caller that states less than the next common timeout has spent the difference on earlier
-//! attempts. Common timeouts are the longest one seen, and each one that a large share
-//! of the requests states.
+//! attempts. Common timeouts are the longest one seen, and each one
+//! that a large share of the requests states.
 //!
 //! The objective of a request kind counts from a caller's first attempt, which may have been
 //! refused here or at another process, or lost with it.
-//! A request that cannot be answered within the objective any more has much less value
-//! than one that can.
+//! An answer after the objective has much less value to the caller than one within it.
 
 use std::time::Duration;
 
--- a/crates/thymeshift_dispatch/src/lib.rs
+++ b/crates/thymeshift_dispatch/src/lib.rs
@@ -1,12 +1,12 @@
-//! Load balancing decisions without I/O: which target gets a request, when a request waits and
-//! when it is refused.
+//! Load balancing decisions without I/O: which target gets a request,
+//! when a request waits and when it is refused.
 //!
 //! All parts are plain state machines that take the current time and the random number generator as
 //! arguments, so that every decision can be reproduced exactly.
 //! To embed the crate, keep one [`Dispatcher`] per service:
 //!
-//! 1. Call [`Dispatcher::request`], which returns [`Decision::Send`], [`Decision::Wait`]
-//!    or [`Decision::Refuse`].
+//! 1. Call [`Dispatcher::request`], which returns [`Decision::Send`],
+//!    [`Decision::Wait`] or [`Decision::Refuse`].
 //! 2. Call [`Dispatcher::may_send`] immediately before the first byte is sent.
 //! 3. Record the result of the attempt with [`Dispatcher::record_attempt`], and return the grant
 //!    with [`Dispatcher::release`] when the target has finished the request.
--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -27,8 +27,8 @@
 const SLOPE_WEIGHT: f64 = 0.01;
 /// Assumed service time before the first answer, in microseconds.
 const INITIAL_SERVICE_US: f64 = 5_000.0;
-/// Variance of the reported load that the initial slope counts for: the initial slope dominates
-/// until the observed variance exceeds this value.
+/// Variance of the reported load that the initial slope counts for:
+/// the initial slope dominates until the observed variance exceeds this value.
 const PRIOR_VARIANCE: f64 = 0.1;
 /// Initial slope, as a share of the time of one queued request.
 const PRIOR_SLOPE_SHARE: f64 = 0.5;
@@ -37,8 +37,8 @@
 /// The window covers at least half of this time.
 const USUAL_PACE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Pace of the faster targets, as the minimum over a sliding window: if a service has few targets,
-/// all of them may be slow for a moment by chance.
+/// Pace of the faster targets, as the minimum over a sliding window:
+/// if a service has few targets, all of them may be slow for a moment by chance.
 #[derive(Debug, Clone, Default)]
 struct UsualPace {
     /// Lowest pace in the previous half of the window.
@@ -114,8 +114,8 @@
         *mean += PACE_WEIGHT * (pace - *mean);
     }
 
-    /// Returns the time that one request in a target's report adds to the expected
-    /// answer time, in microseconds.
+    /// Returns the time that one request in a target's report adds
+    /// to the expected answer time, in microseconds.
     pub(crate) fn reported_request_us(&self, slots: f64) -> f64 {
         let queued_us = self.service_us() / slots;
         let prior_us = queued_us * PRIOR_SLOPE_SHARE * PRIOR_VARIANCE;
--- a/crates/thymeshift_dispatch/src/probe_budget.rs
+++ b/crates/thymeshift_dispatch/src/probe_budget.rs
@@ -10,8 +10,8 @@
 /// Probes earned with each request, twice as many as are made just before a grant.
 /// The budget keeps the reports of those targets fresh that the next requests would be sent to.
 const PROBES_PER_REQUEST: u32 = 10;
-/// Largest number of probes that may be saved up, and the number of targets that may be probed when
-/// the first request arrives.
+/// Largest number of probes that may be saved up, and the number of targets
+/// that may be probed when the first request arrives.
 const PROBES_SAVED_MAX: u32 = 160;
 
 /// Number of probes that a group may currently start.
--- a/crates/thymeshift_dispatch/src/queue.rs
+++ b/crates/thymeshift_dispatch/src/queue.rs
@@ -56,8 +56,8 @@
 #[derive(Debug)]
 pub(crate) struct Queue {
     /// Waiting requests by priority, in order of arrival.
-    /// Priorities follow from the organisation and the kind of a request; a priority without
-    /// waiting requests has no entry.
+    /// Priorities follow from the organisation and the kind of a request;
+    /// a priority without waiting requests has no entry.
     by_priority: BTreeMap<u8, VecDeque<Waiter>>,
     next_ticket: u64,
     /// Number of requests served, modulo [`STARVATION_INTERVAL`].
--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -2,17 +2,17 @@
 //!
 //! Keeps the limit that a target last stated, and a token bucket that fills at the limit times the
 //! share that the deciding process may grant. The shares of all processes add up to little more
-//! than 1, however they see the fleet. Tokens expire: otherwise, many processes with small shares
-//! could use saved tokens at the same time.
+//! than 1, however they see the fleet. Tokens expire: otherwise, many processes
+//! with small shares could use saved tokens at the same time.
 //!
 //! Every process receives the limit, while it applies to all of them together.
-//! If each process granted the whole limit, the target would get the limit times
-//! the number of processes.
+//! If each process granted the whole limit,
+//! the target would get the limit times the number of processes.
 //!
 //! Answers arrive out of order and through several processes, so a statement counts only if it is
 //! newer than the known one. A limit is dated at the arrival of its answer.
-//! The end of a limit is dated at the sending of its request, because the target cannot have
-//! ended the limit earlier.
+//! The end of a limit is dated at the sending of its request,
+//! because the target cannot have ended the limit earlier.
 
 use std::time::Duration;
 
@@ -23,14 +23,14 @@
 
 use crate::RateLimitDump;
 
-/// Limit in requests per second from which on a statement counts as no limit: no target of the size
-/// served here gets as many requests.
+/// Limit in requests per second from which on a statement counts as no limit:
+/// no target of the size served here gets as many requests.
 const LIMIT_PER_S_MAX: f64 = 1_000.0;
-/// Least rate of requests to a target, however low its limit is: only its answers can state that
-/// the limit has ended.
+/// Least rate of requests to a target, however low its limit is:
+/// only its answers can state that the limit has ended.
 const RATE_MIN_PER_S: f64 = 0.5;
-/// Time for which missed tokens are kept, because waiting requests are checked
-/// only every few milliseconds.
+/// Time for which missed tokens are kept,
+/// because waiting requests are checked only every few milliseconds.
 const BURST_WINDOW: Duration = Duration::from_millis(100);
 /// Time after which an unused token expires.
 const TOKEN_TTL: Duration = Duration::from_secs(1);
@@ -105,8 +105,8 @@
 }
 
 impl RateLimit {
-    /// Records the limit, or its absence, in an answer that arrived at `now` to a request sent at
-    /// `sent_at`. Returns whether the limit changed.
+    /// Records the limit, or its absence, in an answer
+    /// that arrived at `now` to a request sent at `sent_at`. Returns whether the limit changed.
     pub(crate) fn observe(
         &mut self,
         rate: Option<RequestRate>,
--- a/crates/thymeshift_dispatch/src/report.rs
+++ b/crates/thymeshift_dispatch/src/report.rs
@@ -21,8 +21,8 @@
 }
 
 /// Load report on an answer or on a probe's answer.
-/// Request counts are those of all VMs together, without the request whose
-/// answer carries the report.
+/// Request counts are those of all VMs together,
+/// without the request whose answer carries the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Number of requests that the target runs.
@@ -54,8 +54,8 @@
     }
 }
 
-/// Time after which a reported pace is ignored: noisy neighbours on the same machine come and go
-/// many times per second.
+/// Time after which a reported pace is ignored:
+/// noisy neighbours on the same machine come and go many times per second.
 const PACE_REPORT_TTL: Duration = Duration::from_millis(150);
 /// Time for which a report's requests from other processes count as still at the target, several
 /// times the interval between two probes of a target.
@@ -86,8 +86,8 @@
 
 impl ExternalLoad {
     /// Records a report and returns the load of other VMs in it.
-    /// `own_in_flight` is the number of this VM's requests in flight at the target, without the one
-    /// whose answer carries the report.
+    /// `own_in_flight` is the number of this VM's requests in flight at the target,
+    /// without the one whose answer carries the report.
     pub(crate) fn record(
         &mut self,
         report: LoadReport,
@@ -116,8 +116,8 @@
         self.mean + (last.external_load - self.mean) * confidence
     }
 
-    /// Returns the number of requests from other processes in the last report, 0 once the report
-    /// is older than [`UNTRACKED_REQUESTS_TTL`].
+    /// Returns the number of requests from other processes in the last report,
+    /// 0 once the report is older than [`UNTRACKED_REQUESTS_TTL`].
     pub(crate) fn untracked_requests(&self, now: Timestamp) -> u32 {
         let last = self.last.filter(|last| now.since(last.received_at) <= UNTRACKED_REQUESTS_TTL);
         last.map_or(0, |last| last.external_load as u32)
--- a/crates/thymeshift_dispatch/src/retry.rs
+++ b/crates/thymeshift_dispatch/src/retry.rs
@@ -3,10 +3,10 @@
 //! Each request earns a share of a retry, and each retry or hedge spends a whole one.
 //! Earned retries are kept up to a small bound.
 //!
-//! When everything fails, unbounded retries would multiply the load just when it must fall; the
-//! budget bounds them to a share of the requests.
-//! Requests earn retries instead of successes, because a service whose targets shed every other
-//! request needs its retries most.
+//! When everything fails, unbounded retries would multiply the load just when it must fall;
+//! the budget bounds them to a share of the requests.
+//! Retries are earned by requests and not by successes,
+//! because a service whose targets shed every other request needs its retries most.
 //!
 //! Settings: `retry_budget_percent`, `retry_reserve`.
 
--- a/crates/thymeshift_dispatch/src/slowness.rs
+++ b/crates/thymeshift_dispatch/src/slowness.rs
@@ -7,8 +7,8 @@
 //!
 //! This detects slow machines, and load reports that contradict the answer times: a target that
 //! reports no load and answers late is expected to answer late.
-//! The mean alone would also avoid every target that just had a short stall (a noisy neighbour), at
-//! all VMs at once and for longer than the stall.
+//! The mean alone would also avoid every target that just had a short stall (a noisy neighbour),
+//! at all VMs at once and for longer than the stall.
 //! The share alone would take a steady small difference for a large one.
 
 use std::time::Duration;
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -47,27 +47,27 @@
 const FALLBACK_IN_FLIGHT_MAX: u32 = 1;
 
 /// Number of targets for each one that explores another concurrency level.
-/// The answers of one target suffice within a second or two, and its share of the requests bounds
-/// the cost of exploring.
+/// The answers of one target suffice within a second or two,
+/// and its share of the requests bounds the cost of exploring.
 const TARGETS_PER_EXPLORER: usize = 8;
 
-/// Largest expected answer time, as a multiple of the mean service time, at which a target counts
-/// as having spare capacity.
+/// Largest expected answer time, as a multiple of the mean service time,
+/// at which a target counts as having spare capacity.
 const USUAL_PACE_TIME_FACTOR_MAX: f64 = 1.6;
 /// Age of the last report from which on a target counts as working at its usual pace.
 const REPORT_AGE_MAX: Duration = Duration::from_secs(1);
 
 /// Interval between two updates of the usual pace from the reported paces of all targets.
 const USUAL_PACE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Largest age of a report that counts for the usual pace; probed targets report
-/// several times as often.
+/// Largest age of a report that counts for the usual pace;
+/// probed targets report several times as often.
 const PACE_REPORT_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// Number of concurrency levels with a marginal cost of their own; the last
-/// also covers higher ones.
+/// Number of concurrency levels with a marginal cost
+/// of their own; the last also covers higher ones.
 const MARGINAL_COST_LEVELS: usize = 8;
-/// Marginal cost of one more request at a target, by the requests in flight there, in units of the
-/// time of a lone request.
+/// Marginal cost of one more request at a target,
+/// by the requests in flight there, in units of the time of a lone request.
 pub(crate) type MarginalCosts = [f64; MARGINAL_COST_LEVELS];
 
 /// Targets of one service, and the estimates that they share.
@@ -75,8 +75,8 @@
 pub(crate) struct TargetTable {
     targets: Vec<Target>,
     /// Indices of the targets that are not removed, by name.
-    /// A linear search takes 25.6 s to insert 15,000 targets and update them four times, the map
-    /// 1.3 s (both without optimisation).
+    /// A linear search takes 25.6 s to insert 15,000 targets and update them four times,
+    /// the map 1.3 s (both without optimisation).
     indices: HashMap<TargetName, TargetIndex>,
     /// Retained state of targets that are currently not listed.
     unlisted: UnlistedTargets,
@@ -154,8 +154,8 @@
         self.concurrency.best(self.slots, now)
     }
 
-    /// Returns the end of the first backoff, if all serving targets have requested
-    /// one from this process.
+    /// Returns the end of the first backoff,
+    /// if all serving targets have requested one from this process.
     pub(crate) fn all_backing_off_until(&self, now: Timestamp) -> Option<Timestamp> {
         let mut first: Option<Timestamp> = None;
         for target in self.targets.iter().filter(|target| target.is_serving()) {
@@ -350,8 +350,8 @@
         targets.filter(|(_, target)| is_free(target)).map(|(index, _)| index).collect()
     }
 
-    /// Selects the exploring targets: in each [`TARGETS_PER_EXPLORER`] targets, one explores one
-    /// request more and another one request fewer.
+    /// Selects the exploring targets: in each [`TARGETS_PER_EXPLORER`] targets,
+    /// one explores one request more and another one request fewer.
     fn choose_explorers(&mut self) {
         let serving = self.targets.iter_mut().filter(|target| target.is_serving());
         for (position, target) in serving.enumerate() {
@@ -363,8 +363,8 @@
         }
     }
 
-    /// Returns the index of a listed target. A new incarnation or address gets a new index, so that
-    /// requests in flight to the old one keep theirs.
+    /// Returns the index of a listed target. A new incarnation or address gets a new index, so
+    /// that requests in flight to the old one keep theirs.
     fn find_or_insert(
         &mut self,
         listed: &TargetSettings,
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -40,8 +40,8 @@
     pub(crate) slots: u32,
     /// This VM's share of a target's connections for requests.
     pub(crate) connection_share: u32,
-    /// Least intervals between requests to a cold target, or `None` if a cold target gets as many
-    /// requests as a warm one.
+    /// Least intervals between requests to a cold target, or `None`
+    /// if a cold target gets as many requests as a warm one.
     pub(crate) cold_intervals: Option<ColdIntervals>,
     /// Time for which a target counts as cold if it does not report its cold time.
     pub(crate) cold_ramp: Duration,
@@ -67,8 +67,8 @@
     pub(crate) presence: Presence,
     /// Whether an operator's order stops new work for the target.
     pub(crate) is_stopped: bool,
-    /// Whether the target's data hall is drained, which stops new work until the
-    /// hall is taken back.
+    /// Whether the target's data hall is drained,
+    /// which stops new work until the hall is taken back.
     is_hall_drained: bool,
     /// Cold time in the last configuration, in milliseconds.
     listed_cold_for_ms: Option<u64>,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Sets the incarnation, and resets the rate limit, the backoff and the refusals, which hold
-    /// for the earlier incarnation only.
+    /// Sets the incarnation, and resets the rate limit,
+    /// the backoff and the refusals, which hold for the earlier incarnation only.
     pub(crate) fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.rate_limit = RateLimit::default();
@@ -145,8 +145,8 @@
         self.external_load.reported_pace(age_max, now)
     }
 
-    /// Whether the target can get new work, now or later, without a change of the configuration or
-    /// of an operator's orders.
+    /// Whether the target can get new work, now or later,
+    /// without a change of the configuration or of an operator's orders.
     pub(crate) fn is_serving(&self) -> bool {
         self.presence == Presence::Serving && !self.is_stopped && !self.is_hall_drained
     }
@@ -156,8 +156,8 @@
     }
 
     /// Sets whether the target's data hall is drained.
-    /// Targets of a hall that is taken back may have become cold, and count as cold
-    /// until they report otherwise.
+    /// Targets of a hall that is taken back may have become cold,
+    /// and count as cold until they report otherwise.
     pub(crate) fn set_hall_drained(&mut self, is_drained: bool, now: Timestamp) {
         if self.is_hall_drained && !is_drained {
             let ramp = self.parameters.cold_ramp;
@@ -186,8 +186,8 @@
         self.rate_limit.rate().is_some()
     }
 
-    /// Whether the target may be probed. A target with a rate limit or a backoff may count a
-    /// probe as a request.
+    /// Whether the target may be probed. A target with a rate limit or a backoff may count a probe
+    /// as a request.
     pub(crate) fn may_be_probed(&self, now: Timestamp) -> bool {
         self.is_serving() && !self.is_rate_limited() && !self.backoff.is_active(now)
     }
@@ -240,8 +240,8 @@
         self.sent_at_sum_us = self.sent_at_sum_us.saturating_sub(grant.sent_at.as_micros());
     }
 
-    /// Records a report on the answer to a request, and returns the load of other
-    /// VMs in the report.
+    /// Records a report on the answer to a request,
+    /// and returns the load of other VMs in the report.
     pub(crate) fn record_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         self.external_load.record(report, self.in_flight.saturating_sub(1), now)
     }
@@ -261,8 +261,8 @@
         self.external_load.record(report, self.in_flight, now)
     }
 
-    /// Records the time of an answer, and returns that time without the round trip between
-    /// data halls, in microseconds.
+    /// Records the time of an answer, and returns that time
+    /// without the round trip between data halls, in microseconds.
     pub(crate) fn record_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
         let taken = now.since(grant.sent_at);
         self.latency.record(taken);
@@ -273,8 +273,8 @@
         taken_us
     }
 
-    /// Updates the adaptive limit after an answer, from the reported queue or, without a
-    /// report, from the latency.
+    /// Updates the adaptive limit after an answer,
+    /// from the reported queue or, without a report, from the latency.
     pub(crate) fn update_limit(&mut self, report: Option<LoadReport>, now: Timestamp) {
         let pressure = match report {
             Some(report) => Pressure::from_queue(report.queued, self.parameters.slots),
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -7,8 +7,8 @@
 use crate::model::ServiceModel;
 use crate::target_state::Target;
 
-/// Time in which the weight of a report decays, in service times: a target's load changes within
-/// the time of a few requests.
+/// Time in which the weight of a report decays, in service times:
+/// a target's load changes within the time of a few requests.
 const REPORT_DECAY_REQUESTS: f64 = 2.0;
 /// Largest multiple of the usual pace that still counts as usual.
 const USUAL_PACE_FACTOR_MAX: f64 = 1.3;
@@ -16,8 +16,8 @@
 const SUCCESS_RATE_MIN: f64 = 0.02;
 
 impl Target {
-    /// Returns the time in which the target is expected to answer, in microseconds, without the
-    /// round trip between data halls.
+    /// Returns the time in which the target is expected to answer,
+    /// in microseconds, without the round trip between data halls.
     ///
     /// This VM's requests in flight and the mean load of other VMs fill the slots and then queue.
     /// The load in the last report beyond that mean is added with the weight of reports in the
@@ -48,8 +48,8 @@
         1.0 + (ahead + 1.0 - self.slots()).max(0.0) / self.slots()
     }
 
-    /// Returns the requests of other VMs in the last report beyond their mean, weighted by the
-    /// age of the report.
+    /// Returns the requests of other VMs
+    /// in the last report beyond their mean, weighted by the age of the report.
     pub(super) fn reported_excess(&self, now: Timestamp, model: &ServiceModel) -> f64 {
         let decay_us = model.service_us() * REPORT_DECAY_REQUESTS;
         let decay_time = Duration::from_micros(decay_us as u64);
@@ -60,8 +60,8 @@
         f64::from(self.parameters.slots)
     }
 
-    /// Returns by how much the mean age of this VM's requests in flight exceeds the expected
-    /// answer time, in microseconds.
+    /// Returns by how much the mean age of this VM's requests
+    /// in flight exceeds the expected answer time, in microseconds.
     fn overdue_us(&self, now: Timestamp, expected_us: f64) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
--- a/crates/thymeshift_dispatch/src/unlisted.rs
+++ b/crates/thymeshift_dispatch/src/unlisted.rs
@@ -14,8 +14,8 @@
 use crate::target_state::Presence;
 use crate::target_state::Target;
 
-/// Time for which an unlisted target's leaving mark is retained, longer than an entry takes to come
-/// back after the source has returned.
+/// Time for which an unlisted target's leaving mark is retained, longer
+/// than an entry takes to come back after the source has returned.
 const LEAVING_TTL: Duration = Duration::from_mins(10);
 
 /// Retained state by the name of each unlisted target.
@@ -31,8 +31,8 @@
 }
 
 impl UnlistedTargets {
-    /// Retains the leaving mark and the backoff of a target that is no longer listed,
-    /// if it has any.
+    /// Retains the leaving mark and the backoff of a target
+    /// that is no longer listed, if it has any.
     pub(crate) fn remember(&mut self, target: &Target, now: Timestamp) {
         let is_leaving = target.presence == Presence::Leaving;
         let backoff_until = target.backoff.active_until(now);
@@ -45,8 +45,8 @@
         self.0.insert(target.name.clone(), retained);
     }
 
-    /// Restores the retained state of a target that is listed again, unless
-    /// its incarnation is later.
+    /// Restores the retained state of a target
+    /// that is listed again, unless its incarnation is later.
     pub(crate) fn restore(&mut self, target: &mut Target) {
         let retained = self.0.remove(&target.name);
         let Some(retained) = retained.filter(|state| state.incarnation >= target.incarnation)
