--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -58,8 +58,8 @@
         Duration::from_micros((self.gap_us * (ahead as f64 + 1.0)) as u64)
     }
 
-    /// Returns the retry-after time of a refused caller: the time in
-    /// which the `ahead` queued requests drain, with jitter.
+    /// Returns the retry-after time of a refused caller:
+    /// the drain time of `ahead` requests, with jitter.
     pub(crate) fn retry_after(&self, ahead: usize, rng: &mut impl Rng) -> Duration {
         jittered_retry_after(self.expected_wait(ahead), rng)
     }
--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -14,8 +14,7 @@
 //! by more than it adds in throughput. That level differs from the number of slots that a target
 //! states. A process without samples would overload all targets if it started with all slots, and
 //! wastes little capacity if it starts with two thirds.
-//! A low quantile is used because some answers take many times
-//! as long for reasons other than the concurrency.
+//! A low quantile is used, because some answers take many times as long for other reasons.
 
 use std::time::Duration;
 
@@ -152,8 +151,7 @@
         (fewer * step).max(1.0)
     }
 
-    /// Returns the quantile of the answer times at `level` requests
-    /// in microseconds, if there are enough samples.
+    /// Returns the quantile of the answer times in microseconds, if there are enough samples.
     fn known_us(&self, level: u32, now: Timestamp) -> Option<f64> {
         let samples_min = SAMPLES_MIN.max(SAMPLES_MIN_PER_REQUEST * level as usize);
         self.levels[level_index(level)].known_us(samples_min, now)
--- a/crates/thymeshift_dispatch/src/elapsed_time.rs
+++ b/crates/thymeshift_dispatch/src/elapsed_time.rs
@@ -2,8 +2,8 @@
 //!
 //! Keeps the timeouts that callers of a request kind commonly state.
 //! A caller that states less than the next common timeout has spent the difference on earlier
-//! attempts. Common timeouts are the longest one seen, and each one
-//! that a large share of the requests states.
+//! attempts. Common timeouts are the longest one seen,
+//! and each one that a large share of requests states.
 //!
 //! The objective of a request kind counts from a caller's first attempt, which may have been
 //! refused here or at another process, or lost with it.
--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -114,8 +114,7 @@
         *mean += PACE_WEIGHT * (pace - *mean);
     }
 
-    /// Returns the time that one request in a target's report adds
-    /// to the expected answer time, in microseconds.
+    /// Returns the time in microseconds that one reported request adds to the expected answer time.
     pub(crate) fn reported_request_us(&self, slots: f64) -> f64 {
         let queued_us = self.service_us() / slots;
         let prior_us = queued_us * PRIOR_SLOPE_SHARE * PRIOR_VARIANCE;
--- a/crates/thymeshift_dispatch/src/probe_pacing.rs
+++ b/crates/thymeshift_dispatch/src/probe_pacing.rs
@@ -7,8 +7,8 @@
 //! schedule; later probes are delayed for them, so that the rate holds over any longer time.
 //!
 //! Probing an unresponsive target again yields no information, and each attempt costs a connection.
-//! Without the doubling, a target
-//! that resets connections would be probed at every scan, beyond its measuring budget.
+//! Without the doubling, every scan would probe a target
+//! that resets connections, and exceed the target's measuring budget.
 
 use std::time::Duration;
 
@@ -42,8 +42,7 @@
         true
     }
 
-    /// Takes the right to probe now, possibly ahead
-    /// of the schedule, just before a grant of the target.
+    /// Takes the right to probe now, possibly ahead of schedule, just before a grant.
     pub fn try_begin_early(&mut self, interval: Duration, now: Timestamp) -> bool {
         if self.is_running
             || self.failures > 0
--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -2,8 +2,8 @@
 //!
 //! Keeps the limit that a target last stated, and a token bucket that fills at the limit times the
 //! share that the deciding process may grant. The shares of all processes add up to little more
-//! than 1, however they see the fleet. Tokens expire: otherwise, many processes
-//! with small shares could use saved tokens at the same time.
+//! than 1, however they see the fleet. Tokens expire, because many processes
+//! with small shares could otherwise use saved tokens at once.
 //!
 //! Every process receives the limit, while it applies to all of them together.
 //! If each process granted the whole limit,
@@ -105,8 +105,8 @@
 }
 
 impl RateLimit {
-    /// Records the limit, or its absence, in an answer
-    /// that arrived at `now` to a request sent at `sent_at`. Returns whether the limit changed.
+    /// Records the limit, or its absence, in the answer at `now` to a request sent at `sent_at`.
+    /// Returns whether the limit changed.
     pub(crate) fn observe(
         &mut self,
         rate: Option<RequestRate>,
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -42,8 +42,8 @@
     pub(crate) drained_halls: Vec<DataHallName>,
 }
 
-/// Largest number of requests in flight from this process at one target while the process is in
-/// fallback, because every other process may be in fallback too.
+/// Largest number of requests in flight from this process at one target while no allocator answers.
+/// Every other process may be in fallback at the same time.
 const FALLBACK_IN_FLIGHT_MAX: u32 = 1;
 
 /// Number of targets for each one that explores another concurrency level.
@@ -63,11 +63,10 @@
 /// probed targets report several times as often.
 const PACE_REPORT_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// Number of concurrency levels with a marginal cost
-/// of their own; the last also covers higher ones.
+/// Number of levels with a marginal cost of their own; the last also covers higher levels.
 const MARGINAL_COST_LEVELS: usize = 8;
-/// Marginal cost of one more request at a target,
-/// by the requests in flight there, in units of the time of a lone request.
+/// Marginal cost of one more request at a target, by the requests in flight there.
+/// The unit is the answer time of a lone request.
 pub(crate) type MarginalCosts = [f64; MARGINAL_COST_LEVELS];
 
 /// Targets of one service, and the estimates that they share.
--- a/crates/thymeshift_dispatch/src/target_state/capacity.rs
+++ b/crates/thymeshift_dispatch/src/target_state/capacity.rs
@@ -11,8 +11,7 @@
 use crate::target_state::Presence;
 use crate::target_state::Target;
 
-/// Interval at which a target that is full
-/// with other processes' requests gets one from this process.
+/// Interval between two trial requests to a target that is full with requests of other processes.
 const FULL_TARGET_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bound on the requests in flight at one target.
--- a/crates/thymeshift_dispatch/src/target_state/expectation.rs
+++ b/crates/thymeshift_dispatch/src/target_state/expectation.rs
@@ -48,8 +48,8 @@
         1.0 + (ahead + 1.0 - self.slots()).max(0.0) / self.slots()
     }
 
-    /// Returns the requests of other VMs
-    /// in the last report beyond their mean, weighted by the age of the report.
+    /// Returns the load of other VMs in the last report beyond its mean, weighted by the report's
+    /// age.
     pub(super) fn reported_excess(&self, now: Timestamp, model: &ServiceModel) -> f64 {
         let decay_us = model.service_us() * REPORT_DECAY_REQUESTS;
         let decay_time = Duration::from_micros(decay_us as u64);
@@ -60,8 +60,8 @@
         f64::from(self.parameters.slots)
     }
 
-    /// Returns by how much the mean age of this VM's requests
-    /// in flight exceeds the expected answer time, in microseconds.
+    /// Returns the mean age of this VM's requests in flight beyond the expected answer time,
+    /// in microseconds, or 0 if they are not overdue.
     fn overdue_us(&self, now: Timestamp, expected_us: f64) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
