--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -1,13 +1,13 @@
 //! Bootstrap of a starting process: obtains a configuration before any caller is served.
 //!
-//! The process queries the platform and some peers at the same time and adopts the largest
-//! revision, because the platform and each peer may be stale. Bootstrap ends once both the platform
-//! and the peers have answered or have had enough rounds to answer. If only one of the two is
-//! reachable, its revision is adopted: callers are better served by a stale configuration than by
-//! none, and the next exchange with a better informed peer replaces a stale one.
+//! The process queries the platform and some peers at the same time.
+//! It adopts the largest revision, because the platform and each peer may be stale.
+//! Bootstrap ends once platform and peers have answered or have had enough rounds to answer.
+//! If only the platform or only peers are reachable, bootstrap adopts the revision found there:
+//! callers are better served by a stale configuration than by none.
+//! The next exchange with a better informed peer replaces a stale configuration.
 //!
-//! If the environment's source is never stale, the first answer of the source or a peer is adopted
-//! instead.
+//! In environments whose source is never stale, bootstrap adopts the first answer it gets.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -55,8 +55,9 @@
 const PEER_ROUND_DELAY: Duration = Duration::from_millis(40);
 /// Extra time for peers to answer, before jitter of up to 100 %, if the target list is long.
 ///
-/// A list of more than one page implies a large fleet, and without this delay every process of the
-/// fleet would read every page. Peers named in the settings may start 300 ms after the others.
+/// A list of more than one page implies a large fleet.
+/// Without this delay, every process of such a fleet would read every page from the source.
+/// Peers named in the settings may start 300 ms after the other processes.
 const LONG_LIST_DELAY: Duration = Duration::from_millis(450);
 /// Time for the answers to the first probes: a probe takes 6 ms, its network round trip 3 ms.
 const FIRST_PROBES_LIMIT: Duration = Duration::from_millis(12);
@@ -64,8 +65,7 @@
 const FIRST_START_WAIT_ROUNDS: u32 = 12;
 /// Longest delay between two rounds of queries.
 ///
-/// Every starting process queries the source, so growing delays limit the calls while the source is
-/// down.
+/// Every starting process queries the source; growing delays limit the calls to a source in outage.
 const ROUND_DELAY_MAX: Duration = Duration::from_millis(1_600);
 
 /// Returns once a configuration is in force.
@@ -79,9 +79,9 @@
 
 /// Adopts the first configuration that the source or a peer returns, and may wait for a first peer.
 ///
-/// The source is never stale, and a peer's answer is compared with the source in the next call,
-/// long before this process is expected to know the current revision. Peers are queried
-/// [`SOURCE_DELAY`] earlier than the source, because calls to the source are costly.
+/// The source is never stale. A peer's answer is compared with the source in the next call,
+/// long before this process is expected to know the current revision.
+/// Peers are queried [`SOURCE_DELAY`] before the source, because calls to the source are costly.
 async fn bootstrap_from_first_answer<E: Environment>(
     shared: &Arc<Shared>,
     source: &SharedSource<E>,
