--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -39,8 +39,7 @@
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(1_250);
 /// Number of fleet members per which the exchange interval grows by another [`EXCHANGE_INTERVAL`].
 ///
-/// Processes that work together also exchange datagrams, so members of a large fleet may exchange
-/// state less often.
+/// Processes that work together also exchange datagrams, so large fleets need fewer exchanges.
 const MEMBERS_PER_EXCHANGE_INTERVAL: u32 = 144;
 /// Interval between two exchanges during [`STARTUP_PERIOD`], while a process knows few peers.
 const STARTUP_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
@@ -203,8 +202,8 @@
 
 /// Exchanges state with the peer at `address` once, and fetches the documents that are newer there.
 ///
-/// Counts the result. On a failure, also logs the error, drops the connection to the peer and
-/// records the missing answer in the member list.
+/// Counts the result. A failure is also logged and recorded in the member list, and the connection
+/// to the peer is dropped.
 pub(crate) async fn exchange_once(
     shared: &Arc<Shared>,
     address: SocketAddr,
