--- a/crates/thymeshift_entry/src/target_client/crash.rs
+++ b/crates/thymeshift_entry/src/target_client/crash.rs
@@ -1,8 +1,7 @@
 //! Detection of targets that crash while they run a request.
 //!
-//! A lost connection alone is no proof of a crash: networks reset connections, and targets close
-//! them. After a crash, the target's address refuses connections until the target has restarted,
-//! which takes seconds.
+//! A lost connection alone proves no crash: networks reset connections, and targets close them.
+//! After a crash, the address of the target refuses connections for the seconds of its restart.
 
 use std::io;
 use std::net::SocketAddr;
