--- a/crates/thymeshift_entry/src/caller/mod.rs
+++ b/crates/thymeshift_entry/src/caller/mod.rs
@@ -1,17 +1,17 @@
-//! From an accepted connection to the answer.
+//! HTTP server for callers: from an accepted connection to the response.
 
-mod ahead;
-mod answer;
 mod connection;
-mod departure;
+mod disconnect;
 mod fingerprint;
 mod forward;
 mod handler;
 mod head;
-mod hop;
+mod hop_by_hop;
 mod listener;
+mod pipelining;
+mod quarantine;
 mod read_body;
-mod suspicion;
-mod write_stall;
+mod response;
+mod write_timeout;
 
 pub(crate) use listener::run_listener;
--- a/crates/thymeshift_entry/src/lib.rs
+++ b/crates/thymeshift_entry/src/lib.rs
@@ -1,26 +1,26 @@
 //! The entry process: listeners, proxying, platform and peer links, control port.
 //!
-//! The decisions are made in `thymeshift_dispatch` and `thymeshift_fleet`; this crate
-//! gives them sockets, clocks and random numbers.
+//! `thymeshift_dispatch` and `thymeshift_fleet` contain the decision logic without I/O; this crate
+//! provides sockets, clocks and random numbers.
 //!
-//! * [`caller`]: from an accepted connection to the answer.
-//! * [`target_client`]: connections to targets, one attempt of a request, probes.
-//! * [`service`]: obtaining a target, from an allocator or from the own dispatcher.
-//! * [`allocation_client`]: datagrams to other entry processes, and the leases held here.
+//! * [`caller`]: HTTP server for callers, from an accepted connection to the response.
+//! * [`target_client`]: connections to targets, attempts of requests, and probes.
+//! * [`service`]: obtains a target, from an allocator or from the local dispatcher.
+//! * [`allocation_client`]: datagrams to other entry processes, and leases held by this process.
 //! * [`control_plane`]: platform, peers, operators, readiness and metrics.
-//! * [`environment`]: what may be put in place of the product's own dialect and source.
-//! * [`gaps`]: waits that end by the boot clock.
-//! * [`organisations`]: whose requests these are, and how many are admitted.
-//! * [`process`]: the supervisor tree, start and planned stop.
+//! * [`environment`]: interfaces for the dialect and the configuration source.
+//! * [`pauses`]: timeouts that follow the boot clock.
+//! * [`organisations`]: identifies the organisation of a request and enforces its rate limit.
+//! * [`process`]: supervisor tree, start and planned stop of the entry process.
 
 mod allocation_client;
 mod caller;
 mod control_plane;
 mod environment;
 mod fleet;
-mod gaps;
 mod native;
 mod organisations;
+mod pauses;
 mod process;
 mod reload;
 mod routing;
@@ -30,14 +30,14 @@
 
 pub use control_plane::GetError;
 pub use control_plane::http_get;
-pub use environment::Beginning;
 pub use environment::Environment;
+pub use environment::FirstPage;
 pub use environment::Source;
 pub use environment::SourceError;
-pub use gaps::Gaps;
 pub use native::NativeEnvironment;
 pub use native::NativeSource;
-pub use process::Bound;
+pub use pauses::PauseNotifier;
+pub use process::BoundAddresses;
 pub use process::Exit;
 pub use process::StartError;
 pub use process::run;
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -24,7 +24,7 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 
-use crate::control_plane::tell_below;
+use crate::control_plane::notify_relay_children;
 use crate::fleet::Fleet;
 use crate::routing::Routing;
 use crate::service::ServiceRuntime;
@@ -90,7 +90,7 @@
     /// process has no datagram socket.
     fn announce_document(&self) {
         if self.allocation.socket().is_some() {
-            tell_below(self);
+            notify_relay_children(self);
         } else {
             self.peer_exchange_due.notify_one();
         }
@@ -135,7 +135,7 @@
             apply_marks(service, fleet);
             apply_orders(service, fleet, now);
         }
-        self.quotas.keep_only(routing.keys.organisations());
+        self.quotas.retain_organisations(routing.keys.organisations());
         *self.routing.write() = Some(routing);
         self.has_configuration.send_replace(true);
     }
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer says of the target itself, rather than of the request.
+//! Statements of a target about itself in the head of an answer: rate limit, backoff, leaving.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
 use crate::service::Destination;
 use crate::target_client::Attempt;
 
-/// The statements of one answer.
-pub(super) struct Statements {
+/// Statements about the target in the head of one answer.
+pub(super) struct TargetStatements {
     rate_limit: Result<Option<RequestRate>, RateLimitError>,
     backoff: Result<Option<Duration>, RetryAfterError>,
     is_leaving: bool,
 }
 
-impl Statements {
-    /// Whether the target asks for a backoff.
+impl TargetStatements {
+    /// Returns whether the target requests a backoff.
     pub(super) fn asks_for_backoff(&self) -> bool {
         matches!(self.backoff, Ok(Some(_)))
     }
@@ -40,19 +40,20 @@
 }
 
 impl<D: Dialect> Attempt<D> {
-    /// Learns what the target says of itself. An answer of another target, or to another request,
-    /// says nothing of this one.
-    pub(super) fn learn_statements(
+    /// Records the statements of an answer in the target's state.
+    ///
+    /// Ignores answers of another target or to another request: they don't describe this target.
+    pub(super) fn apply_statements(
         &mut self,
         meaning: AnswerClass,
-        statements: Statements,
+        statements: TargetStatements,
         destination: &Destination,
     ) {
         if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
             return;
         }
-        self.learn_rate_limit(meaning, statements.rate_limit, destination);
-        self.learn_backoff(statements.backoff, destination);
+        self.apply_rate_limit(meaning, statements.rate_limit, destination);
+        self.apply_backoff(statements.backoff, destination);
         if statements.is_leaving
             && let Some(mark) = self.grant().mark_leaving()
         {
@@ -60,9 +61,11 @@
         }
     }
 
-    /// An answer that did not run the request may come from a part of the target that does not know
-    /// of a limit.
-    fn learn_rate_limit(
+    /// Records the rate limit that the answer states, or its end.
+    ///
+    /// Only answers to requests that ran can end a rate limit: other answers may come from a part
+    /// of the target that does not know the limit.
+    fn apply_rate_limit(
         &self,
         meaning: AnswerClass,
         stated: Result<Option<RequestRate>, RateLimitError>,
@@ -77,8 +80,8 @@
                 return;
             }
         };
-        let may_end_it = matches!(meaning, AnswerClass::Answered | AnswerClass::Failed);
-        if stated.is_none() && !may_end_it {
+        let may_end_limit = matches!(meaning, AnswerClass::Answered | AnswerClass::Failed);
+        if stated.is_none() && !may_end_limit {
             return;
         }
         if self.grant().record_rate_limit(stated) && self.shared().allows_request_log_line() {
@@ -90,13 +93,13 @@
         }
     }
 
-    fn learn_backoff(
+    fn apply_backoff(
         &self,
-        asked: Result<Option<Duration>, RetryAfterError>,
+        requested: Result<Option<Duration>, RetryAfterError>,
         destination: &Destination,
     ) {
         let service = destination.service.as_str().to_owned();
-        match asked {
+        match requested {
             Ok(None) => {}
             Ok(Some(backoff)) => {
                 self.grant().back_off(backoff);
