--- a/crates/thymeshift_wire/src/answer_headers.rs
+++ b/crates/thymeshift_wire/src/answer_headers.rs
@@ -7,11 +7,11 @@
 /// Intended recipient of a header of a target's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeaderAudience {
-    /// The proxy, which reads the header itself.
+    /// The header is meant for the proxy, which reads it.
     Proxy,
-    /// The caller; the header is forwarded without being read.
+    /// The header is meant for the caller and is forwarded without being read.
     Caller,
-    /// Unknown; this process does not know the header.
+    /// The header is not known to this process.
     Unknown,
 }
 
--- a/crates/thymeshift_wire/src/codec.rs
+++ b/crates/thymeshift_wire/src/codec.rs
@@ -19,7 +19,7 @@
 use tokio_serde::Serializer;
 
 /// Maximum size of a message before compression, in bytes.
-/// It leaves room for a document of one MiB and the message around it.
+/// The limit leaves room for a document of one MiB and the message around it.
 pub(crate) const MESSAGE_BYTES_MAX: usize = 2 * 1_024 * 1_024;
 /// Size above which a message is compressed, in bytes.
 const COMPRESSED_FROM_BYTES: usize = 1_024;
--- a/crates/thymeshift_wire/src/control.rs
+++ b/crates/thymeshift_wire/src/control.rs
@@ -28,9 +28,9 @@
 /// Name and value of a header of the request to explain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainHeader {
-    /// Header name.
+    /// Name of the header.
     pub name: String,
-    /// Header value.
+    /// Value of the header.
     pub value: String,
 }
 
@@ -45,7 +45,7 @@
     pub service: Option<ServiceName>,
     /// Targets of the service, the most likely first.
     pub targets: Vec<TargetDump>,
-    /// Result in words, for the operator.
+    /// Result of the explanation in words, for the operator.
     pub verdict: String,
 }
 
@@ -72,7 +72,7 @@
         /// VMs that confirmed that they hold the order.
         confirmed: Vec<VmName>,
         /// VMs believed to be alive that did not confirm the order.
-        /// They receive it once they are reachable.
+        /// These VMs receive the order once they are reachable.
         unconfirmed: Vec<VmName>,
     },
     /// The subject of the order does not exist in the configuration in force.
--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -27,7 +27,7 @@
 use thymeshift_types::VmName;
 
 /// Maximum size of a datagram, in bytes.
-/// It fits into one Ethernet frame (MTU 1500) without IP fragmentation.
+/// A datagram of this size fits into one packet of common links without fragmentation.
 pub const DATAGRAM_BYTES_MAX: usize = 1_400;
 
 /// Error of encoding a message or decoding a received datagram.
@@ -66,17 +66,17 @@
     Granted(LeaseNumber, LeaseGrant),
     /// Refuses a lease, with the reason and the time after which to retry.
     Refused(LeaseNumber, Reason, Duration),
-    /// Reports that the sender does not allocate the group
-    /// because it is stopping or does not know the service.
+    /// Reports that the sender does not allocate the group,
+    /// as it is stopping or does not know the service.
     Declined(LeaseNumber),
-    /// Redirects the request to the allocator of another group
-    /// with spare capacity, because the requested group has none.
+    /// Reports that the requested group has no spare capacity,
+    /// and names another group that has spare capacity, together with its allocator.
     Redirected(LeaseNumber, Group, AllocatorAddress),
     /// Names a member that ranks before the sender as the allocator of the group.
     AskInstead(LeaseNumber, Member),
-    /// Returns a lease.
+    /// Returns the lease of a target, or cancels the request for a lease.
     Release(Release),
-    /// Reports the spare capacity of a group.
+    /// Reports the spare capacity of a group of targets.
     Room(GroupHeadroomReport),
     /// Announces the revisions of documents that the sender has adopted.
     News(Heads),
@@ -90,7 +90,7 @@
     /// Returns the tokens that the counter of an organisation grants.
     QuotaCounted(QuotaRequestNumber, QuotaGrant),
     /// Reports that the sender is not the organisation's counter,
-    /// because another process ranks before it or because it is stopping.
+    /// because the sender is stopping or another process ranks before it.
     QuotaElsewhere(QuotaRequestNumber),
 }
 
@@ -211,8 +211,8 @@
     pub deadline: Duration,
     /// Maximum time to wait for a target.
     pub wait: Duration,
-    /// Time left until the latency objective
-    /// of the request is missed; zero if it is missed already.
+    /// Time left until the request misses its latency objective;
+    /// zero if the objective is missed already.
     pub objective: Duration,
     /// Maximum number of queued requests of the same priority.
     pub queue_max: u32,
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -86,8 +86,8 @@
     /// Reads the load report of an answer; `None` if it is missing or malformed.
     fn report(map: &HeaderMap) -> Option<LoadReport>;
 
-    /// Reads the rate limit that a target states for all entry
-    /// processes together; `None` if the answer states no limit.
+    /// Reads the rate limit that a target states for all entry processes together,
+    /// in requests per second; `None` if the answer states no limit.
     fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitError>;
 
     /// Reads the load report of a probe's answer, which does not count the probe itself.
--- a/crates/thymeshift_wire/src/rate_header.rs
+++ b/crates/thymeshift_wire/src/rate_header.rs
@@ -11,11 +11,11 @@
 const VALUE_BYTES_MAX: usize = 32;
 
 /// Error of a rate limit that is not a number or is negative.
-/// It neither sets nor clears the limit of the target.
+/// Such a header neither sets nor clears the limit of the target.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("header {name}: expected requests a second as one decimal number from 0 on")]
 pub struct RateLimitError {
-    /// Name of the header.
+    /// Name of the header whose value is invalid.
     pub name: HeaderName,
 }
 
