--- a/crates/thymeshift_telemetry/src/non_blocking_sink.rs
+++ b/crates/thymeshift_telemetry/src/non_blocking_sink.rs
@@ -1,7 +1,7 @@
 //! Log sink for standard output that never blocks on the reader of the output.
 //!
 //! Before a line is written, the sink polls whether standard output is writable.
-//! If it is not, the line is dropped and counted.
+//! A line is dropped and counted if standard output is not writable.
 //!
 //! A program that reads the log through a pipe may stop reading. A line is shorter
 //! than the free space of a pipe that polls as writable, so that writing the line does not block.
