--- a/crates/thymeshift_allocation/tests/groups.rs
+++ b/crates/thymeshift_allocation/tests/groups.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use thymeshift_allocation::Group;
+use thymeshift_allocation::GroupHeadroom;
 use thymeshift_allocation::Grouping;
-use thymeshift_allocation::Rooms;
 use thymeshift_config::Target;
 use thymeshift_config::TargetState;
 use thymeshift_types::DataHallName;
@@ -65,7 +65,7 @@
         assert_eq!(grouping.iter().count(), groups, "{note}");
         assert_eq!(grouping.is_divided(), groups > 1, "{note}");
         for target in targets.iter().filter(|target| target.state == TargetState::Serving) {
-            let holding = grouping.iter().filter(|group| group.has(target)).count();
+            let holding = grouping.iter().filter(|group| group.contains(target)).count();
             assert_eq!(holding, 1, "{note}: {} is in one group", target.name);
         }
     }
@@ -75,10 +75,10 @@
 fn a_request_goes_to_its_own_hall_or_is_spread_by_size() {
     let grouping = Grouping::of(&targets(&[10, 30], 0), |_| false);
     for draw in 0..40 {
-        assert_eq!(*grouping.first_for(&hall("b"), draw), group("b"));
+        assert_eq!(*grouping.preferred_group(&hall("b"), draw), group("b"));
     }
     let from_elsewhere = (0..4_000).filter(|draw| {
-        let first = grouping.first_for(&hall("z"), *draw);
+        let first = grouping.preferred_group(&hall("z"), *draw);
         *first == group("a")
     });
     assert_eq!(from_elsewhere.count(), 1_000, "a quarter of the targets is in a");
@@ -88,19 +88,19 @@
 fn no_more_requests_are_sent_on_than_there_is_room_for() {
     let now = Timestamp::from_millis(5_000);
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut rooms = Rooms::default();
-    rooms.learn(group("a"), 50, now);
-    rooms.learn(group("b"), 12, now);
-    rooms.learn(group("c"), 4, now);
-    rooms.learn(group("d"), 0, now);
+    let mut rooms = GroupHeadroom::default();
+    rooms.record(group("a"), 50, now);
+    rooms.record(group("b"), 12, now);
+    rooms.record(group("c"), 4, now);
+    rooms.record(group("d"), 0, now);
     let mut taken: BTreeMap<Group, u32> = BTreeMap::new();
-    while let Some(group) = rooms.take(&group("a"), now, &mut rng) {
+    while let Some(group) = rooms.reserve(&group("a"), now, &mut rng) {
         *taken.entry(group).or_default() += 1;
     }
     assert_eq!(taken, BTreeMap::from([(group("b"), 12), (group("c"), 4)]), "not its own");
-    rooms.learn(group("b"), 1, now);
+    rooms.record(group("b"), 1, now);
     let late = now + Duration::from_secs(3);
-    assert_eq!(rooms.take(&group("a"), late, &mut rng), None, "what was told has aged");
+    assert_eq!(rooms.reserve(&group("a"), late, &mut rng), None, "what was told has aged");
 }
 
 #[test]
@@ -122,7 +122,7 @@
         let found: Vec<String> = grouping.iter().map(ToString::to_string).collect();
         assert_eq!(found, groups, "{note}");
         for draw in 0..100 {
-            let first = grouping.first_for(&hall("b"), draw);
+            let first = grouping.preferred_group(&hall("b"), draw);
             assert!(groups.contains(&first.to_string().as_str()), "{note}: {first}");
         }
     }
@@ -133,10 +133,10 @@
     let grouping = Grouping::of(&targets(&[10, 10, 30], 0), |_| false);
     let mut drawn: BTreeMap<Group, u32> = BTreeMap::new();
     for draw in 0..4_000 {
-        let other = grouping.other_than(&group("a"), draw).expect("there are two others");
+        let other = grouping.alternative_group(&group("a"), draw).expect("there are two others");
         *drawn.entry(other.clone()).or_default() += 1;
     }
     assert_eq!(drawn, BTreeMap::from([(group("b"), 1_000), (group("c"), 3_000)]));
     let single = Grouping::of(&targets(&[9], 0), |_| false);
-    assert_eq!(single.other_than(&Group::All, 1), None);
+    assert_eq!(single.alternative_group(&Group::All, 1), None);
 }
--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -79,7 +79,7 @@
 
 /// Numbers of requests of which it is not known what they are worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Explored {
+pub(crate) struct ExplorationLevels {
     /// One more than the best number.
     pub(crate) more: Option<u32>,
     /// One fewer.
@@ -96,7 +96,7 @@
 
 impl Concurrency {
     /// Learns from an answer; `number` requests were at the target, itself included.
-    pub(crate) fn learn(&mut self, number: u32, taken_us: f64, now: Timestamp) {
+    pub(crate) fn record(&mut self, number: u32, taken_us: f64, now: Timestamp) {
         self.levels[place_of(number)].learn(taken_us, now);
     }
 
@@ -115,10 +115,10 @@
     }
 
     /// Which number the exploring targets may have instead of the best one.
-    pub(crate) fn explored(&self, slots: u32, now: Timestamp) -> Explored {
+    pub(crate) fn exploration_levels(&self, slots: u32, now: Timestamp) -> ExplorationLevels {
         let best = self.best(slots, now);
         let is_known = |number: u32| self.known_us(number, now).is_some();
-        Explored {
+        ExplorationLevels {
             more: (best < slots && !is_known(best + 1)).then_some(best + 1),
             fewer: (best > 1 && is_known(best) && !is_known(best - 1)).then_some(best - 1),
         }
@@ -126,7 +126,7 @@
 
     /// By how much a further request at a target that has `in_flight` lengthens the times of
     /// all requests there, its own included, over the time of one alone.
-    pub(crate) fn marginal(&self, in_flight: u32, slots: u32, now: Timestamp) -> f64 {
+    pub(crate) fn marginal_cost(&self, in_flight: u32, slots: u32, now: Timestamp) -> f64 {
         let number = in_flight + 1;
         let total = |number: u32| f64::from(number) * self.slower(number, slots, now);
         let before = if in_flight == 0 { 0.0 } else { total(in_flight) };
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -1,12 +1,12 @@
 //! All decisions of one service at one VM.
 //!
-//! * [`configuring`]: taking in a configuration.
-//! * [`learning`]: what attempts and probes teach.
+//! * [`reconfiguration`]: taking in a configuration.
+//! * [`observations`]: what attempts and probes teach.
 //! * [`probing`]: which targets are worth a probe.
 
-mod configuring;
-mod learning;
+mod observations;
 mod probing;
+mod reconfiguration;
 
 use std::time::Duration;
 
@@ -38,11 +38,11 @@
 use crate::View;
 use crate::Wake;
 use crate::admission::Admission;
-use crate::admission::spread_retry_after;
-use crate::admission::spread_return;
+use crate::admission::jittered_retry_after;
+use crate::admission::jittered_return_delay;
 use crate::queue::Queue;
 use crate::request::EXCLUDED_MAX;
-use crate::table::Table;
+use crate::table::TargetTable;
 
 /// A gap in the process's own time above this is a pause. The entry process calls
 /// [`Dispatcher::tick`] ten times as often.
@@ -53,7 +53,7 @@
 pub struct Dispatcher<S> {
     service: ServiceName,
     strategy: S,
-    table: Table,
+    table: TargetTable,
     queue: Queue,
     admission: Admission,
     retry: RetryBudget,
@@ -61,15 +61,15 @@
     pause: PauseDetector,
     view: View,
     /// Whether others have room for what finds no target here.
-    is_backed: bool,
+    can_overflow: bool,
 }
 
 impl Dispatcher<AnyStrategy> {
     /// What this dispatcher believes.
     pub fn dump(&self, now: Timestamp) -> ServiceDump {
-        let queues = self.queue.lengths();
+        let queues = self.queue.waiting_by_priority();
         let queues = queues.map(|(priority, waiting)| QueueDump { priority, waiting }).collect();
-        let ahead = self.queue.ahead_of(u8::MAX, false, now);
+        let ahead = self.queue.count_ahead(u8::MAX, false, now);
         ServiceDump {
             name: self.service.clone(),
             strategy: self.strategy.name(),
@@ -88,21 +88,21 @@
         Self {
             service,
             strategy,
-            table: Table::default(),
+            table: TargetTable::default(),
             queue: Queue::new(),
             admission: Admission::new(),
             retry: RetryBudget::new(0),
             ejection: Ejection::default(),
             pause: PauseDetector::new(now, PAUSE_GAP_MAX),
             view: View::Own,
-            is_backed: false,
+            can_overflow: false,
         }
     }
 
     /// Says whether requests that find no target here may go elsewhere: then any number of
     /// targets may be set aside.
-    pub fn set_backed(&mut self, is_backed: bool) {
-        self.is_backed = is_backed;
+    pub fn set_can_overflow(&mut self, is_backed: bool) {
+        self.can_overflow = is_backed;
     }
 
     /// Says whose requests the counts hold from now on.
@@ -117,7 +117,7 @@
 
     /// The right to send to the target called `name`, which another process chose knowing
     /// `limit` of it. None if it is not known here, or may not receive new work.
-    pub fn grant_at(
+    pub fn grant_target(
         &mut self,
         name: &TargetName,
         limit: Option<RateLimitUpdate>,
@@ -128,7 +128,7 @@
         if let Some(limit) = &limit {
             target.rate_limit.merge(limit, now);
         }
-        if !target.may_be_sent_to(now) {
+        if !target.may_receive(now) {
             return None;
         }
         let is_counted = limit.is_some_and(|limit| limit.is_limited());
@@ -174,7 +174,7 @@
     pub fn tick(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = self.pause.observe(now)?;
         for target in self.table.iter_mut() {
-            target.distrust();
+            target.discard_reports();
         }
         Some(gap)
     }
@@ -191,14 +191,14 @@
         if !self.is_served(&request) {
             return Decision::Refuse(self.refusal(Reason::NoTarget, &request, now, rng));
         }
-        if let Some(refusal) = self.beyond_backoffs(&request, now, rng) {
+        if let Some(refusal) = self.backoff_refusal(&request, now, rng) {
             return Decision::Refuse(refusal);
         }
-        if self.queue.len_of(request.priority) >= request.queue_max as usize {
+        if self.queue.waiting_at(request.priority) >= request.queue_max as usize {
             return Decision::Refuse(self.refusal(Reason::QueueFull, &request, now, rng));
         }
         let ahead = self.ahead_of(&request, now);
-        if let Some(refusal) = self.beyond_limits(&request, ahead, now, rng) {
+        if let Some(refusal) = self.rate_limit_refusal(&request, ahead, now, rng) {
             return Decision::Refuse(refusal);
         }
         let wait = self.admission.expected_wait(ahead);
@@ -214,8 +214,8 @@
     }
 
     /// Counts a request that this process received, for the retry budget.
-    pub fn received(&mut self) {
-        self.retry.requested();
+    pub fn record_request(&mut self) {
+        self.retry.record_request();
     }
 
     /// Whether the budget allows a retry.
@@ -224,7 +224,7 @@
     }
 
     /// Spends one retry of the budget.
-    pub fn try_retry(&mut self) -> bool {
+    pub fn try_spend_retry(&mut self) -> bool {
         self.retry.try_spend()
     }
 
@@ -232,7 +232,7 @@
     /// target may have begun to leave, or the process may have slept, since the choice.
     pub fn may_send(&self, grant: &Grant, deadline: Timestamp, now: Timestamp) -> bool {
         let target = self.table.get(grant.target);
-        let is_meant = target.may_be_sent_to(now) && target.incarnation == grant.incarnation;
+        let is_meant = target.may_receive(now) && target.incarnation == grant.incarnation;
         is_meant && self.is_within_limit(grant) && now < deadline
     }
 
@@ -250,7 +250,7 @@
     #[expect(clippy::needless_pass_by_value, reason = "a grant is given back once")]
     pub fn release(&mut self, grant: Grant, now: Timestamp) {
         self.table.get_mut(grant.target).release(&grant);
-        self.admission.released(now, !self.queue.is_empty());
+        self.admission.record_release(now, !self.queue.is_empty());
     }
 
     /// The next waiting request that may go or whose time is over. Ask until there is
@@ -262,11 +262,11 @@
         }
         let waiter = self.queue.peek(now, self.answered_at(now))?;
         if let Some(grant) = self.choose(&waiter.request, now, rng) {
-            self.queue.take(waiter.ticket);
+            self.queue.dequeue(waiter.ticket);
             return Some(Wake::Send(waiter.ticket, grant));
         }
         let refusal = if self.is_served(&waiter.request) {
-            self.beyond_backoffs(&waiter.request, now, rng)?
+            self.backoff_refusal(&waiter.request, now, rng)?
         } else {
             self.refusal(Reason::NoTarget, &waiter.request, now, rng)
         };
@@ -323,7 +323,7 @@
     fn is_served(&self, request: &Request) -> bool {
         let mut places = self.table.targets().iter().enumerate();
         places.any(|(place, target)| {
-            target.is_serving() && !request.excluded.has(TargetIndex::new(place))
+            target.is_serving() && !request.excluded.contains(TargetIndex::new(place))
         })
     }
 
@@ -334,7 +334,7 @@
 
     /// Refuses a request that cannot be sent before its wait ends, because all targets have asked this
     /// process for a backoff.
-    pub fn beyond_backoffs<R: Rng>(
+    pub fn backoff_refusal<R: Rng>(
         &self,
         request: &Request,
         now: Timestamp,
@@ -342,13 +342,17 @@
     ) -> Option<Refusal> {
         let until = self.table.all_backing_off_until(now)?;
         let is_in_time = until <= request.wait_until;
-        let retry_after = spread_return(now.until(until), rng);
+        let retry_after = jittered_return_delay(now.until(until), rng);
         (!is_in_time).then_some(Refusal { reason: Reason::BackingOff, retry_after })
     }
 
     /// Names of targets of a data hall, or of all, that have asked this process for a backoff: as
     /// many as a request can exclude.
-    pub fn backing_off(&mut self, hall: Option<&DataHallName>, now: Timestamp) -> Vec<TargetName> {
+    pub fn backing_off_targets(
+        &mut self,
+        hall: Option<&DataHallName>,
+        now: Timestamp,
+    ) -> Vec<TargetName> {
         let hall = hall.map(|hall| self.table.hall_index(hall));
         let targets = self.table.targets().iter();
         let meant = targets.filter(|target| {
@@ -365,7 +369,7 @@
 
     /// Refuses a request that cannot be sent before its wait ends, because all targets are in need
     /// and take only so many requests a second.
-    fn beyond_limits<R: Rng>(
+    fn rate_limit_refusal<R: Rng>(
         &self,
         request: &Request,
         ahead: usize,
@@ -381,14 +385,14 @@
             return None;
         }
         let wait = wait.unwrap_or(Duration::ZERO);
-        Some(Refusal { reason: Reason::RateLimited, retry_after: spread_retry_after(wait, rng) })
+        Some(Refusal { reason: Reason::RateLimited, retry_after: jittered_retry_after(wait, rng) })
     }
 
     /// Waiting requests that go before this one.
     fn ahead_of(&self, request: &Request, now: Timestamp) -> usize {
         let answered_at = self.answered_at(now);
         let is_in_time = answered_at <= request.objective;
-        self.queue.ahead_of(request.priority, is_in_time, answered_at)
+        self.queue.count_ahead(request.priority, is_in_time, answered_at)
     }
 
     /// When the answer to a request that is sent now usually comes.
@@ -397,8 +401,8 @@
     }
 
     /// Further requests that targets would serve at nearly their usual pace.
-    pub fn room(&self, now: Timestamp) -> u32 {
-        self.table.room(self.view, now)
+    pub fn spare_capacity(&self, now: Timestamp) -> u32 {
+        self.table.spare_capacity(self.view, now)
     }
 
     /// Requests in flight to one target, for tests and dumps.
--- a/crates/thymeshift_dispatch/src/ejection.rs
+++ b/crates/thymeshift_dispatch/src/ejection.rs
@@ -52,7 +52,7 @@
         self.failure_rate * half_life / (half_life + age)
     }
 
-    pub(crate) fn succeeded(&mut self, now: Timestamp) {
+    pub(crate) fn record_success(&mut self, now: Timestamp) {
         self.failures_in_row = 0;
         self.ejections_in_row = 0;
         self.until = None;
@@ -61,7 +61,12 @@
 
     /// Counts a failure; ejects if the row is long enough and `has_room` below the panic
     /// bound. Returns whether the target was ejected now.
-    pub(crate) fn failed(&mut self, settings: &Settings, has_room: bool, now: Timestamp) -> bool {
+    pub(crate) fn record_failure(
+        &mut self,
+        settings: &Settings,
+        has_room: bool,
+        now: Timestamp,
+    ) -> bool {
         self.failures_in_row += 1;
         self.move_rate(1.0, now);
         let is_due = self.failures_in_row >= settings.failures;
@@ -69,7 +74,7 @@
     }
 
     /// No connection could be opened: as [`Self::failed`], but at once.
-    pub(crate) fn unreachable(
+    pub(crate) fn record_unreachable(
         &mut self,
         settings: &Settings,
         has_room: bool,
--- a/crates/thymeshift_dispatch/src/model.rs
+++ b/crates/thymeshift_dispatch/src/model.rs
@@ -88,12 +88,12 @@
     }
 
     /// Mean requests of other VMs at a target.
-    pub(crate) fn others(&self) -> f64 {
+    pub(crate) fn external_load(&self) -> f64 {
         self.others.unwrap_or(0.0)
     }
 
     /// Mean pace that targets report.
-    pub(crate) fn pace(&self) -> f64 {
+    pub(crate) fn mean_pace(&self) -> f64 {
         self.pace.unwrap_or(1.0)
     }
 
@@ -103,24 +103,24 @@
     }
 
     /// Takes in the current paces of the targets.
-    pub(crate) fn learn_usual_pace(&mut self, paces: Vec<f64>, now: Timestamp) {
+    pub(crate) fn record_usual_pace(&mut self, paces: Vec<f64>, now: Timestamp) {
         self.usual_pace.learn(paces, now);
     }
 
-    pub(crate) fn learn_pace(&mut self, pace: f64) {
+    pub(crate) fn record_pace(&mut self, pace: f64) {
         let mean = self.pace.get_or_insert(pace);
         *mean += PACE_WEIGHT * (pace - *mean);
     }
 
     /// Time that one request told of by a report adds, in microseconds.
-    pub(crate) fn report_us(&self, slots: f64) -> f64 {
+    pub(crate) fn reported_request_us(&self, slots: f64) -> f64 {
         let queued_us = self.service_us() / slots;
         let prior_us = queued_us * PRIOR_SHARE * PRIOR_VARIANCE;
         let slope_us = (self.covariance_us + prior_us) / (self.load_variance + PRIOR_VARIANCE);
         slope_us.clamp(0.0, queued_us)
     }
 
-    pub(crate) fn learn_others(&mut self, others: f64) {
+    pub(crate) fn record_external_load(&mut self, others: f64) {
         let mean = self.others.get_or_insert(others);
         *mean += OTHERS_WEIGHT * (others - *mean);
     }
@@ -128,7 +128,7 @@
     /// Learns from an answer that took `taken_us` without the way. It was expected to take
     /// `load` times as long as at an idle target, and a report told of `told` requests
     /// more than the mean.
-    pub(crate) fn learn_answer(&mut self, taken_us: f64, load: f64, told: f64) {
+    pub(crate) fn record_answer(&mut self, taken_us: f64, load: f64, told: f64) {
         let beyond_us = taken_us - self.service_us() * load;
         self.load_variance += SLOPE_WEIGHT * (told * told - self.load_variance);
         self.covariance_us += SLOPE_WEIGHT * (told * beyond_us - self.covariance_us);
--- a/crates/thymeshift_dispatch/src/probe_budget.rs
+++ b/crates/thymeshift_dispatch/src/probe_budget.rs
@@ -27,12 +27,12 @@
 
 impl ProbeBudget {
     /// A target was asked for.
-    pub fn requested(&mut self) {
+    pub fn record_request(&mut self) {
         self.left = (self.left + PROBES_PER_REQUEST).min(SAVED_MAX);
     }
 
     /// Probes that may begin now.
-    pub fn left(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.left as usize
     }
 
--- a/crates/thymeshift_dispatch/src/rate_limit.rs
+++ b/crates/thymeshift_dispatch/src/rate_limit.rs
@@ -70,12 +70,12 @@
     }
 
     /// An equal part among so many.
-    pub fn one_of(count: u64) -> Self {
+    pub fn equal(count: u64) -> Self {
         Self(1.0 / count.max(1) as f64)
     }
 
     /// The part, from 0 to 1.
-    pub fn part(self) -> f64 {
+    pub fn fraction(self) -> f64 {
         self.0
     }
 }
@@ -160,14 +160,14 @@
             per_s: per_s(known.rate?),
             limited_for_ms: now.since(known.since).as_millis() as u64,
             age_ms: now.since(known.as_of).as_millis() as u64,
-            share: share.part(),
+            share: share.fraction(),
             granted: self.granted,
         })
     }
 
     /// Requests a second that may be granted here; none if the target is not in need.
     pub(crate) fn granted_per_s(&self, share: RateShare) -> Option<f64> {
-        Some(per_s(self.rate()?).max(RATE_MIN_PER_S) * share.part())
+        Some(per_s(self.rate()?).max(RATE_MIN_PER_S) * share.fraction())
     }
 
     /// Whether a request may be granted now.
@@ -198,7 +198,7 @@
     }
 
     /// A request was granted.
-    pub(crate) fn granted(&mut self, share: RateShare, now: Timestamp) {
+    pub(crate) fn record_grant(&mut self, share: RateShare, now: Timestamp) {
         self.granted += 1;
         let between = self.granted_per_s(share).and_then(between).unwrap_or_default();
         self.last_taken_at = (self.last_taken_at + between).max(now.minus(BURST_WINDOW)).min(now);
--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -13,7 +13,7 @@
 use crate::halls::Halls;
 use crate::model::ServiceModel;
 use crate::table::MarginalCosts;
-use crate::table::Table;
+use crate::table::TargetTable;
 use crate::target_state::Bound;
 use crate::target_state::Target;
 
@@ -55,12 +55,12 @@
     bound: Bound,
     share: RateShare,
     costs: MarginalCosts,
-    is_exact: bool,
+    counts_whole_fleet: bool,
 }
 
 impl<'a> Candidates<'a> {
     pub(crate) fn new(
-        table: &'a Table,
+        table: &'a TargetTable,
         view: View,
         now: Timestamp,
         tried: &'a Tried,
@@ -78,14 +78,14 @@
             bound: table.bound(view, now),
             share: table.rate_share(view),
             costs: table.marginal_costs(view, now),
-            is_exact: view == View::Fleet,
+            counts_whole_fleet: view == View::Fleet,
         }
     }
 
     /// Whether the counts hold the requests of all processes, so that the best target may
     /// be taken without all others taking it too.
-    pub fn is_exact(&self) -> bool {
-        self.is_exact
+    pub fn counts_whole_fleet(&self) -> bool {
+        self.counts_whole_fleet
     }
 
     /// Time in which an answer of a candidate is expected, in microseconds, the cost of the
@@ -106,7 +106,7 @@
         let Self { targets, model, now, tried, excluded, bound, share, .. } = *self;
         targets.iter().enumerate().filter_map(move |(index, target)| {
             let index = TargetIndex::new(index);
-            let is_allowed = !tried.has(index) && !excluded.has(index);
+            let is_allowed = !tried.contains(index) && !excluded.contains(index);
             let is_open = is_allowed && target.is_open(now, bound, share, model);
             is_open.then_some(Candidate { index, target })
         })
@@ -144,17 +144,17 @@
 
 impl<'a, const N: usize> Sample<'a, N> {
     /// The drawn candidate with the smallest cost; equal ones are decided at random.
-    pub(crate) fn least<R: Rng>(
+    pub(crate) fn min_by_cost<R: Rng>(
         &self,
         cost: impl Fn(&Candidate<'a>) -> f64,
         rng: &mut R,
     ) -> Option<TargetIndex> {
-        least(self.drawn.iter().flatten().copied(), cost, rng)
+        min_by_cost(self.drawn.iter().flatten().copied(), cost, rng)
     }
 }
 
 /// The candidate with the smallest cost; equal ones are decided at random.
-pub(crate) fn least<'a, R: Rng>(
+pub(crate) fn min_by_cost<'a, R: Rng>(
     candidates: impl Iterator<Item = Candidate<'a>>,
     cost: impl Fn(&Candidate<'a>) -> f64,
     rng: &mut R,
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -1,7 +1,7 @@
 //! One target as this VM sees it: what is configured, what runs there, what was learnt.
 
+mod capacity;
 mod expectation;
-mod room;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,30 +16,30 @@
 use crate::RateShare;
 use crate::TargetDump;
 use crate::Usability;
+use crate::adaptive_limit::AdaptiveLimit;
+use crate::adaptive_limit::Pressure;
 use crate::backoff::Backoff;
 use crate::backoff::RefusalStreak;
-use crate::cold_start::ColdPaces;
+use crate::cold_start::ColdIntervals;
 use crate::cold_start::ColdStart;
 use crate::ejection::Ejection;
 use crate::grant::Grant;
 use crate::grant::TargetIndex;
 use crate::latency::Latency;
-use crate::limit::Limit;
-use crate::limit::Pressure;
 use crate::model::ServiceModel;
 use crate::rate_limit::RateLimit;
-use crate::report::OthersLoad;
+use crate::report::ExternalLoad;
 use crate::slowness::Slowness;
-pub(crate) use crate::target_state::room::Bound;
-pub(crate) use crate::target_state::room::Explores;
+pub(crate) use crate::target_state::capacity::Bound;
+pub(crate) use crate::target_state::capacity::Exploration;
 
 /// Figures of a target's service that its own state depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Shape {
+pub(crate) struct TargetParameters {
     pub(crate) slots: u32,
     pub(crate) connection_share: u32,
     /// None if a cold target gets as many requests as a warm one.
-    pub(crate) cold_paces: Option<ColdPaces>,
+    pub(crate) cold_intervals: Option<ColdIntervals>,
     /// How long a target is taken to be cold that does not tell.
     pub(crate) cold_ramp: Duration,
 }
@@ -68,14 +68,14 @@
     /// For how long it was last listed to be cold, in milliseconds.
     listed_cold_for_ms: Option<u64>,
     pub(crate) hall: HallIndex,
-    pub(crate) explores: Explores,
-    pub(crate) shape: Shape,
+    pub(crate) exploration: Exploration,
+    pub(crate) parameters: TargetParameters,
     in_flight: u32,
     sent_at_sum_us: u64,
     granted_at: Timestamp,
     latency: Latency,
-    others: OthersLoad,
-    limit: Limit,
+    external_load: ExternalLoad,
+    limit: AdaptiveLimit,
     ejection: Ejection,
     cold_start: ColdStart,
     slowness: Slowness,
@@ -90,7 +90,7 @@
         name: TargetName,
         address: SocketAddr,
         incarnation: Incarnation,
-        shape: Shape,
+        shape: TargetParameters,
         cold_start: ColdStart,
     ) -> Self {
         Self {
@@ -103,14 +103,14 @@
             is_hall_drained: false,
             listed_cold_for_ms: None,
             hall: HallIndex::default(),
-            explores: Explores::Nothing,
-            shape,
+            exploration: Exploration::Disabled,
+            parameters: shape,
             in_flight: 0,
             sent_at_sum_us: 0,
             granted_at: Timestamp::default(),
             latency: Latency::default(),
-            others: OthersLoad::default(),
-            limit: Limit::new(shape.slots, shape.connection_share),
+            external_load: ExternalLoad::default(),
+            limit: AdaptiveLimit::new(shape.slots, shape.connection_share),
             ejection: Ejection::default(),
             cold_start,
             slowness: Slowness::default(),
@@ -128,14 +128,14 @@
         self.refusals = RefusalStreak::default();
     }
 
-    pub(crate) fn set_shape(&mut self, shape: Shape) {
-        self.shape = shape;
+    pub(crate) fn set_parameters(&mut self, shape: TargetParameters) {
+        self.parameters = shape;
         self.limit.set_ceiling(shape.connection_share);
     }
 
     /// The pace that it told within `age_max`.
     pub(crate) fn reported_pace(&self, age_max: Duration, now: Timestamp) -> Option<f64> {
-        self.others.reported_pace(age_max, now)
+        self.external_load.reported_pace(age_max, now)
     }
 
     /// Whether it may be open again without a change of configuration.
@@ -151,20 +151,24 @@
     /// meanwhile: its targets count as cold until they tell otherwise.
     pub(crate) fn set_hall_drained(&mut self, is_drained: bool, now: Timestamp) {
         if self.is_hall_drained && !is_drained {
-            let ramp = self.shape.cold_ramp;
-            self.cold_start.told(ramp, ramp, now);
+            let ramp = self.parameters.cold_ramp;
+            self.cold_start.set_remaining(ramp, ramp, now);
         }
         self.is_hall_drained = is_drained;
     }
 
     /// It is listed to be cold for so long; the same listing again is no news.
-    pub(crate) fn listed_cold_for(&mut self, cold_for_ms: Option<u64>, now: Timestamp) {
+    pub(crate) fn set_listed_cold_for(&mut self, cold_for_ms: Option<u64>, now: Timestamp) {
         if self.listed_cold_for_ms == cold_for_ms {
             return;
         }
         self.listed_cold_for_ms = cold_for_ms;
         if let Some(cold_for_ms) = cold_for_ms.filter(|cold_for_ms| *cold_for_ms > 0) {
-            self.cold_start.told(Duration::from_millis(cold_for_ms), self.shape.cold_ramp, now);
+            self.cold_start.set_remaining(
+                Duration::from_millis(cold_for_ms),
+                self.parameters.cold_ramp,
+                now,
+            );
         }
     }
 
@@ -180,7 +184,7 @@
     }
 
     /// Whether a request that was granted may be sent.
-    pub(crate) fn may_be_sent_to(&self, now: Timestamp) -> bool {
+    pub(crate) fn may_receive(&self, now: Timestamp) -> bool {
         self.is_serving() && !self.backoff.is_active(now)
     }
 
@@ -209,9 +213,9 @@
             incarnation: self.incarnation,
             sent_at: now,
             load: self.load(model),
-            told: self.told(now, model),
+            reported_excess: self.reported_excess(now, model),
             expected: Duration::from_micros(expected_us as u64),
-            way_us,
+            hall_round_trip_us: way_us,
             in_flight: self.in_flight + 1,
             is_usual_pace: self.is_usual_pace(now, model) && !self.cold_start.is_cold(now),
             is_counted: self.is_rate_limited(),
@@ -228,83 +232,88 @@
     }
 
     /// Returns the load of other VMs that the report tells of.
-    pub(crate) fn learn_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
-        self.others.learn(report, self.in_flight.saturating_sub(1), now)
+    pub(crate) fn record_report(&mut self, report: LoadReport, now: Timestamp) -> f64 {
+        self.external_load.record(report, self.in_flight.saturating_sub(1), now)
     }
 
     /// Whether the last report is older than `age`, or there is none.
     pub(crate) fn is_stale(&self, age: Duration, now: Timestamp) -> bool {
-        self.others.age(now).is_none_or(|heard| heard >= age)
+        self.external_load.age(now).is_none_or(|heard| heard >= age)
     }
 
     /// A probe's report: the probe itself is not among this VM's requests in flight.
-    pub(crate) fn learn_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
+    pub(crate) fn record_probe(&mut self, report: LoadReport, now: Timestamp) -> f64 {
         if let Some(cold_for_ms) = report.cold_for_ms {
             let left = Duration::from_millis(u64::from(cold_for_ms));
-            self.cold_start.told(left, self.shape.cold_ramp, now);
+            self.cold_start.set_remaining(left, self.parameters.cold_ramp, now);
         }
-        self.others.learn(report, self.in_flight, now)
+        self.external_load.record(report, self.in_flight, now)
     }
 
     /// Learns from the time an answer took; returns that time without the way, in
     /// microseconds.
-    pub(crate) fn learn_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
+    pub(crate) fn record_latency(&mut self, grant: &Grant, now: Timestamp) -> f64 {
         let taken = now.since(grant.sent_at);
-        self.latency.learn(taken);
-        let way_us = grant.way_us;
+        self.latency.record(taken);
+        let way_us = grant.hall_round_trip_us;
         let taken_us = (taken.as_micros() as f64 - way_us).max(1.0);
         let expected_us = grant.expected.as_micros() as f64 - way_us;
-        self.slowness.learn(taken_us, expected_us, now);
+        self.slowness.record(taken_us, expected_us, now);
         taken_us
     }
 
     /// Learns whether the target keeps up, from its queue or, without one, from latency.
-    pub(crate) fn learn_pressure(&mut self, report: Option<LoadReport>, now: Timestamp) {
+    pub(crate) fn update_limit(&mut self, report: Option<LoadReport>, now: Timestamp) {
         let pressure = match report {
-            Some(report) => Pressure::of_queue(report.queued, self.shape.slots),
-            None => Pressure::of_latency(self.latency.mean_us(), self.latency.floor_us()),
+            Some(report) => Pressure::from_queue(report.queued, self.parameters.slots),
+            None => Pressure::from_latency(self.latency.mean_us(), self.latency.floor_us()),
         };
         self.apply_pressure(pressure, now);
     }
 
-    pub(crate) fn learn_overload(&mut self, now: Timestamp) {
+    pub(crate) fn record_overload(&mut self, now: Timestamp) {
         self.apply_pressure(Pressure::Overloaded, now);
     }
 
     fn apply_pressure(&mut self, pressure: Pressure, now: Timestamp) {
         let round_trip = Duration::from_micros(self.latency.mean_us() as u64);
-        self.limit.learn(pressure, self.in_flight, now, round_trip);
+        self.limit.update(pressure, self.in_flight, now, round_trip);
     }
 
-    pub(crate) fn succeeded(&mut self, now: Timestamp) {
-        self.ejection.succeeded(now);
-        self.answered();
+    pub(crate) fn record_success(&mut self, now: Timestamp) {
+        self.ejection.record_success(now);
+        self.record_answer();
     }
 
     /// It ran a request.
-    pub(crate) fn answered(&mut self) {
-        self.refusals.answered();
+    pub(crate) fn record_answer(&mut self) {
+        self.refusals.reset();
     }
 
-    pub(crate) fn refused_with_backoff(&mut self) {
-        self.refusals.refused();
+    pub(crate) fn record_backoff_refusal(&mut self) {
+        self.refusals.record_refusal();
     }
 
-    pub(crate) fn failed(&mut self, settings: &EjectionSettings, has_room: bool, now: Timestamp) {
-        self.ejection.failed(settings, has_room, now);
+    pub(crate) fn record_failure(
+        &mut self,
+        settings: &EjectionSettings,
+        has_room: bool,
+        now: Timestamp,
+    ) {
+        self.ejection.record_failure(settings, has_room, now);
     }
 
-    pub(crate) fn unreachable(
+    pub(crate) fn record_unreachable(
         &mut self,
         settings: &EjectionSettings,
         has_room: bool,
         now: Timestamp,
     ) {
-        self.ejection.unreachable(settings, has_room, now);
+        self.ejection.record_unreachable(settings, has_room, now);
     }
 
-    pub(crate) fn distrust(&mut self) {
-        self.others.distrust();
+    pub(crate) fn discard_reports(&mut self) {
+        self.external_load.discard();
     }
 
     /// What is believed of this target.
@@ -315,7 +324,7 @@
         share: RateShare,
         model: &ServiceModel,
     ) -> TargetDump {
-        let report = self.others.last_report();
+        let report = self.external_load.last_report();
         let usability = self.usability(now, bound, share, model);
         let backoff = self.backoff.active_until(now);
         let ejected_for = self.ejection.until().filter(|_| usability == Usability::Ejected);
@@ -326,14 +335,14 @@
             usability,
             in_flight: self.in_flight,
             limit: self.limit.value(),
-            connection_share: self.shape.connection_share,
+            connection_share: self.parameters.connection_share,
             latency_us: self.latency.mean_us() as u64,
             expected_us: self.expected_us(now, model) as u64,
             failure_rate: self.ejection.failure_rate(now),
             reported_running: report.map(|report| report.running),
             reported_queued: report.map(|report| report.queued),
             reported_state: report.map(|report| report.state),
-            report_age_ms: self.others.age(now).map(|age| age.as_millis() as u64),
+            report_age_ms: self.external_load.age(now).map(|age| age.as_millis() as u64),
             rate_limit: self.rate_limit.dump(share, now),
             ejected_for_ms: ejected_for.map(|until| now.until(until).as_millis() as u64),
             backoff_for_ms: backoff.map(|until| now.until(until).as_millis() as u64),
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -8,12 +8,12 @@
 use support::at;
 use support::configuration;
 use support::dispatcher;
+use support::expect_grant;
 use support::ms;
-use support::name;
 use support::report;
 use support::request;
 use support::rng;
-use support::sent;
+use support::target_name;
 use thymeshift_dispatch::AnyStrategy;
 use thymeshift_dispatch::Decision;
 use thymeshift_dispatch::Dispatcher;
@@ -44,12 +44,13 @@
     now: Timestamp,
     rng: &mut SmallRng,
 ) {
-    let grants: Vec<_> =
-        (0..count).map(|_| sent(dispatcher, request(1, now + ms(10_000)), now, rng)).collect();
+    let grants: Vec<_> = (0..count)
+        .map(|_| expect_grant(dispatcher, request(1, now + ms(10_000)), now, rng))
+        .collect();
     for grant in grants {
         let others = dispatcher.in_flight(grant.target()) - 1;
         let observation = Observation::Answered(Some(report(others, 0)));
-        let _ = dispatcher.learn(&grant, observation, now + taken);
+        let _ = dispatcher.record_attempt(&grant, observation, now + taken);
         dispatcher.release(grant, now + taken);
     }
 }
@@ -75,7 +76,7 @@
         let mut now = at(0);
         for _ in 0..40 {
             for count in 1..=3 {
-                if count > dispatcher.room(now) {
+                if count > dispatcher.spare_capacity(now) {
                     break;
                 }
                 round(&mut dispatcher, count, ms(taken_ms[count as usize - 1]), now, &mut rng);
@@ -127,14 +128,14 @@
         for (_, target, grant) in running.extract_if(.., |(end, ..)| *end <= now) {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now);
+            let _ = dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
             assert!(target < targets);
         }
         // Which target is the best one does not matter here.
         while let Decision::Send(grant) = dispatcher.request(at_once(now), now, rng) {
             let target = (0..targets)
-                .find(|index| dispatcher.target_name(&grant) == name(*index))
+                .find(|index| dispatcher.target_name(&grant) == target_name(*index))
                 .expect("a target");
             let number = dispatcher.in_flight(grant.target()) as usize;
             most[target] = most[target].max(number);
@@ -207,12 +208,13 @@
         // Two at a time take nearly twice as long as one, but only because the target then has
         // two more than are counted here: their times say nothing about two.
         let (count, foreign, taken) = if round % 2 == 0 { (1, 0, 50) } else { (2, 2, 95) };
-        let grants: Vec<_> =
-            (0..count).map(|_| sent(&mut dispatcher, at_once(now), now, &mut rng)).collect();
+        let grants: Vec<_> = (0..count)
+            .map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng))
+            .collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1 + foreign;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now + ms(taken));
+            let _ = dispatcher.record_attempt(&grant, observation, now + ms(taken));
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -231,7 +233,7 @@
             in_flight.push(dispatcher.target_name(&grant));
         }
         for index in 0..4 {
-            let count = in_flight.iter().filter(|target| **target == name(index)).count();
+            let count = in_flight.iter().filter(|target| **target == target_name(index)).count();
             // The first one explores, up to its slots.
             let expected = if index == 0 { (told + 1).min(3) } else { told };
             assert_eq!(count, expected as usize, "target {index}, told {told}");
@@ -245,7 +247,7 @@
     dispatcher.set_view(View::Fallback);
     let mut rng = rng();
     for _ in 0..2 {
-        let _ = sent(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
+        let _ = expect_grant(&mut dispatcher, request(1, at(1_000)), at(0), &mut rng);
     }
     let third = dispatcher.request(request(1, at(1_000)), at(0), &mut rng);
     assert!(matches!(third, Decision::Wait(_)), "{third:?}");
@@ -263,18 +265,22 @@
         // The mean pace is far above the usual.
         for step in 0..200 {
             let pace = if step % 2 == 0 { 100 } else { 500 };
-            let _ = dispatcher.learn_probe(&name(0), paced(pace), at(step));
+            let _ = dispatcher.record_probe(&target_name(0), paced(pace), at(step));
         }
         let now = at(600 + seed);
         // A gap in the process's own time would make it forget what it hears next.
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&name(1), paced(100), now);
-        let _ = dispatcher.learn_probe(&name(2), paced(500), now);
-        let first = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
-        assert_eq!(dispatcher.target_name(&first), name(1), "the one known to be fast");
+        let _ = dispatcher.record_probe(&target_name(1), paced(100), now);
+        let _ = dispatcher.record_probe(&target_name(2), paced(500), now);
+        let first = expect_grant(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
+        assert_eq!(dispatcher.target_name(&first), target_name(1), "the one known to be fast");
         let later = now + ms(200);
-        let again = sent(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
-        assert_ne!(dispatcher.target_name(&again), name(1), "old news; and it has a request");
+        let again = expect_grant(&mut dispatcher, request(1, later + ms(500)), later, &mut rng);
+        assert_ne!(
+            dispatcher.target_name(&again),
+            target_name(1),
+            "old news; and it has a request"
+        );
     }
 }
 
@@ -312,15 +318,15 @@
         let mut rng = rng();
         let mut now = at(0);
         for _ in 0..400 {
-            let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
+            let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(taken_ms);
             let report = LoadReport { pace_percent: before_percent, ..report(0, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(Some(report)), now);
             dispatcher.release(grant, now);
             // Old news when the next request comes.
             now = now + ms(200);
         }
-        let _ = dispatcher.learn_probe(&name(0), paced(pace_percent), now);
+        let _ = dispatcher.record_probe(&target_name(0), paced(pace_percent), now);
         now = now + ms(age_ms);
         let decision = dispatcher.request(request(1, now + ms(10_000)), now, &mut rng);
         match decision {
@@ -332,7 +338,7 @@
             continue;
         }
         assert!(dispatcher.next_wake(now + ms(20), &mut rng).is_none(), "{note}: still slow");
-        let _ = dispatcher.learn_probe(&name(0), paced(before_percent), now + ms(30));
+        let _ = dispatcher.record_probe(&target_name(0), paced(before_percent), now + ms(30));
         let woken = dispatcher.next_wake(now + ms(30), &mut rng);
         assert!(matches!(woken, Some(Wake::Send(..))), "{note}: fast again: {woken:?}");
     }
@@ -370,23 +376,23 @@
         let mut now = at(0);
         // A request takes 200 ms.
         for _ in 0..10 {
-            let grant = sent(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
+            let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(200);
-            let _ = dispatcher.learn(&grant, Observation::Answered(None), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
         }
         for _ in 0..20 {
             now = now + ms(200);
             let _ = dispatcher.tick(now);
             for (index, pace) in paces.into_iter().enumerate() {
-                let _ = dispatcher.learn_probe(&name(index), paced(pace), now);
+                let _ = dispatcher.record_probe(&target_name(index), paced(pace), now);
             }
         }
         // All others are leaving.
         for index in 1..5 {
-            dispatcher.mark_leaving(&name(index), Incarnation::new(1));
+            dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
-        let _ = dispatcher.learn_probe(&name(0), paced(pace_percent), now);
+        let _ = dispatcher.record_probe(&target_name(0), paced(pace_percent), now);
         match dispatcher.request(request(1, now + ms(10_000)), now, &mut rng) {
             Decision::Send(_) => assert!(is_sent, "{note}: sent"),
             Decision::Wait(_) => assert!(!is_sent, "{note}: waits"),
@@ -404,13 +410,18 @@
         // Two at a time take twice as long as one, but only because the target is slow then.
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&name(0), paced(pace), now);
-        let grants: Vec<_> =
-            (0..count).map(|_| sent(&mut dispatcher, at_once(now), now, &mut rng)).collect();
+        let _ = dispatcher.record_probe(&target_name(0), paced(pace), now);
+        let grants: Vec<_> = (0..count)
+            .map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng))
+            .collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now + ms(taken));
+            let _ = dispatcher.record_attempt(
+                &grant,
+                Observation::Answered(Some(report)),
+                now + ms(taken),
+            );
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -440,12 +451,12 @@
         let mut dispatcher = fleet_dispatcher(3, 3);
         let mut rng = rng();
         for index in 0..2 {
-            dispatcher.mark_leaving(&name(index), Incarnation::new(1));
+            dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
         // It was used a moment ago.
-        let grant = sent(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
+        let grant = expect_grant(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
         dispatcher.release(grant, at(10));
-        let _ = dispatcher.learn_probe(&name(2), report(running, queued), at(20));
+        let _ = dispatcher.record_probe(&target_name(2), report(running, queued), at(20));
         let now = at(20 + age_ms);
         let mut granted = 0;
         while let Decision::Send(_) = dispatcher.request(at_once(now), now, &mut rng) {
@@ -462,7 +473,7 @@
     let mut granted = 0;
     for step in 0..100 {
         let now = at(step * 50);
-        let _ = dispatcher.learn_probe(&name(0), report(3, 4), now);
+        let _ = dispatcher.record_probe(&target_name(0), report(3, 4), now);
         if let Decision::Send(grant) = dispatcher.request(at_once(now), now, &mut rng) {
             granted += 1;
             dispatcher.release(grant, now + ms(40));
@@ -483,9 +494,9 @@
     for (origin, halls) in [(far, [2, 3]), (HallIndex::default(), [0, 1])] {
         for _ in 0..2 {
             let wanted = Request { origin, ..request(1, at(500)) };
-            let grant = sent(&mut dispatcher, wanted, at(0), &mut rng);
+            let grant = expect_grant(&mut dispatcher, wanted, at(0), &mut rng);
             let chosen = dispatcher.target_name(&grant);
-            assert!(halls.map(name).contains(&chosen), "{chosen} for {origin:?}");
+            assert!(halls.map(target_name).contains(&chosen), "{chosen} for {origin:?}");
         }
     }
 }
@@ -493,16 +504,16 @@
 #[test]
 fn a_grant_at_a_named_target_is_refused_once_it_is_leaving() {
     let mut dispatcher = fleet_dispatcher(2, 2);
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_some());
-    assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
-    assert!(dispatcher.grant_at(&name(0), None, at(0)).is_none());
-    assert!(dispatcher.grant_at(&name(9), None, at(0)).is_none(), "unknown here");
+    assert!(dispatcher.grant_target(&target_name(0), None, at(0)).is_some());
+    assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
+    assert!(dispatcher.grant_target(&target_name(0), None, at(0)).is_none());
+    assert!(dispatcher.grant_target(&target_name(9), None, at(0)).is_none(), "unknown here");
 }
 
 #[test]
 fn only_targets_that_were_silent_are_to_be_probed() {
     let mut dispatcher = fleet_dispatcher(3, 3);
-    let _ = dispatcher.learn_probe(&name(1), paced(100), at(0));
+    let _ = dispatcher.record_probe(&target_name(1), paced(100), at(0));
     let silent = dispatcher.stale_targets(ms(50), usize::MAX, at(40));
     assert_eq!(silent.len(), 2, "{silent:?}");
     assert_eq!(dispatcher.stale_targets(ms(50), usize::MAX, at(60)).len(), 3);
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -51,7 +51,7 @@
             sleep(LOOK).await;
             continue;
         }
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
         let watched = watch_once(&shared, &mut listed_at, wait).await;
         wait = if watched.is_ok() { WAIT } else { Duration::ZERO };
         if let Err(error) = watched {
@@ -98,7 +98,7 @@
         Document::VmList => "vms",
         Document::Targets => "targets",
     };
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     let answered = ask(shared.settings().platform_address, place, after, wait).await;
     let result = match &answered {
         Ok(Some(_)) => "changed",
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -46,7 +46,7 @@
 ) -> Result<(), TaskError> {
     let mut was_answered = true;
     // Until then the start of the process reads. An error would mean that it is ending.
-    let _ = shared.in_force.subscribe().wait_for(|is_in_force| *is_in_force).await;
+    let _ = shared.has_configuration.subscribe().wait_for(|is_in_force| *is_in_force).await;
     loop {
         let turn = {
             let now = BootClock.now();
@@ -64,7 +64,7 @@
         log_dependency(&read, &mut was_answered);
         tell_fleet(&shared, read.is_ok());
         if let Ok(1..) = read {
-            sleep(GATHER.max(shared.rest())).await;
+            sleep(GATHER.max(shared.list_fetch_delay())).await;
         }
     }
 }
@@ -92,7 +92,7 @@
         *source = S::new(address);
         info!("source_moved", kv: { address: = address });
     }
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     let answered = source.changes(wait).await;
     let now = BootClock.now();
     let result = match &answered {
@@ -160,7 +160,7 @@
     let passed_on = {
         let mut fleet = shared.fleet.lock();
         let SourceHeartbeat { reader, is_answered, heads, .. } = heartbeat;
-        let is_due = fleet.passing_on.is_due(*is_answered, *heads, now);
+        let is_due = fleet.news_forwarding.is_due(*is_answered, *heads, now);
         fleet.readers.record_report(reader, *is_answered, now);
         let own = fleet.members.own();
         (heartbeat.data_hall != own.data_hall && is_due).then(|| {
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -11,12 +11,12 @@
 use thymeshift_config::Organisation;
 use thymeshift_config::RequestRate;
 use thymeshift_dispatch::RateShare;
-use thymeshift_organisations::Counted;
-use thymeshift_organisations::Passed;
+use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::QuotaQuestion;
+use thymeshift_organisations::TokenGrant;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_telemetry::metric;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
@@ -34,7 +34,7 @@
 
 use crate::organisations::QuotaReply;
 use crate::organisations::questions::Questions;
-use crate::shared::RankedPlaces;
+use crate::shared::RankedProcesses;
 use crate::shared::Shared;
 
 /// Waits for a counter's answer, after each of which but the last the question is sent again: a
@@ -67,7 +67,7 @@
 /// The order of an organisation's counters, while it is fresh.
 #[derive(Clone)]
 struct Ranking {
-    order: RankedPlaces,
+    order: RankedProcesses,
     /// The part of the limit that this process may hand out, should it be asked.
     share: RateShare,
     made_at: Timestamp,
@@ -85,28 +85,28 @@
             return Ok(());
         };
         let held = self.held(shared, &organisation.name, limit);
-        held.holder.lock().arrived(BootClock.now());
+        held.holder.lock().record_arrival(BootClock.now());
         loop {
             let answered = held.answered.notified();
-            let passed = held.holder.lock().pass(BootClock.now());
+            let passed = held.holder.lock().admit(BootClock.now());
             match passed {
-                Passed::Admitted => return Ok(()),
-                Passed::Refused(after) => {
+                Admission::Admitted => return Ok(()),
+                Admission::Refused(after) => {
                     let name = organisation.name.as_str().to_owned();
                     counter!(metric::OVER_QUOTA, "organisation" => name).increment(1);
                     return Err(after);
                 }
-                Passed::Asked => {
+                Admission::AnswerPending => {
                     // Should whoever asked have left, this request asks after the limit.
                     let _ = timeout(OTHERS_ANSWER_LIMIT, answered).await;
                 }
-                Passed::Ask { wanted, arrived } => {
+                Admission::Ask { wanted, arrived } => {
                     let told = self.ask(shared, organisation, limit, wanted, arrived).await;
                     let now = BootClock.now();
                     let mut holder = held.holder.lock();
                     match told {
-                        Some(told) => holder.counted(&counted(told), now),
-                        None => holder.unanswered(now),
+                        Some(told) => holder.apply_grant(&counted(told), now),
+                        None => holder.start_fallback(now),
                     }
                     drop(holder);
                     held.answered.notify_waiters();
@@ -118,7 +118,7 @@
     /// A request that was admitted has provably not run.
     pub(crate) fn give_back(&self, name: &OrganisationName) {
         if let Some(held) = self.held.lock().get(name) {
-            held.holder.lock().give_back(BootClock.now());
+            held.holder.lock().return_token(BootClock.now());
         }
     }
 
@@ -199,7 +199,7 @@
         let order = self.order(shared, &organisation.name);
         let now = BootClock.now();
         let is_usable = |place: &&Option<AllocatorAddress>| match place {
-            Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
             None => !shared.is_stopping(),
         };
         for place in order.iter().filter(is_usable).take(COUNTERS_ASKED_MAX) {
@@ -210,7 +210,7 @@
                 Some(QuotaReply::Counted(told)) => return Some(told),
                 Some(QuotaReply::Elsewhere) => {}
                 None => {
-                    shared.allocation.pass_over(&place.vm, BootClock.now());
+                    shared.allocation.skip_process(&place.vm, BootClock.now());
                     info!("quota_unanswered", kv: {
                         organisation: = organisation.name, counter: = place.vm
                     });
@@ -250,10 +250,10 @@
         let new = || QuotaCounter::new(limit, now);
         let counter = all.entry(ask.organisation.clone()).or_insert_with(new);
         counter.set_limit(limit, now);
-        counter.set_share(share.part(), now);
+        counter.set_share(share.fraction(), now);
         let question =
-            QuotaQuestion { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
-        let answer = counter.ask(asker, question, now);
+            TokenRequest { number: ask.number.0, wanted: ask.wanted, arrived: ask.arrived };
+        let answer = counter.grant_tokens(asker, question, now);
         QuotaGrant {
             tokens: answer.tokens,
             retry_after_ms: answer.retry_after.as_millis() as u32,
@@ -266,13 +266,13 @@
         let now = BootClock.now();
         let order = self.order(shared, name);
         let mut usable = order.iter().filter(|place| match place {
-            Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+            Some(place) => !shared.allocation.is_skipped(&place.vm, now),
             None => true,
         });
         usable.next().is_some_and(Option::is_none)
     }
 
-    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedPlaces {
+    fn order(&self, shared: &Shared, name: &OrganisationName) -> RankedProcesses {
         self.ranking(shared, name).order
     }
 
@@ -285,8 +285,8 @@
             return known.clone();
         }
         let task = counter_task(name);
-        let order = shared.contacts_for(&task, now).into();
-        let share = shared.standing_for(&task, now).rate_share();
+        let order = shared.ranked_contacts(&task, now).into();
+        let share = shared.rank_for(&task, now).rate_share();
         let made = Ranking { order, share, made_at: now, changes };
         self.rankings.lock().insert(name.clone(), made.clone());
         made
@@ -298,8 +298,8 @@
     format!("count {name}")
 }
 
-fn counted(told: QuotaGrant) -> Counted {
-    Counted {
+fn counted(told: QuotaGrant) -> TokenGrant {
+    TokenGrant {
         tokens: told.tokens,
         retry_after: Duration::from_millis(told.retry_after_ms.into()),
         own_rate_per_s: told.own_rate_per_s,
--- a/crates/thymeshift_entry/src/process.rs
+++ b/crates/thymeshift_entry/src/process.rs
@@ -212,7 +212,7 @@
         info!("stopped");
         return Exit::Stopped;
     }
-    let open = shared.figures.caller_connections.load(Ordering::Relaxed);
+    let open = shared.metrics.caller_connections.load(Ordering::Relaxed);
     warn!("stop_bound_passed", kv: { open });
     Exit::BoundPassed { open }
 }
@@ -220,7 +220,7 @@
 /// Waits until no caller is connected any more: an answer counts as given only when its
 /// last byte has left.
 async fn drained(shared: &Shared) {
-    while shared.figures.caller_connections.load(Ordering::Relaxed) > 0 {
+    while shared.metrics.caller_connections.load(Ordering::Relaxed) > 0 {
         sleep(DRAIN_LOOK).await;
     }
 }
@@ -228,8 +228,8 @@
 fn set_phase(shared: &Shared, phase: Phase) {
     shared.phase.send_replace(phase);
     info!("phase", kv: { phase: = phase });
-    shared.tell_phase();
-    shared.news.notify_one();
+    shared.announce_phase();
+    shared.peer_exchange_due.notify_one();
 }
 
 fn tree<E: Environment>(
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -1,4 +1,5 @@
-//! The configuration in force, joined with what runs: replaced as a whole.
+//! Routing table: the configuration in force with the runtimes of its services and kinds. A new
+//! configuration replaces the table as a whole.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -12,7 +13,7 @@
 use thymeshift_config::Configuration;
 use thymeshift_config::Kind;
 use thymeshift_config::RequestHead;
-use thymeshift_dispatch::Patience;
+use thymeshift_dispatch::ElapsedTimeEstimator;
 use thymeshift_organisations::KeyRing;
 use thymeshift_telemetry::metric;
 use thymeshift_types::DataHallName;
@@ -20,19 +21,19 @@
 use thymeshift_types::ServiceName;
 use thymeshift_wire::KindDump;
 
-use crate::service::ServiceLinks;
+use crate::service::ServiceContext;
 use crate::service::ServiceRuntime;
 
-/// Answers over which their length is averaged.
-const ANSWERS_MEMORY: u64 = 8;
+/// Number of answers over which the moving average of the answer length is taken.
+const ANSWERS_AVERAGED: u64 = 8;
 
-/// A figure that is kept for dumps and for metrics at once.
-pub(crate) struct Tally {
+/// Counter that updates a metric and can also be read, which state dumps need.
+pub(crate) struct ReadableCounter {
     count: AtomicU64,
     metric: Counter,
 }
 
-impl Tally {
+impl ReadableCounter {
     fn new(metric: Counter) -> Self {
         Self { count: AtomicU64::new(0), metric }
     }
@@ -47,27 +48,29 @@
     }
 }
 
-/// Figures of one kind since the process started.
-pub(crate) struct KindFigures {
+/// Request metrics of one kind since the process started.
+pub(crate) struct KindMetrics {
     pub(crate) accepted: AtomicU64,
-    pub(crate) answered: Tally,
-    not_run: Tally,
-    unknown: Tally,
-    failed: Tally,
-    pub(crate) retries: Tally,
-    pub(crate) waited: Tally,
-    pub(crate) seconds: Histogram,
-    /// Length of answers in the mean, in bytes.
+    pub(crate) answered: ReadableCounter,
+    not_run: ReadableCounter,
+    unknown: ReadableCounter,
+    failed: ReadableCounter,
+    pub(crate) retries: ReadableCounter,
+    pub(crate) waited: ReadableCounter,
+    pub(crate) duration_seconds: Histogram,
+    /// Moving average of the answer length in bytes; 0 before the first answer.
     answer_bytes: AtomicU64,
-    /// How long callers usually wait.
-    pub(crate) patience: Mutex<Patience>,
+    /// Estimate of how long callers usually wait for an answer.
+    pub(crate) patience: Mutex<ElapsedTimeEstimator>,
 }
 
-impl KindFigures {
+impl KindMetrics {
     fn new(kind: &Kind) -> Arc<Self> {
         let name = kind.name.as_str().to_owned();
         let result = |result: &'static str| {
-            Tally::new(counter!(metric::REQUESTS, "kind" => name.clone(), "result" => result))
+            ReadableCounter::new(
+                counter!(metric::REQUESTS, "kind" => name.clone(), "result" => result),
+            )
         };
         Arc::new(Self {
             accepted: AtomicU64::new(0),
@@ -75,32 +78,33 @@
             not_run: result("not_run"),
             unknown: result("unknown"),
             failed: result("failed"),
-            retries: Tally::new(counter!(metric::RETRIES, "kind" => name.clone())),
-            waited: Tally::new(counter!(metric::WAITED, "kind" => name.clone())),
-            seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
+            retries: ReadableCounter::new(counter!(metric::RETRIES, "kind" => name.clone())),
+            waited: ReadableCounter::new(counter!(metric::WAITED, "kind" => name.clone())),
+            duration_seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
             answer_bytes: AtomicU64::new(0),
             patience: Mutex::default(),
         })
     }
 
-    /// An answer of this length was passed on.
-    pub(crate) fn learn_answer(&self, bytes: u64) {
+    /// Adds the length of a forwarded answer to the moving average.
+    pub(crate) fn record_answer_bytes(&self, bytes: u64) {
         let before = self.answer_bytes.load(Ordering::Relaxed);
         let mean = if before == 0 {
             bytes
         } else {
-            before - before / ANSWERS_MEMORY + bytes / ANSWERS_MEMORY
+            before - before / ANSWERS_AVERAGED + bytes / ANSWERS_AVERAGED
         };
         self.answer_bytes.store(mean, Ordering::Relaxed);
     }
 
-    /// Length of answers in the mean, in KiB; 0 if none is known.
+    /// Returns the average answer length in KiB, rounded up; 0 before the first answer.
     pub(crate) fn answer_kib(&self) -> u32 {
         let kib = self.answer_bytes.load(Ordering::Relaxed).div_ceil(1_024);
         u32::try_from(kib).unwrap_or(u32::MAX)
     }
 
-    pub(crate) fn outcome(&self, outcome: Outcome) -> &Tally {
+    /// Returns the counter of failed requests with this outcome.
+    pub(crate) fn failure_counter(&self, outcome: Outcome) -> &ReadableCounter {
         match outcome {
             Outcome::NotRun => &self.not_run,
             Outcome::Unknown => &self.unknown,
@@ -109,56 +113,56 @@
     }
 }
 
-/// A kind with its services.
+/// Runtime of one kind: its settings, services and metrics.
 pub(crate) struct KindRuntime {
     pub(crate) kind: Kind,
     pub(crate) service: Arc<ServiceRuntime>,
-    /// Services of a split.
-    parts: Vec<Arc<ServiceRuntime>>,
-    pub(crate) figures: Arc<KindFigures>,
+    /// Services of the kind's traffic split.
+    split_services: Vec<Arc<ServiceRuntime>>,
+    pub(crate) metrics: Arc<KindMetrics>,
 }
 
 impl KindRuntime {
-    /// The service for a request that drew `draw`.
+    /// Returns the service that a request with the random number `draw` is routed to.
     pub(crate) fn service_for(&self, draw: u64) -> &Arc<ServiceRuntime> {
         let name = self.kind.service_for(draw);
-        self.parts.iter().find(|part| part.name() == name).unwrap_or(&self.service)
+        self.split_services.iter().find(|part| part.name() == name).unwrap_or(&self.service)
     }
 
     fn dump(&self) -> KindDump {
-        let figures = &self.figures;
+        let metrics = &self.metrics;
         KindDump {
             name: self.kind.name.clone(),
             service: self.kind.service.clone(),
             priority: self.kind.priority,
-            accepted: figures.accepted.load(Ordering::Relaxed),
-            answered: figures.answered.get(),
-            not_run: figures.not_run.get(),
-            unknown: figures.unknown.get(),
-            failed: figures.failed.get(),
-            retries: figures.retries.get(),
-            waited: figures.waited.get(),
+            accepted: metrics.accepted.load(Ordering::Relaxed),
+            answered: metrics.answered.get(),
+            not_run: metrics.not_run.get(),
+            unknown: metrics.unknown.get(),
+            failed: metrics.failed.get(),
+            retries: metrics.retries.get(),
+            waited: metrics.waited.get(),
         }
     }
 }
 
-/// What requests are decided by.
+/// Configuration in force with the runtimes that requests are routed to.
 pub(crate) struct Routing {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) services: Vec<Arc<ServiceRuntime>>,
     kinds: Vec<Arc<KindRuntime>>,
-    /// The keys of all organisations.
+    /// API keys of all organisations.
     pub(crate) keys: Arc<KeyRing>,
 }
 
 impl Routing {
-    /// Builds the routing of a configuration; services and figures that were there before
-    /// go on.
+    /// Builds the routing of a configuration. Services, metrics and an unchanged key ring are taken over
+    /// from the routing `before`.
     pub(crate) fn new(
         configuration: Configuration,
         before: Option<&Self>,
         own_data_hall: &DataHallName,
-        links: &ServiceLinks,
+        context: &ServiceContext,
     ) -> Self {
         let configuration = Arc::new(configuration);
         let find = |name: &str| {
@@ -172,7 +176,7 @@
                     known.update(&configuration, service, own_data_hall);
                     known
                 }
-                None => ServiceRuntime::new(&configuration, service, own_data_hall, links),
+                None => ServiceRuntime::new(&configuration, service, own_data_hall, context),
             };
             services.push(runtime);
         }
@@ -199,7 +203,8 @@
     }
 }
 
-/// None cannot happen: the configuration's check found the service of each kind.
+/// Builds the runtime of a kind. `None` cannot occur, because the configuration check ensures that the
+/// service of each kind exists.
 fn kind_runtime(
     kind: &Kind,
     services: &[Arc<ServiceRuntime>],
@@ -207,9 +212,9 @@
 ) -> Option<Arc<KindRuntime>> {
     let find = |name: &ServiceName| services.iter().find(|service| service.name() == name).cloned();
     let service = find(&kind.service)?;
-    let parts = kind.split.iter().filter_map(|part| find(&part.service)).collect();
+    let split_services = kind.split.iter().filter_map(|part| find(&part.service)).collect();
     let mut known = before.into_iter().flat_map(|before| before.kinds.iter());
     let known = known.find(|known| known.kind.name == kind.name);
-    let figures = known.map_or_else(|| KindFigures::new(kind), |known| known.figures.clone());
-    Some(Arc::new(KindRuntime { kind: kind.clone(), service, parts, figures }))
+    let metrics = known.map_or_else(|| KindMetrics::new(kind), |known| known.metrics.clone());
+    Some(Arc::new(KindRuntime { kind: kind.clone(), service, split_services, metrics }))
 }
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -1,8 +1,9 @@
-//! One service while the process runs: who allocates its targets, and its connections.
+//! Runtime state of one service: the local dispatcher, the target groups that this process
+//! allocates, and the connection pool.
 //!
-//! * [`guards`]: what a request holds while it has, or waits for, a target.
-//! * [`group`]: allocating the targets of one group to all processes.
-//! * [`obtain`]: obtaining a target, from an allocator or from the own dispatcher.
+//! * [`guards`]: RAII guards for a granted target and for a queued request.
+//! * [`group`]: allocator of one target group, which grants its targets to all entry processes.
+//! * [`obtain`]: obtains a target for a request from an allocator or from the local dispatcher.
 
 mod group;
 mod guards;
@@ -17,8 +18,8 @@
 use parking_lot::Mutex;
 use parking_lot::RwLock;
 use thymeshift_allocation::Group;
+use thymeshift_allocation::GroupHeadroom;
 use thymeshift_allocation::Grouping;
-use thymeshift_allocation::Rooms;
 use thymeshift_config::Configuration;
 use thymeshift_config::Service;
 use thymeshift_dispatch::AnyStrategy;
@@ -57,72 +58,79 @@
 pub(crate) use guards::GrantGuard;
 pub(crate) use guards::WaitGuard;
 
-/// Time after the last request for a target within which a group's state tells more than
-/// what the process knows by itself.
-const ALLOCATING_WITHIN: Duration = Duration::from_secs(1);
+/// Time since the last acquire request for a group during which state dumps show the allocator's
+/// view of the group's targets instead of the local dispatcher's.
+const RECENT_ACQUIRE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a waiting request hears.
-pub(super) type Woken = Result<Grant, Refusal>;
-/// What the groups of a service told of themselves, shared by those that are allocated here.
-type SharedGroups = Arc<Mutex<KnownGroups>>;
+/// Result that ends the wait of a queued request.
+pub(super) type WaitResult = Result<Grant, Refusal>;
+/// Latest reports of a service's groups, shared by all groups that this process allocates.
+type SharedGroupReports = Arc<Mutex<GroupReports>>;
 
-/// What the groups of a service told of themselves.
+/// Spare capacity and allocator address of each group of a service, as last reported.
 #[derive(Default)]
-struct KnownGroups {
-    rooms: Rooms,
+struct GroupReports {
+    rooms: GroupHeadroom,
     allocators: BTreeMap<Group, AllocatorAddress>,
 }
 
-impl KnownGroups {
-    /// Takes a place in another group than `own`; also returns who allocates it.
-    fn take(&mut self, own: &Group, now: Timestamp) -> Option<(Group, AllocatorAddress)> {
-        let other = self.rooms.take(own, now, &mut rand::rng())?;
+impl GroupReports {
+    /// Reserves one request's capacity in a group other than `own` and returns that group with the
+    /// address of its allocator.
+    fn reserve_elsewhere(
+        &mut self,
+        own: &Group,
+        now: Timestamp,
+    ) -> Option<(Group, AllocatorAddress)> {
+        let other = self.rooms.reserve(own, now, &mut rand::rng())?;
         let allocator = self.allocators.get(&other)?.clone();
         Some((other, allocator))
     }
 }
 
-/// The dispatcher over this process's own requests, with those who wait for its decisions;
-/// under one lock, so that a decision cannot come before its request waits for it.
-struct OwnRequests {
+/// Dispatcher for the requests of this process alone, with the channels of its queued requests.
+///
+/// One lock guards both, so that the dispatcher cannot decide on a queued request before its channel
+/// is registered.
+struct LocalDispatch {
     dispatcher: Dispatcher<AnyStrategy>,
-    waiting: HashMap<Ticket, oneshot::Sender<Woken>>,
+    waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
 }
 
-/// What all services share.
+/// Handles of the entry process that every service runtime uses.
 #[derive(Clone)]
-pub(crate) struct ServiceLinks {
+pub(crate) struct ServiceContext {
     pub(crate) allocation: Arc<AllocationClient>,
-    /// Rings when a request begins to wait, so that its time limit is watched.
-    pub(crate) waiting: Arc<Notify>,
-    /// Rings when a group is asked for a target after a rest, so that its targets are probed.
-    pub(crate) allocating: Arc<Notify>,
-    /// Takes requests for a target that wait until the best targets have been probed.
+    /// Wakes the ticker when a request is queued, so that its wait limit is enforced.
+    pub(crate) request_queued: Arc<Notify>,
+    /// Wakes the pace prober when a group receives an acquire request after an idle period.
+    pub(crate) group_activated: Arc<Notify>,
+    /// Queue of acquire requests that are decided after the best targets have been probed.
     pub(crate) pending_acquires: mpsc::UnboundedSender<PendingAcquire>,
 }
 
-/// What is configured, as far as a service depends on it.
-struct Configured {
+/// Parts of the configuration that a service runtime uses.
+struct ServiceConfiguration {
     configuration: Arc<Configuration>,
     service: Arc<Service>,
     grouping: Grouping,
 }
 
-/// A configured service.
+/// Runtime of one configured service.
 pub(crate) struct ServiceRuntime {
     name: ServiceName,
     own_data_hall: DataHallName,
-    configured: RwLock<Arc<Configured>>,
-    own: Mutex<OwnRequests>,
-    /// Groups that are, or were, allocated here.
+    configured: RwLock<Arc<ServiceConfiguration>>,
+    local: Mutex<LocalDispatch>,
+    /// Groups that this process allocates now or allocated before.
     groups: Mutex<BTreeMap<Group, Arc<GroupRuntime>>>,
-    told: SharedGroups,
+    group_reports: SharedGroupReports,
     pool: Arc<Pool>,
-    links: ServiceLinks,
+    context: ServiceContext,
     allocators: Mutex<Allocators>,
 }
 
-/// Where a granted request goes.
+/// Target that a request or a probe is sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Destination {
     pub(crate) service: ServiceName,
@@ -131,15 +139,15 @@
     pub(crate) address: SocketAddr,
 }
 
-/// What the own dispatcher decides on a request.
-#[expect(clippy::large_enum_variant, reason = "taken apart where it is made")]
-pub(crate) enum Admitted {
+/// Decision of the local dispatcher on a request.
+#[expect(clippy::large_enum_variant, reason = "matched right where it is returned")]
+pub(crate) enum LocalDecision {
     Send(GrantGuard),
     Wait(WaitGuard),
     Refused(Refusal),
 }
 
-impl Configured {
+impl ServiceConfiguration {
     fn new(configuration: &Arc<Configuration>, service: &Service) -> Arc<Self> {
         Arc::new(Self {
             configuration: configuration.clone(),
@@ -159,25 +167,25 @@
         configuration: &Arc<Configuration>,
         service: &Service,
         own_data_hall: &DataHallName,
-        links: &ServiceLinks,
+        context: &ServiceContext,
     ) -> Arc<Self> {
         let now = BootClock.now();
         let dispatcher = Dispatcher::configured(configuration, service, own_data_hall, now);
-        let configured = Configured::new(configuration, service);
+        let configured = ServiceConfiguration::new(configuration, service);
         Arc::new(Self {
             name: service.name.clone(),
             own_data_hall: own_data_hall.clone(),
             pool: Pool::new(&service.name, configured.connection_share()),
             configured: RwLock::new(configured),
-            own: Mutex::new(OwnRequests { dispatcher, waiting: HashMap::new() }),
+            local: Mutex::new(LocalDispatch { dispatcher, waiting: HashMap::new() }),
             groups: Mutex::default(),
-            told: SharedGroups::default(),
-            links: links.clone(),
+            group_reports: SharedGroupReports::default(),
+            context: context.clone(),
             allocators: Mutex::default(),
         })
     }
 
-    /// Takes in a new configuration.
+    /// Applies a new configuration to the pool, the local dispatcher and all groups.
     pub(crate) fn update(
         self: &Arc<Self>,
         configuration: &Arc<Configuration>,
@@ -185,10 +193,10 @@
         own_data_hall: &DataHallName,
     ) {
         let now = BootClock.now();
-        let configured = Configured::new(configuration, service);
+        let configured = ServiceConfiguration::new(configuration, service);
         self.pool.set_share(configured.connection_share());
         *self.configured.write() = configured;
-        self.own.lock().dispatcher.reconfigure(configuration, service, own_data_hall, now);
+        self.local.lock().dispatcher.reconfigure(configuration, service, own_data_hall, now);
         for group in self.groups() {
             group.update(configuration, service, own_data_hall, now);
         }
@@ -199,7 +207,7 @@
         &self.name
     }
 
-    fn configured(&self) -> Arc<Configured> {
+    fn configured(&self) -> Arc<ServiceConfiguration> {
         self.configured.read().clone()
     }
 
@@ -211,15 +219,17 @@
         &self.pool
     }
 
-    /// The groups that are, or were, allocated here.
+    /// Returns the groups that this process allocates now or allocated before.
     pub(crate) fn groups(&self) -> Vec<Arc<GroupRuntime>> {
         self.groups.lock().values().cloned().collect()
     }
 
-    /// A group to allocate here. It begins with what its earlier allocator told.
+    /// Returns the allocator of `group` in this process, which is created if needed.
+    ///
+    /// A new one starts with the target concurrency that the previous allocator reported.
     pub(crate) fn group(&self, group: &Group) -> Arc<GroupRuntime> {
-        // Not under the lock below: whoever works out the order of allocators takes others.
-        let told = self.allocators.lock().known_concurrency(group);
+        // Read before `groups` is locked: ranking the allocators takes further locks.
+        let concurrency = self.allocators.lock().known_concurrency(group);
         let mut groups = self.groups.lock();
         if let Some(known) = groups.get(group) {
             return known.clone();
@@ -230,90 +240,92 @@
             &configured.configuration,
             &configured.service,
             &self.own_data_hall,
-            self.told.clone(),
-            self.links.clone(),
+            self.group_reports.clone(),
+            self.context.clone(),
         );
-        if let Some(number) = told {
-            runtime.adopt_concurrency(number);
+        if let Some(concurrency) = concurrency {
+            runtime.adopt_concurrency(concurrency);
         }
         groups.insert(group.clone(), runtime.clone());
         runtime
     }
 
-    /// The groups that the targets are divided into.
-    pub(crate) fn divided_into(&self) -> Vec<Group> {
+    /// Returns all groups that the service's targets are divided into.
+    pub(crate) fn target_groups(&self) -> Vec<Group> {
         self.configured().grouping.iter().cloned().collect()
     }
 
-    /// A group told its room.
-    pub(crate) fn learn_room(&self, told: &GroupRoom) {
-        let mut groups = self.told.lock();
-        groups.rooms.learn(told.group.clone(), told.room, BootClock.now());
-        groups.allocators.insert(told.group.clone(), told.allocator.clone());
+    /// Records the spare capacity that a group reported, with the address of its allocator.
+    pub(crate) fn record_group_room(&self, report: &GroupRoom) {
+        let mut groups = self.group_reports.lock();
+        groups.rooms.record(report.group.clone(), report.room, BootClock.now());
+        groups.allocators.insert(report.group.clone(), report.allocator.clone());
     }
 
-    /// Asks this process's own dispatcher for a target.
+    /// Requests a target from the local dispatcher and queues the request if none is free.
     pub(crate) fn admit(
         self: &Arc<Self>,
         request: Request,
         view: View,
         now: Timestamp,
-    ) -> Admitted {
-        let mut own = self.own.lock();
-        own.dispatcher.set_view(view);
-        match own.dispatcher.request(request, now, &mut rand::rng()) {
-            Decision::Send(grant) => Admitted::Send(GrantGuard::new(self, grant)),
-            Decision::Refuse(refusal) => Admitted::Refused(refusal),
+    ) -> LocalDecision {
+        let mut local = self.local.lock();
+        local.dispatcher.set_view(view);
+        match local.dispatcher.request(request, now, &mut rand::rng()) {
+            Decision::Send(grant) => LocalDecision::Send(GrantGuard::new(self, grant)),
+            Decision::Refuse(refusal) => LocalDecision::Refused(refusal),
             Decision::Wait(ticket) => {
-                self.links.waiting.notify_one();
+                self.context.request_queued.notify_one();
                 let (sender, receiver) = oneshot::channel();
-                own.waiting.insert(ticket, sender);
-                Admitted::Wait(WaitGuard { service: self.clone(), ticket, receiver })
+                local.waiting.insert(ticket, sender);
+                LocalDecision::Wait(WaitGuard { service: self.clone(), ticket, receiver })
             }
         }
     }
 
-    /// Counts a request of a caller.
-    pub(crate) fn received(&self) {
-        self.own.lock().dispatcher.received();
+    /// Counts a caller's request towards the retry budget.
+    pub(crate) fn count_received(&self) {
+        self.local.lock().dispatcher.record_request();
     }
 
     pub(crate) fn has_retry(&self) -> bool {
-        self.own.lock().dispatcher.has_retry()
+        self.local.lock().dispatcher.has_retry()
     }
 
     pub(crate) fn try_retry(&self) -> bool {
-        self.own.lock().dispatcher.try_retry()
+        self.local.lock().dispatcher.try_spend_retry()
     }
 
-    /// Whether requests wait here, of this process or of others.
+    /// Returns whether any request of this or another process is queued in this process.
     pub(crate) fn has_waiting(&self) -> bool {
-        self.own.lock().dispatcher.has_waiting()
+        self.local.lock().dispatcher.has_waiting()
             || self.groups().iter().any(|group| group.has_waiting())
     }
 
-    /// Must run every few tens of milliseconds while requests wait. Returns a pause of this process.
+    /// Ends expired waits and leases; must run every few tens of milliseconds while requests are queued.
+    ///
+    /// Returns the longest pause of this process that the dispatchers detected.
     pub(crate) fn tick(&self, now: Timestamp) -> Option<Duration> {
-        let gap = self.own.lock().dispatcher.tick(now);
+        let gap = self.local.lock().dispatcher.tick(now);
         self.wake_waiting(now);
         let gaps = self.groups().into_iter().filter_map(|group| group.tick(now));
         gaps.chain(gap).max()
     }
 
     pub(crate) fn mark_leaving(&self, mark: &LeavingMark) -> bool {
-        let mut is_news = self.own.lock().dispatcher.mark_leaving(&mark.target, mark.incarnation);
+        let mut is_new = self.local.lock().dispatcher.mark_leaving(&mark.target, mark.incarnation);
         let groups = self.groups();
         for group in &groups {
-            is_news |= group.mark_leaving(mark);
+            is_new |= group.mark_leaving(mark);
         }
-        if is_news {
+        if is_new {
             self.wake_all(&groups);
         }
-        is_news
+        is_new
     }
 
     pub(crate) fn set_stopped(&self, is_stopped: impl Fn(&TargetName) -> bool) {
-        self.own.lock().dispatcher.set_stopped(&is_stopped);
+        self.local.lock().dispatcher.set_stopped(&is_stopped);
         let groups = self.groups();
         for group in &groups {
             group.set_stopped(&is_stopped);
@@ -329,13 +341,17 @@
         }
     }
 
-    pub(crate) fn learn_probe(&self, name: &TargetName, report: LoadReport) -> Option<LeavingMark> {
-        self.own.lock().dispatcher.learn_probe(name, report, BootClock.now())
+    pub(crate) fn record_probe(
+        &self,
+        name: &TargetName,
+        report: LoadReport,
+    ) -> Option<LeavingMark> {
+        self.local.lock().dispatcher.record_probe(name, report, BootClock.now())
     }
 
-    /// What this process knows of its targets' limits.
+    /// Returns the rate limits of targets that this process knows, to be sent to peers.
     pub(crate) fn rate_limits(&self, now: Timestamp) -> Vec<TargetRateLimit> {
-        let known = self.own.lock().dispatcher.rate_limits(now);
+        let known = self.local.lock().dispatcher.rate_limits(now);
         let service = &self.name;
         let limit = |(target, incarnation, told)| TargetRateLimit {
             service: service.clone(),
@@ -346,29 +362,29 @@
         known.into_iter().map(limit).collect()
     }
 
-    /// Learns what a peer knows of a target's limit.
-    pub(crate) fn learn_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
+    /// Merges a target's rate limit that a peer sent.
+    pub(crate) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
         let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.own.lock().dispatcher.merge_rate_limit_of(target, *incarnation, told, now);
+        self.local.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
         for group in self.groups() {
-            group.learn_rate_limit(limit, now);
+            group.merge_rate_limit(limit, now);
         }
     }
 
-    /// Whether a target has asked this process for a backoff.
+    /// Returns whether the target is in a backoff that it requested from this process.
     pub(crate) fn is_backing_off(&self, name: &TargetName) -> bool {
-        self.own.lock().dispatcher.is_backing_off(name, BootClock.now())
+        self.local.lock().dispatcher.is_backing_off(name, BootClock.now())
     }
 
-    /// A target asked this process for a backoff when it was probed.
+    /// Starts the backoff that a target requested in its answer to a probe.
     pub(crate) fn back_off_probed(&self, name: &TargetName, wait: Duration) {
         let wait = wait.min(self.settings().backoff_max());
-        self.own.lock().dispatcher.back_off_probed(name, wait, BootClock.now());
+        self.local.lock().dispatcher.record_probe_backoff(name, wait, BootClock.now());
     }
 
     pub(crate) fn probe_targets(&self) -> Vec<Destination> {
-        let own = self.own.lock();
-        let targets = own.dispatcher.probe_targets(BootClock.now());
+        let local = self.local.lock();
+        let targets = local.dispatcher.probe_targets(BootClock.now());
         targets.map(|(name, address)| self.destination(name, address)).collect()
     }
 
@@ -376,12 +392,12 @@
         Destination { service: self.name.clone(), index: None, name, address }
     }
 
-    /// What this process believes: of targets that it allocates, what it knows as their
-    /// allocator.
+    /// Dumps the service's state: the allocator's view of targets whose group received an acquire
+    /// request within [`RECENT_ACQUIRE_WINDOW`], and the local dispatcher's view of all others.
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
-        let mut dump = self.own.lock().dispatcher.dump(now);
+        let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
-            if !group.is_asked_within(ALLOCATING_WITHIN, now) {
+            if !group.was_acquired_within(RECENT_ACQUIRE_WINDOW, now) {
                 continue;
             }
             let known = group.dump(now);
@@ -398,21 +414,21 @@
         dump
     }
 
-    /// Tells waiting requests what became of them.
+    /// Delivers the local dispatcher's decisions to queued requests.
     fn wake_waiting(&self, now: Timestamp) {
-        let OwnRequests { dispatcher, waiting } = &mut *self.own.lock();
+        let LocalDispatch { dispatcher, waiting } = &mut *self.local.lock();
         let rng = &mut rand::rng();
         while let Some(wake) = dispatcher.next_wake(now, rng) {
             let (ticket, woken) = match wake {
                 Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            let unheard = match waiting.remove(&ticket) {
+            let undelivered = match waiting.remove(&ticket) {
                 Some(sender) => sender.send(woken).err(),
                 None => Some(woken),
             };
-            // Its caller went away in this very moment.
-            if let Some(Ok(grant)) = unheard {
+            // The request was dropped between the decision and its delivery; the grant is returned.
+            if let Some(Ok(grant)) = undelivered {
                 dispatcher.release(grant, now);
             }
         }
@@ -420,7 +436,7 @@
 
     pub(super) fn release(&self, grant: Grant) {
         let now = BootClock.now();
-        self.own.lock().dispatcher.release(grant, now);
+        self.local.lock().dispatcher.release(grant, now);
         self.wake_waiting(now);
     }
 }
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -253,8 +253,8 @@
     }
 
     fn learn(&mut self, observation: Observation) {
-        if let Some(mark) = self.grant.learn(observation) {
-            self.shared.note_leaving(&mark, "answer");
+        if let Some(mark) = self.grant.record_observation(observation) {
+            self.shared.record_leaving(&mark, "answer");
         }
     }
 
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -88,17 +88,17 @@
         now: Timestamp,
     ) -> (Observation, Option<Duration>) {
         let Some(backoff) = *answer else {
-            let _ = own.learn(grant, Observation::Answered(None), now);
+            let _ = own.record_attempt(grant, Observation::Answered(None), now);
             return (Observation::Answered(None), None);
         };
         if self.policy != BackoffPolicy::Unread {
-            own.back_off(grant, backoff, now);
+            own.record_backoff(grant, backoff, now);
         }
         let observation = match self.policy {
             BackoffPolicy::NamedAndSpaced => Observation::ShedWithBackoff(None),
             _ => Observation::Shed(None),
         };
-        let _ = own.learn(grant, observation, now);
+        let _ = own.record_attempt(grant, observation, now);
         (observation, (self.policy == BackoffPolicy::ForAll).then_some(backoff))
     }
 
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -235,8 +235,8 @@
         let heard = |other: &usize| *other == place || self.hears_of(place, *other);
         let known = self.contenders();
         let rank = AllocatorRank {
-            before: (0..place.min(known)).filter(heard).count(),
-            heard: (0..known).filter(heard).count(),
+            better_ranked: (0..place.min(known)).filter(heard).count(),
+            reachable: (0..known).filter(heard).count(),
             known,
         };
         rank.rate_share()
@@ -275,7 +275,7 @@
                 let now = self.now();
                 if let Some(GroupState { dispatcher, allocator }) = &mut self.processes[to].state {
                     if let Some((name, wait)) = &backoff {
-                        dispatcher.back_off_probed(name, *wait, now);
+                        dispatcher.record_probe_backoff(name, *wait, now);
                     }
                     let key = LeaseKey { holder: from, number };
                     allocator.release(&key, &report, dispatcher, now);
@@ -324,7 +324,7 @@
                     Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                     Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
                 };
-                match allocator.woken(ticket, decided, dispatcher, now) {
+                match allocator.resolve_ticket(ticket, decided, dispatcher, now) {
                     Ok(told) => woken.push(told),
                     Err(Ok(grant)) => dispatcher.release(grant, now),
                     Err(Err(_)) => {}
--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -4,14 +4,14 @@
 
 use thymeshift_types::Timestamp;
 
-use crate::Counted;
-use crate::TOKENS_VALID_FOR;
+use crate::TOKEN_TTL;
+use crate::TokenGrant;
 use crate::demand::Demand;
 use crate::limit::QuotaLimit;
 use crate::token_bucket::TokenBucket;
 
 /// A process asks for as many tokens as it needs for this long.
-pub const BATCH_FOR: Duration = Duration::from_millis(200);
+pub const BATCH_DURATION: Duration = Duration::from_millis(200);
 /// Most tokens asked for at a time.
 const BATCH_MAX: u32 = 1_000;
 /// Over how long the demand is measured that the batch follows.
@@ -27,7 +27,7 @@
 
 /// What holds for a request that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passed {
+pub enum Admission {
     /// It is admitted.
     Admitted,
     /// It is beyond the limit; its caller may come back after this time.
@@ -40,7 +40,7 @@
         arrived: u32,
     },
     /// Another request has asked, and waits for the answer.
-    Asked,
+    AnswerPending,
 }
 
 /// The counter had no tokens.
@@ -97,35 +97,35 @@
     }
 
     /// A request arrives; to be told once for each.
-    pub fn arrived(&mut self, now: Timestamp) {
+    pub fn record_arrival(&mut self, now: Timestamp) {
         self.demand.add(1, now);
         self.arrived = self.arrived.saturating_add(1);
     }
 
     /// Whether a request that has arrived may pass now.
-    pub fn pass(&mut self, now: Timestamp) -> Passed {
+    pub fn admit(&mut self, now: Timestamp) -> Admission {
         if now >= self.tokens_end {
             self.tokens = 0;
         }
         if self.tokens > 0 {
             self.tokens -= 1;
-            return Passed::Admitted;
+            return Admission::Admitted;
         }
         if self.alone_until.is_some_and(|until| now < until) {
             return self.pass_alone(now);
         }
         if let Some(refused) = self.refused.filter(|refused| now < refused.until) {
-            return Passed::Refused(now.until(refused.retry_at));
+            return Admission::Refused(now.until(refused.retry_at));
         }
         if self.asked_at.is_some_and(|at| now.since(at) < ASKED_FOR_MAX) {
-            return Passed::Asked;
+            return Admission::AnswerPending;
         }
         self.asked_at = Some(now);
-        Passed::Ask { wanted: self.batch(now), arrived: std::mem::take(&mut self.arrived) }
+        Admission::Ask { wanted: self.batch(now), arrived: std::mem::take(&mut self.arrived) }
     }
 
     /// The counter answered.
-    pub fn counted(&mut self, counted: &Counted, now: Timestamp) {
+    pub fn apply_grant(&mut self, counted: &TokenGrant, now: Timestamp) {
         self.asked_at = None;
         self.alone_until = None;
         if let Some(rate_per_s) = counted.own_rate_per_s {
@@ -133,7 +133,7 @@
         }
         if counted.tokens > 0 {
             self.tokens = counted.tokens;
-            self.tokens_end = now + TOKENS_VALID_FOR;
+            self.tokens_end = now + TOKEN_TTL;
             self.refused = None;
         } else {
             let until = now + REFUSED_FOR.min(counted.retry_after);
@@ -142,13 +142,13 @@
     }
 
     /// No counter answered.
-    pub fn unanswered(&mut self, now: Timestamp) {
+    pub fn start_fallback(&mut self, now: Timestamp) {
         self.asked_at = None;
         self.alone_until = Some(now + ALONE_FOR);
     }
 
     /// A request that was admitted has provably not run.
-    pub fn give_back(&mut self, now: Timestamp) {
+    pub fn return_token(&mut self, now: Timestamp) {
         if now < self.tokens_end {
             self.tokens += 1;
         }
@@ -164,15 +164,15 @@
         self.demand.per_s(now)
     }
 
-    fn pass_alone(&mut self, now: Timestamp) -> Passed {
+    fn pass_alone(&mut self, now: Timestamp) -> Admission {
         match self.own.take(1, now) {
-            0 => Passed::Refused(self.own.time_to(1.0)),
-            _ => Passed::Admitted,
+            0 => Admission::Refused(self.own.time_to(1.0)),
+            _ => Admission::Admitted,
         }
     }
 
     fn batch(&self, now: Timestamp) -> u32 {
-        let expected = self.demand.per_s(now) * BATCH_FOR.as_secs_f64();
+        let expected = self.demand.per_s(now) * BATCH_DURATION.as_secs_f64();
         (expected.ceil() as u32).clamp(1, BATCH_MAX)
     }
 
--- a/crates/thymeshift_organisations/tests/counting.rs
+++ b/crates/thymeshift_organisations/tests/counting.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 
 use thymeshift_config::Configuration;
-use thymeshift_organisations::Counted;
+use thymeshift_organisations::Admission;
 use thymeshift_organisations::KeyRing;
-use thymeshift_organisations::Passed;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::QuotaQuestion;
-use thymeshift_organisations::TOKENS_VALID_FOR;
+use thymeshift_organisations::TOKEN_TTL;
+use thymeshift_organisations::TokenGrant;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_types::KeyDigest;
 use thymeshift_types::Timestamp;
 
 const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 10.0, burst: 10.0 };
 const START: Timestamp = Timestamp::from_millis(1_000);
 
-fn question(number: u64, wanted: u32) -> QuotaQuestion {
-    QuotaQuestion { number, wanted, arrived: wanted }
+fn question(number: u64, wanted: u32) -> TokenRequest {
+    TokenRequest { number, wanted, arrived: wanted }
 }
 
 fn later(seconds: u64) -> Timestamp {
@@ -29,9 +29,9 @@
 #[test]
 fn a_counter_that_begins_has_hardly_any_tokens_and_then_those_of_its_rate() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    assert_eq!(counter.ask(&"a", question(1, 100), START).tokens, 2);
-    assert_eq!(counter.ask(&"a", question(2, 100), later(100)).tokens, 10);
-    let refused = counter.ask(&"a", question(3, 1), later(100));
+    assert_eq!(counter.grant_tokens(&"a", question(1, 100), START).tokens, 2);
+    assert_eq!(counter.grant_tokens(&"a", question(2, 100), later(100)).tokens, 10);
+    let refused = counter.grant_tokens(&"a", question(3, 1), later(100));
     assert_eq!(refused.tokens, 0);
     assert!(refused.retry_after >= Duration::from_millis(100), "{refused:?}");
 }
@@ -39,32 +39,32 @@
 #[test]
 fn a_question_that_arrives_twice_is_counted_once() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    let first = counter.ask(&"a", question(7, 4), later(10));
-    assert_eq!(counter.ask(&"a", question(7, 4), later(10)), first);
-    assert_eq!(counter.ask(&"b", question(7, 10), later(10)).tokens, 10 - first.tokens);
+    let first = counter.grant_tokens(&"a", question(7, 4), later(10));
+    assert_eq!(counter.grant_tokens(&"a", question(7, 4), later(10)), first);
+    assert_eq!(counter.grant_tokens(&"b", question(7, 10), later(10)).tokens, 10 - first.tokens);
 }
 
 #[test]
 fn tokens_lapse_and_what_did_not_run_is_given_back() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
-    let counted = Counted { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
-    holder.counted(&counted, START);
-    assert_eq!(holder.pass(START), Passed::Admitted);
-    holder.give_back(START);
+    let counted = TokenGrant { tokens: 2, retry_after: Duration::ZERO, own_rate_per_s: None };
+    holder.apply_grant(&counted, START);
+    assert_eq!(holder.admit(START), Admission::Admitted);
+    holder.return_token(START);
     assert_eq!(holder.tokens(START), 2);
-    let late = START + TOKENS_VALID_FOR;
-    assert!(matches!(holder.pass(late), Passed::Ask { .. }));
-    holder.give_back(late);
+    let late = START + TOKEN_TTL;
+    assert!(matches!(holder.admit(late), Admission::Ask { .. }));
+    holder.return_token(late);
     assert_eq!(holder.tokens(late), 0);
 }
 
 #[test]
 fn one_question_at_a_time_is_asked_and_another_after_its_asker_has_left() {
     let mut holder = QuotaHolder::new(LIMIT, 100, START);
-    holder.arrived(START);
-    assert_eq!(holder.pass(START), Passed::Ask { wanted: 1, arrived: 1 });
-    assert_eq!(holder.pass(START), Passed::Asked);
-    assert!(matches!(holder.pass(later(1)), Passed::Ask { .. }));
+    holder.record_arrival(START);
+    assert_eq!(holder.admit(START), Admission::Ask { wanted: 1, arrived: 1 });
+    assert_eq!(holder.admit(START), Admission::AnswerPending);
+    assert!(matches!(holder.admit(later(1)), Admission::Ask { .. }));
 }
 
 #[test]
@@ -80,13 +80,13 @@
     ];
     for Case { note, own_rate_per_s, admitted } in cases {
         let mut holder = QuotaHolder::new(LIMIT, 100, START);
-        let counted = Counted { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
-        holder.counted(&counted, START);
+        let counted = TokenGrant { tokens: 0, retry_after: Duration::ZERO, own_rate_per_s };
+        holder.apply_grant(&counted, START);
         let mut count = 0;
         for tenth in 0..100 {
             let now = later(1) + Duration::from_millis(100 * tenth);
-            holder.unanswered(now);
-            count += usize::from(holder.pass(now) == Passed::Admitted);
+            holder.start_fallback(now);
+            count += usize::from(holder.admit(now) == Admission::Admitted);
         }
         assert!(admitted.contains(&count), "{note}: {count}");
     }
@@ -95,9 +95,9 @@
 #[test]
 fn a_young_counter_tells_no_part_because_it_does_not_know_the_demand_of_others() {
     let mut counter = QuotaCounter::new(LIMIT, START);
-    assert_eq!(counter.ask(&"a", question(1, 1), later(1)).own_rate_per_s, None);
-    let _ = counter.ask(&"b", question(1, 1), later(6));
-    let told = counter.ask(&"a", question(2, 1), later(6)).own_rate_per_s.expect("a part");
+    assert_eq!(counter.grant_tokens(&"a", question(1, 1), later(1)).own_rate_per_s, None);
+    let _ = counter.grant_tokens(&"b", question(1, 1), later(6));
+    let told = counter.grant_tokens(&"a", question(2, 1), later(6)).own_rate_per_s.expect("a part");
     assert!(told < LIMIT.rate_per_s, "{told}");
 }
 
@@ -116,11 +116,11 @@
         let configuration = Configuration::parse(&text).expect("a configuration");
         let keys = KeyRing::new(configuration.organisations);
         let name = u32::try_from(name).expect("a number");
-        let holder = keys.holder(&digest(name * 1_000 + 999)).expect("its holder");
+        let holder = keys.owner(&digest(name * 1_000 + 999)).expect("its holder");
         assert_eq!(holder.name.as_str(), format!("o-{name}"));
-        assert!(keys.holder(&digest(100_000)).is_none());
+        assert!(keys.owner(&digest(100_000)).is_none());
     }
-    assert!(KeyRing::new(Arc::default()).is_open());
+    assert!(KeyRing::new(Arc::default()).allows_anonymous());
 }
 
 #[test]
--- a/crates/thymeshift_pipeline/src/pipeline.rs
+++ b/crates/thymeshift_pipeline/src/pipeline.rs
@@ -15,13 +15,13 @@
 
 /// What is known of a request that hyper has read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Delivery {
+pub enum RequestMatch {
     /// It was not named before.
-    Fresh,
+    NotYielded,
     /// It is the first of those that were named.
-    Named,
+    Yielded,
     /// It is another one than the first that was named: nothing that was begun may be used.
-    Other,
+    Mismatch,
 }
 
 /// The bytes of one connection, as far as they are needed to find the requests in it.
@@ -37,7 +37,7 @@
     /// Whether the next request is to be read by hyper first.
     is_held: bool,
     /// Whether nothing more is followed.
-    is_over: bool,
+    is_stopped: bool,
 }
 
 impl Pipeline {
@@ -50,13 +50,13 @@
             body_left: 0,
             named: VecDeque::new(),
             is_held: true,
-            is_over: false,
+            is_stopped: false,
         }
     }
 
     /// Bytes came from the caller, in their order.
-    pub fn arrived(&mut self, bytes: &[u8]) {
-        if self.is_over {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
+        if self.is_stopped {
             return;
         }
         let body = usize::try_from(self.body_left).unwrap_or(usize::MAX).min(bytes.len());
@@ -70,24 +70,24 @@
     }
 
     /// hyper has read a request.
-    pub fn delivered(&mut self, parts: &Parts) -> Delivery {
+    pub fn match_request(&mut self, parts: &Parts) -> RequestMatch {
         if let Some(named) = self.named.pop_front() {
             if is_same(&named, parts) {
-                return Delivery::Named;
+                return RequestMatch::Yielded;
             }
             self.named.clear();
             self.end();
-            return Delivery::Other;
+            return RequestMatch::Mismatch;
         }
-        if !self.is_over {
+        if !self.is_stopped {
             self.pass(parts);
         }
-        Delivery::Fresh
+        RequestMatch::NotYielded
     }
 
     /// Names the next request behind the one under way, if its work may begin.
-    pub fn next(&mut self, may_begin: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
-        if self.is_over || self.is_held || self.body_left > 0 || self.unread.is_empty() {
+    pub fn next_request(&mut self, may_begin: impl FnOnce(&Parts) -> bool) -> Option<Parts> {
+        if self.is_stopped || self.is_held || self.body_left > 0 || self.unread.is_empty() {
             return None;
         }
         let head = match read(&self.unread) {
@@ -110,7 +110,7 @@
     }
 
     /// Requests that were named, and that hyper has not read.
-    pub fn named(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.named.len()
     }
 
@@ -120,8 +120,8 @@
     }
 
     /// Whether nothing more is followed.
-    pub fn is_over(&self) -> bool {
-        self.is_over
+    pub fn is_stopped(&self) -> bool {
+        self.is_stopped
     }
 
     /// Goes on behind a request that was not named.
@@ -141,7 +141,7 @@
     }
 
     fn end(&mut self) {
-        self.is_over = true;
+        self.is_stopped = true;
         self.unread = BytesMut::new();
     }
 }
