--- a/crates/thymeshift_allocation/src/group.rs
+++ b/crates/thymeshift_allocation/src/group.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether a target belongs to it.
-    pub fn has(&self, target: &Target) -> bool {
+    pub fn contains(&self, target: &Target) -> bool {
         match self {
             Self::All => true,
             Self::Hall(hall) => target.data_hall == *hall,
@@ -74,14 +74,14 @@
 
     /// The group to which requests from `hall` go first. From a hall without targets they
     /// are spread over all groups by their sizes; `draw` decides.
-    pub fn first_for(&self, hall: &DataHallName, draw: u64) -> &Group {
+    pub fn preferred_group(&self, hall: &DataHallName, draw: u64) -> &Group {
         let own = self.groups.iter().find(|(group, _)| group.is_of_hall(hall));
         let (group, _) = own.unwrap_or_else(|| self.drawn(draw));
         group
     }
 
     /// A group other than `group`, spread by their sizes; none if there is no other.
-    pub fn other_than(&self, group: &Group, draw: u64) -> Option<&Group> {
+    pub fn alternative_group(&self, group: &Group, draw: u64) -> Option<&Group> {
         let others = self.groups.iter().filter(|(other, _)| other != group).cloned().collect();
         let others = Self { groups: others };
         if others.groups.is_empty() {
--- a/crates/thymeshift_allocation/src/rooms.rs
+++ b/crates/thymeshift_allocation/src/headroom.rs
@@ -23,25 +23,25 @@
 
 /// The room that other groups told of.
 #[derive(Debug, Clone, Default)]
-pub struct Rooms {
+pub struct GroupHeadroom {
     told: BTreeMap<Group, Told>,
 }
 
-impl Rooms {
+impl GroupHeadroom {
     /// A group told its room.
-    pub fn learn(&mut self, group: Group, room: u32, now: Timestamp) {
+    pub fn record(&mut self, group: Group, room: u32, now: Timestamp) {
         self.told.insert(group, Told { room, at: now });
     }
 
     /// Whether another group than `own` has room.
-    pub fn is_elsewhere(&self, own: &Group, now: Timestamp) -> bool {
+    pub fn is_available_outside(&self, own: &Group, now: Timestamp) -> bool {
         self.told
             .iter()
             .any(|(group, told)| group != own && told.room > 0 && now.since(told.at) < WORTH)
     }
 
     /// Takes a place in another group than `own`, drawn by room.
-    pub fn take<R: Rng>(&mut self, own: &Group, now: Timestamp, rng: &mut R) -> Option<Group> {
+    pub fn reserve<R: Rng>(&mut self, own: &Group, now: Timestamp, rng: &mut R) -> Option<Group> {
         let is_usable = |group: &Group, told: &Told| group != own && now.since(told.at) < WORTH;
         let mut usable: Vec<(&Group, &mut Told)> = self
             .told
--- a/crates/thymeshift_allocation/src/lib.rs
+++ b/crates/thymeshift_allocation/src/lib.rs
@@ -15,8 +15,8 @@
 //! the fleet.
 
 mod group;
+mod headroom;
 mod rank;
-mod rooms;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,8 +39,8 @@
 
 pub use group::Group;
 pub use group::Grouping;
+pub use headroom::GroupHeadroom;
 pub use rank::AllocatorRank;
-pub use rooms::Rooms;
 
 /// A lease that its holder does not name is taken back once it is this old: the answer
 /// that told of it may still have been on its way when the holder wrote.
@@ -59,7 +59,7 @@
 
 /// The right to send one request to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Granted {
+pub struct LeaseGrant {
     /// The target.
     pub target: TargetName,
     /// Most requests that one target of the group serves well at a time:
@@ -84,8 +84,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Allocation {
     /// It may send to a target.
-    Granted(Granted),
-    /// It waits; [`Allocator::woken`] tells the rest.
+    Granted(LeaseGrant),
+    /// It waits; [`Allocator::resolve_ticket`] tells the rest.
     Waiting,
     /// It gets none.
     Refused(Refusal),
@@ -168,7 +168,7 @@
     }
 
     /// A holder named all leases that it holds: others of it are taken back.
-    pub fn keep_only<S: Strategy>(
+    pub fn release_unlisted<S: Strategy>(
         &mut self,
         holder: &B,
         held: &[u64],
@@ -202,7 +202,7 @@
 
     /// The dispatcher woke a ticket. Returns whom to tell, if it belongs to a lease, else
     /// what was given is handed back.
-    pub fn woken<S: Strategy>(
+    pub fn resolve_ticket<S: Strategy>(
         &mut self,
         ticket: Ticket,
         woken: Result<Grant, Refusal>,
@@ -231,7 +231,7 @@
     }
 
     /// Whether a lease is out or waited for.
-    pub fn knows(&self, key: &LeaseKey<B>) -> bool {
+    pub fn contains(&self, key: &LeaseKey<B>) -> bool {
         self.leases.contains_key(key)
     }
 
@@ -247,7 +247,7 @@
 }
 
 fn granted<S: Strategy>(dispatcher: &Dispatcher<S>, grant: &Grant, now: Timestamp) -> Allocation {
-    Allocation::Granted(Granted {
+    Allocation::Granted(LeaseGrant {
         target: dispatcher.target_name(grant),
         concurrency: dispatcher.concurrency(now),
         rate_limit: dispatcher.rate_limit_update(grant, now),
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use support::hall;
-use support::name;
+use support::local_hall;
 use support::report;
+use support::target_name;
 use thymeshift_config::Configuration;
 use thymeshift_dispatch::AnyStrategy;
 use thymeshift_dispatch::Dispatcher;
@@ -40,17 +40,17 @@
     let (before, after) = (configuration(0, TARGETS), configuration(100, TARGETS + 100));
     let begun = Instant::now();
     let mut dispatcher: Dispatcher<AnyStrategy> =
-        Dispatcher::configured(&before, &before.services[0], &hall(), START);
+        Dispatcher::configured(&before, &before.services[0], &local_hall(), START);
     for step in 0..4 {
         let configuration = if step % 2 == 0 { &after } else { &before };
-        dispatcher.reconfigure(configuration, &configuration.services[0], &hall(), START);
+        dispatcher.reconfigure(configuration, &configuration.services[0], &local_hall(), START);
     }
     for index in 100..TARGETS {
-        dispatcher.record_probe(&name(index), report(0, 0), START);
+        dispatcher.record_probe(&target_name(index), report(0, 0), START);
     }
     let taken = begun.elapsed();
     assert!(taken < LIMIT, "{taken:?}");
     assert_eq!(dispatcher.probe_targets(START).count(), TARGETS);
-    assert!(dispatcher.index_of(&name(0)).is_some());
-    assert!(dispatcher.index_of(&name(TARGETS)).is_none());
+    assert!(dispatcher.index_of(&target_name(0)).is_some());
+    assert!(dispatcher.index_of(&target_name(TARGETS)).is_none());
 }
--- a/crates/thymeshift_dispatch/tests/support/mod.rs
+++ b/crates/thymeshift_dispatch/tests/support/mod.rs
@@ -41,14 +41,14 @@
 }
 
 /// One service with targets `t0`, `t1`, … of one slot; `service` holds further lines of
-/// it, `near` of the targets stand in this VM's data hall.
-pub(crate) fn configuration(targets: usize, near: usize, service: &str) -> Configuration {
+/// it, `local_targets` of the targets stand in this VM's data hall.
+pub(crate) fn configuration(targets: usize, local_targets: usize, service: &str) -> Configuration {
     let mut text = format!(
         "entry_vms_max: 4\ndata_halls: [a, b]\ndata_hall_one_way_us: 1500\nkinds: []\nservices:\n  \
          - name: s\n    slots_per_target: 1\n    connections_per_target: 40\n{service}    targets:\n"
     );
     for index in 0..targets {
-        let hall = if index < near { 'a' } else { 'b' };
+        let hall = if index < local_targets { 'a' } else { 'b' };
         let port = index + 1;
         writeln!(
             text,
@@ -62,16 +62,16 @@
     Configuration::parse(&text).unwrap_or_else(|mistakes| panic!("{mistakes}\n{text}"))
 }
 
-pub(crate) fn hall() -> DataHallName {
+pub(crate) fn local_hall() -> DataHallName {
     DataHallName::new("a").expect("a name")
 }
 
-pub(crate) fn name(index: usize) -> TargetName {
+pub(crate) fn target_name(index: usize) -> TargetName {
     TargetName::new(&format!("t{index}")).expect("a name")
 }
 
 pub(crate) fn dispatcher(configuration: &Configuration) -> Dispatcher<AnyStrategy> {
-    Dispatcher::configured(configuration, &configuration.services[0], &hall(), START)
+    Dispatcher::configured(configuration, &configuration.services[0], &local_hall(), START)
 }
 
 /// A request that waits up to its deadline.
@@ -102,12 +102,12 @@
 }
 
 /// A report of an idle target that is cold for so much longer.
-pub(crate) fn told_cold(left_ms: u32) -> LoadReport {
+pub(crate) fn cold_report(left_ms: u32) -> LoadReport {
     LoadReport { cold_for_ms: Some(left_ms), ..report(0, 0) }
 }
 
 /// The grant of a request that must be sent at once.
-pub(crate) fn sent(
+pub(crate) fn expect_grant(
     dispatcher: &mut Dispatcher<AnyStrategy>,
     request: Request,
     now: Timestamp,
--- a/crates/thymeshift_dispatch/tests/targets.rs
+++ b/crates/thymeshift_dispatch/tests/targets.rs
@@ -20,19 +20,19 @@
 use crate::support::at;
 use crate::support::configuration;
 use crate::support::dispatcher;
-use crate::support::hall;
+use crate::support::expect_grant;
+use crate::support::local_hall;
 use crate::support::ms;
-use crate::support::name;
 use crate::support::report;
 use crate::support::request;
 use crate::support::rng;
-use crate::support::sent;
+use crate::support::target_name;
 
 const RANDOM: &str = "    strategy: random\n";
 
 fn usability(dispatcher: &Dispatcher<AnyStrategy>, index: usize, now: Timestamp) -> Usability {
     let dump = dispatcher.dump(now);
-    let found = dump.targets.iter().find(|target| target.name == name(index));
+    let found = dump.targets.iter().find(|target| target.name == target_name(index));
     found.expect("a target").usability
 }
 
@@ -48,7 +48,7 @@
     let mut counts = BTreeMap::new();
     let mut now = at(start);
     for _ in 0..count {
-        let grant = sent(dispatcher, request(1, now + ms(1_000)), now, &mut rng);
+        let grant = expect_grant(dispatcher, request(1, now + ms(1_000)), now, &mut rng);
         let target = dispatcher.target_name(&grant).to_string();
         let (observation, taken) = answer(&target);
         now = now + ms(taken);
@@ -76,23 +76,23 @@
     let draining = LoadReport { state: ReportedState::Draining, ..report(0, 0) };
     match source {
         Source::Mark => {
-            assert!(dispatcher.mark_leaving(&name(0), Incarnation::new(1)));
+            assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
         }
         Source::Answer => {
-            let grant = sent(dispatcher, request(1, at(100)), at(0), &mut rng());
+            let grant = expect_grant(dispatcher, request(1, at(100)), at(0), &mut rng());
             let mark =
                 dispatcher.record_attempt(&grant, Observation::Answered(Some(draining)), at(1));
-            assert_eq!(mark.expect("news to pass on").target, name(0));
+            assert_eq!(mark.expect("news to pass on").target, target_name(0));
             dispatcher.release(grant, at(1));
         }
         Source::Probe => {
-            let mark = dispatcher.record_probe(&name(0), draining, at(1));
-            assert_eq!(mark.expect("news to pass on").target, name(0));
+            let mark = dispatcher.record_probe(&target_name(0), draining, at(1));
+            assert_eq!(mark.expect("news to pass on").target, target_name(0));
         }
         Source::Configuration => {
             let mut leaving = good.clone();
             leaving.services[0].targets[0].state = thymeshift_config::TargetState::Leaving;
-            dispatcher.update(&leaving, &leaving.services[0], &hall(), at(1));
+            dispatcher.update(&leaving, &leaving.services[0], &local_hall(), at(1));
         }
     }
 }
@@ -102,19 +102,22 @@
     for source in [Source::Mark, Source::Answer, Source::Probe, Source::Configuration] {
         let good = configuration(1, 1, "");
         let mut dispatcher = dispatcher(&good);
-        let before = sent(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
+        let before = expect_grant(&mut dispatcher, request(1, at(9_000)), at(0), &mut rng());
         dispatcher.release(before, at(0));
         say_leaving(&mut dispatcher, source, &good);
         assert_eq!(usability(&dispatcher, 0, at(2)), Usability::Leaving, "{source:?}");
         // A stale platform lists it as serving again, a stale report says so.
-        dispatcher.update(&good, &good.services[0], &hall(), at(3));
-        dispatcher.record_probe(&name(0), report(0, 0), at(3));
+        dispatcher.update(&good, &good.services[0], &local_hall(), at(3));
+        dispatcher.record_probe(&target_name(0), report(0, 0), at(3));
         assert_eq!(usability(&dispatcher, 0, at(4)), Usability::Leaving, "{source:?}");
         // A new incarnation on the same address serves.
         let mut renewed = good.clone();
         renewed.services[0].targets[0].incarnation = Incarnation::new(2);
-        dispatcher.update(&renewed, &renewed.services[0], &hall(), at(5));
-        assert!(!dispatcher.mark_leaving(&name(0), Incarnation::new(1)), "late news, {source:?}");
+        dispatcher.update(&renewed, &renewed.services[0], &local_hall(), at(5));
+        assert!(
+            !dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)),
+            "late news, {source:?}"
+        );
         let mut rng = rng();
         let decision = dispatcher.request(request(1, at(9_000)), at(6), &mut rng);
         assert!(matches!(decision, Decision::Send(_)), "{source:?}");
@@ -124,10 +127,10 @@
 #[test]
 fn a_choice_is_void_once_the_target_leaves_or_the_deadline_has_passed() {
     let mut dispatcher = dispatcher(&configuration(1, 1, ""));
-    let grant = sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng());
+    let grant = expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng());
     assert!(dispatcher.may_send(&grant, at(100), at(99)));
     assert!(!dispatcher.may_send(&grant, at(100), at(100)), "slept until the deadline");
-    dispatcher.mark_leaving(&name(0), Incarnation::new(1));
+    dispatcher.mark_leaving(&target_name(0), Incarnation::new(1));
     assert!(!dispatcher.may_send(&grant, at(100), at(1)), "leaving");
 }
 
@@ -204,7 +207,7 @@
     let large = configuration(5, 5, "    cold_start_ramp_ms: 2000\n");
     let mut dispatcher = dispatcher(&small);
     drive(&mut dispatcher, 400, 0, |_| (idle(), 2));
-    dispatcher.update(&large, &large.services[0], &hall(), at(1_000));
+    dispatcher.update(&large, &large.services[0], &local_hall(), at(1_000));
     let early = drive(&mut dispatcher, 100, 1_001, |_| (idle(), 2));
     let later = drive(&mut dispatcher, 1_000, 4_000, |_| (idle(), 2));
     let early = early.get("t4").copied().unwrap_or(0);
@@ -240,7 +243,7 @@
     }
     for _ in 0..40 {
         now = now + ms(500);
-        let grant = sent(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
+        let grant = expect_grant(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
         dispatcher.record_attempt(&grant, Observation::Answered(Some(report(1, 9))), now);
         dispatcher.release(grant, now);
     }
@@ -252,13 +255,13 @@
     for targets in [1, 4] {
         let mut dispatcher = dispatcher(&configuration(targets, targets, ""));
         let mut rng = rng();
-        let first = sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng);
+        let first = expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng);
         let mut tried = Tried::default();
         tried.add(first.target());
         dispatcher.release(first, at(0));
         for _ in 0..20 {
             let again = Request { tried, ..request(1, at(100)) };
-            let second = sent(&mut dispatcher, again, at(0), &mut rng);
+            let second = expect_grant(&mut dispatcher, again, at(0), &mut rng);
             assert_eq!(tried.contains(second.target()), targets == 1);
             dispatcher.release(second, at(0));
         }
@@ -280,7 +283,7 @@
 #[test]
 fn an_operators_order_stops_a_target_and_lets_it_go_on() {
     let mut dispatcher = dispatcher(&configuration(2, 2, ""));
-    dispatcher.set_stopped(|target| *target == name(0));
+    dispatcher.set_stopped(|target| *target == target_name(0));
     assert_eq!(usability(&dispatcher, 0, at(0)), Usability::Stopped);
     let counts = drive(&mut dispatcher, 50, 0, |_| (idle(), 1));
     assert_eq!(counts.get("t0"), None);
@@ -296,17 +299,17 @@
     let mut dispatcher = dispatcher(&two);
     let mut rng = rng();
     let mut grants = vec![
-        sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
-        sent(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
+        expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
+        expect_grant(&mut dispatcher, request(1, at(100)), at(0), &mut rng),
     ];
-    dispatcher.update(&one, &one.services[0], &hall(), at(1));
-    dispatcher.update(&two, &two.services[0], &hall(), at(2));
+    dispatcher.update(&one, &one.services[0], &local_hall(), at(1));
+    dispatcher.update(&two, &two.services[0], &local_hall(), at(2));
     assert_eq!(dispatcher.dump(at(2)).targets.len(), 3, "t1 has a new place");
     for grant in grants.drain(..) {
         dispatcher.record_attempt(&grant, idle(), at(3));
         dispatcher.release(grant, at(3));
     }
-    dispatcher.update(&one, &one.services[0], &hall(), at(4));
-    dispatcher.update(&two, &two.services[0], &hall(), at(5));
+    dispatcher.update(&one, &one.services[0], &local_hall(), at(4));
+    dispatcher.update(&two, &two.services[0], &local_hall(), at(5));
     assert_eq!(dispatcher.dump(at(5)).targets.len(), 3, "places are used again");
 }
--- a/crates/thymeshift_entry/src/caller/ahead.rs
+++ b/crates/thymeshift_entry/src/caller/ahead.rs
@@ -22,8 +22,8 @@
 use parking_lot::Mutex;
 use spdlog::error;
 use thymeshift_config::Repeat;
-use thymeshift_pipeline::Delivery;
 use thymeshift_pipeline::Pipeline;
+use thymeshift_pipeline::RequestMatch;
 use thymeshift_telemetry::metric;
 use thymeshift_wire::Dialect;
 use tokio::io::ReadBuf;
@@ -70,7 +70,7 @@
 
 impl Drop for Begun {
     fn drop(&mut self) {
-        self.shared.figures.requests_ahead.fetch_sub(1, Ordering::Relaxed);
+        self.shared.metrics.pipelined_requests.fetch_sub(1, Ordering::Relaxed);
         if let Some(answer) = &self.answer {
             answer.abort();
         }
@@ -133,7 +133,7 @@
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(length) => {
                     let bytes = &buffer.initialize_unfilled()[..length];
-                    self.state.lock().pipeline.arrived(bytes);
+                    self.state.lock().pipeline.push_bytes(bytes);
                     buffer.advance(length);
                     self.arrived.notify_one();
                     return Poll::Ready(Ok(()));
@@ -185,10 +185,10 @@
     /// The work on a request that was begun early.
     fn delivered(&self, parts: &Parts) -> Option<Begun> {
         let state = &mut *self.state.lock();
-        match state.pipeline.delivered(parts) {
-            Delivery::Fresh => None,
-            Delivery::Named => state.begun.pop_front(),
-            Delivery::Other => {
+        match state.pipeline.match_request(parts) {
+            RequestMatch::NotYielded => None,
+            RequestMatch::Yielded => state.begun.pop_front(),
+            RequestMatch::Mismatch => {
                 state.begun.clear();
                 None
             }
@@ -218,7 +218,7 @@
 
     fn may_take(&self) -> bool {
         let state = self.state.lock();
-        !state.pipeline.is_over() && state.taken.len() + READ_BYTES <= BYTES_AHEAD_MAX
+        !state.pipeline.is_stopped() && state.taken.len() + READ_BYTES <= BYTES_AHEAD_MAX
     }
 
     /// Takes what has arrived; an error means that the caller has left.
@@ -233,7 +233,7 @@
             }
             Ok(length) => {
                 let state = &mut *self.state.lock();
-                state.pipeline.arrived(&bytes[..length]);
+                state.pipeline.push_bytes(&bytes[..length]);
                 state.taken.extend_from_slice(&bytes[..length]);
                 Ok(())
             }
@@ -248,12 +248,12 @@
         let routing = shared.routing()?;
         let ahead_max = routing.configuration.limits.requests_ahead_max;
         let state = &mut *self.state.lock();
-        let is_full = state.pipeline.named() as u64 >= ahead_max
-            || shared.figures.requests_ahead.load(Ordering::Relaxed) >= AHEAD_IN_PROCESS_MAX;
+        let is_full = state.pipeline.pending_count() as u64 >= ahead_max
+            || shared.metrics.pipelined_requests.load(Ordering::Relaxed) >= AHEAD_IN_PROCESS_MAX;
         if is_full {
             return None;
         }
-        state.pipeline.next(|parts| {
+        state.pipeline.next_request(|parts| {
             let kind = routing.kind_of(&Head::new(parts));
             parts.method.is_safe() && kind.is_some_and(|kind| kind.kind.repeat == Repeat::Safe)
         })
@@ -261,7 +261,7 @@
 
     fn begin<D: Dialect>(&self, shared: &Arc<Shared>, caller: SocketAddr, parts: Parts) {
         counter!(metric::REQUESTS_AHEAD).increment(1);
-        shared.figures.requests_ahead.fetch_add(1, Ordering::Relaxed);
+        shared.metrics.pipelined_requests.fetch_add(1, Ordering::Relaxed);
         let request = Request::from_parts(parts, None);
         let answer = tokio::spawn(handle::<D>(shared.clone(), caller, request));
         let begun = Begun { answer: Some(answer), shared: shared.clone() };
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -14,8 +14,8 @@
 use thymeshift_wire::Datagram;
 use thymeshift_wire::Message;
 
+use crate::allocation_client::AcquireReply;
 use crate::allocation_client::LeaseHolder;
-use crate::allocation_client::Reply;
 use crate::control_plane::relay::take_news;
 use crate::control_plane::rooms::take_room;
 use crate::control_plane::source::take_heartbeat;
@@ -45,11 +45,11 @@
 fn take(shared: &Arc<Shared>, datagram: Datagram, from: SocketAddr) {
     let Datagram { sender, boot, message } = datagram;
     let client = &shared.allocation;
-    shared.fleet.lock().members.heard(&sender, boot, BootClock.now());
+    shared.fleet.lock().members.record_message(&sender, boot, BootClock.now());
     match message {
         Message::SourceHeartbeat(heartbeat) => take_heartbeat(shared, &heartbeat),
         Message::Phase(member) => {
-            shared.fleet.lock().members.introduced(&member, BootClock.now());
+            shared.fleet.lock().members.record_announcement(&member, BootClock.now());
         }
         Message::News(heads) => take_news(shared, &sender, heads),
         Message::Suspect(told) => take_suspect(shared, &sender, &told),
@@ -77,19 +77,19 @@
             shared.quotas.replied(number, QuotaReply::Elsewhere);
         }
         Message::Room(told) => take_room(shared, &sender, &told),
-        Message::Waiting(number) => client.replied(number, Reply::Waiting),
-        Message::Granted(number, granted) => client.replied(number, Reply::Granted(granted)),
-        Message::Declined(number) => client.replied(number, Reply::Declined),
+        Message::Waiting(number) => client.deliver(number, AcquireReply::Waiting),
+        Message::Granted(number, granted) => client.deliver(number, AcquireReply::Granted(granted)),
+        Message::Declined(number) => client.deliver(number, AcquireReply::Declined),
         Message::Redirected(number, group, allocator) => {
-            client.replied(number, Reply::Redirected(group, allocator));
+            client.deliver(number, AcquireReply::Redirected(group, allocator));
         }
         Message::AskInstead(number, member) => {
-            shared.fleet.lock().members.introduced(&member, BootClock.now());
-            client.replied(number, Reply::AskInstead(member));
+            shared.fleet.lock().members.record_announcement(&member, BootClock.now());
+            client.deliver(number, AcquireReply::AskInstead(member));
         }
         Message::Refused(number, reason, retry_after) => {
             let refusal = Refusal { reason, retry_after };
-            client.replied(number, Reply::Refused(refusal));
+            client.deliver(number, AcquireReply::Refused(refusal));
         }
     }
 }
@@ -101,12 +101,12 @@
         return;
     };
     if acquire.is_first_choice
-        && let Some(member) = service.better_allocator(shared, &acquire.group)
+        && let Some(member) = service.preferred_allocator(shared, &acquire.group)
     {
-        client.reply(&holder, acquire.number, Reply::AskInstead(member));
+        client.reply(&holder, acquire.number, AcquireReply::AskInstead(member));
         return;
     }
-    service.allocated_here(shared, &acquire.group).acquire(holder, acquire);
+    service.local_group(shared, &acquire.group).acquire(holder, acquire);
 }
 
 fn service(shared: &Shared, name: &ServiceName) -> Option<Arc<ServiceRuntime>> {
--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -17,7 +17,7 @@
 use spdlog::error;
 use tarpc::client::RpcError;
 use tarpc::context;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
 use thymeshift_types::BootClock;
@@ -147,11 +147,12 @@
     loop {
         let spread = rand::rng().random_range(0.8..1.2);
         let every = exchange_every(&shared);
-        let is_news = timeout(every.mul_f64(spread), shared.news.notified()).await.is_ok();
+        let is_news =
+            timeout(every.mul_f64(spread), shared.peer_exchange_due.notified()).await.is_ok();
         if is_news {
-            exchange_with(&shared, TOLD_AT_ONCE, Breadth::News).await;
+            exchange_with(&shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
         } else {
-            exchange_with(&shared, 1, Breadth::Regular).await;
+            exchange_with(&shared, 1, GossipScope::Regular).await;
         }
     }
 }
@@ -169,16 +170,16 @@
 
 /// Tells a few peers that this process is stopping.
 pub(crate) async fn say_goodbye(shared: &Arc<Shared>) {
-    exchange_with(shared, TOLD_AT_ONCE, Breadth::News).await;
+    exchange_with(shared, TOLD_AT_ONCE, GossipScope::SenderOnly).await;
 }
 
-async fn exchange_with(shared: &Arc<Shared>, count: usize, breadth: Breadth<'static>) {
+async fn exchange_with(shared: &Arc<Shared>, count: usize, breadth: GossipScope<'static>) {
     let picked = {
         let now = BootClock.now();
         let mut fleet = shared.fleet.lock();
         let revision = fleet.configuration.head().map(|head| head.revision);
-        fleet.members.beat(shared.phase(), revision);
-        fleet.members.pick(count, now, &mut rand::rng())
+        fleet.members.advance_heartbeat(shared.phase(), revision);
+        fleet.members.pick_peers(count, now, &mut rand::rng())
     };
     let exchanges = picked.into_iter().map(|address| exchange_once(shared, address, breadth));
     join_all(exchanges).await;
@@ -188,7 +189,7 @@
 pub(crate) async fn exchange_once(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    breadth: Breadth<'_>,
+    breadth: GossipScope<'_>,
 ) -> Result<(), ExchangeError> {
     let answered = call(shared, address, breadth).await;
     let result = if answered.is_ok() { "answered" } else { "failed" };
@@ -197,7 +198,7 @@
         let peer = address.to_string();
         debug!("peer_exchange_failed", kv: { peer, error: = error });
         shared.links.forget(address);
-        shared.fleet.lock().members.unanswered(address);
+        shared.fleet.lock().members.record_no_answer(address);
     }
     answered
 }
@@ -205,7 +206,7 @@
 async fn call(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    breadth: Breadth<'_>,
+    breadth: GossipScope<'_>,
 ) -> Result<(), ExchangeError> {
     let client = shared.links.get(address).await?;
     let mut summary = shared.fleet.lock().summary(breadth, BootClock.now(), &mut rand::rng());
@@ -229,7 +230,7 @@
 ) -> Result<(), ExchangeError> {
     let wanted = take_summary(shared, exchange);
     for document in wanted {
-        let is_resting = document == Document::Targets && !shared.rest().is_zero();
+        let is_resting = document == Document::Targets && !shared.list_fetch_delay().is_zero();
         if is_resting || !shared.links.begin_fetch(document, BootClock.now()) {
             continue;
         }
@@ -252,11 +253,11 @@
     shared: &Arc<Shared>,
     exchange: &Exchange,
 ) -> Vec<thymeshift_wire::Document> {
-    let taken = shared.fleet.lock().take(exchange, BootClock.now());
-    for mark in &taken.marks {
+    let taken = shared.fleet.lock().apply_exchange(exchange, BootClock.now());
+    for mark in &taken.new_marks {
         shared.apply_mark(mark, "peer");
     }
-    if let Some(head) = taken.conflicting {
+    if let Some(head) = taken.conflicting_head {
         counter!(metric::DOCUMENTS_REFUSED, "offer" => "conflicting").increment(1);
         error!("document_conflicting", kv: {
             document = "configuration",
@@ -265,11 +266,11 @@
     }
     if taken.has_new_orders {
         shared.apply_orders();
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
     }
     shared.merge_rate_limits(&exchange.rate_limits);
-    for fingerprint in &taken.suspects {
+    for fingerprint in &taken.new_suspects {
         log_verdict(shared, *fingerprint, "peer");
     }
-    taken.wanted
+    taken.wanted_documents
 }
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -11,7 +11,7 @@
 
 use metrics::counter;
 use spdlog::warn;
-use thymeshift_fleet::Offer;
+use thymeshift_fleet::OfferOutcome;
 use thymeshift_fleet::Published;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
@@ -51,7 +51,7 @@
             sleep(LOOK).await;
             continue;
         }
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
         let watched = watch_once(&shared, &mut listed_at, wait).await;
         wait = if watched.is_ok() { WAIT } else { Duration::ZERO };
         if let Err(error) = watched {
@@ -76,7 +76,7 @@
     }
     if let Some(published) = fetch(shared, Document::Configuration, wait).await? {
         let offered = offer(shared, Document::Configuration, &published, "platform");
-        if offered != Offer::Adopted {
+        if offered != OfferOutcome::Adopted {
             // The platform answers older or refused content at once: do not ask in a loop.
             sleep(WAIT).await;
         }
@@ -98,7 +98,7 @@
         Document::VmList => "vms",
         Document::Targets => "targets",
     };
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     let answered = ask(shared.settings().platform_address, place, after, wait).await;
     let result = match &answered {
         Ok(Some(_)) => "changed",
@@ -118,7 +118,7 @@
     document: Document,
     published: &Published,
     source: &str,
-) -> Offer {
+) -> OfferOutcome {
     match document {
         Document::Configuration => shared.offer_configuration(published, source),
         Document::VmList => offer_vm_list(shared, published),
@@ -127,7 +127,7 @@
 }
 
 /// The VM list is one peer address a line; a line that is none makes the list invalid.
-fn offer_vm_list(shared: &Shared, published: &Published) -> Offer {
+fn offer_vm_list(shared: &Shared, published: &Published) -> OfferOutcome {
     let mut fleet = shared.fleet.lock();
     let parse = |text: &str| -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
         text.lines()
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -1,17 +1,17 @@
 //! Passing new documents on within the data hall.
 //!
-//! See [`thymeshift_fleet::relay_place`] for who fetches from whom.
+//! See [`thymeshift_fleet::relay_position`] for who fetches from whom.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
 use rand::Rng;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_fleet::Head;
 use thymeshift_fleet::Member;
-use thymeshift_fleet::RelayPlace;
-use thymeshift_fleet::relay_place;
+use thymeshift_fleet::RelayPosition;
+use thymeshift_fleet::relay_position;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
 use thymeshift_types::VmName;
@@ -31,7 +31,7 @@
 pub(crate) fn tell_below(shared: &Shared) {
     let (heads, addresses) = {
         let fleet = shared.fleet.lock();
-        let below = place(&fleet).below;
+        let below = place(&fleet).children;
         let address = |vm: &VmName| fleet.members.find(vm)?.datagram_address;
         let addresses: Vec<SocketAddr> = below.iter().filter_map(address).collect();
         (heads(&fleet), addresses)
@@ -64,7 +64,7 @@
     if !has_newer(shared, theirs) {
         return;
     }
-    let patience = place(&shared.fleet.lock()).patience();
+    let patience = place(&shared.fleet.lock()).wait_limit();
     if patience.is_zero() {
         fetch(shared, heartbeat.peer_address);
         return;
@@ -85,15 +85,15 @@
 
 /// Fetches what is newer at a process, after the rest that lists of targets leave.
 fn fetch(shared: &Arc<Shared>, address: SocketAddr) {
-    if shared.is_resting.swap(true, Ordering::Relaxed) {
+    if shared.is_list_fetch_delayed.swap(true, Ordering::Relaxed) {
         return;
     }
     let shared = shared.clone();
     tokio::spawn(async move {
-        sleep(shared.rest()).await;
-        shared.is_resting.store(false, Ordering::Relaxed);
+        sleep(shared.list_fetch_delay()).await;
+        shared.is_list_fetch_delayed.store(false, Ordering::Relaxed);
         // A failure is counted and logged there; the next heartbeat of a reader tries again.
-        let _ = exchange_once(&shared, address, Breadth::News).await;
+        let _ = exchange_once(&shared, address, GossipScope::SenderOnly).await;
     });
 }
 
@@ -108,8 +108,8 @@
 }
 
 /// This process's place among those of its data hall.
-fn place(fleet: &Fleet) -> RelayPlace {
+fn place(fleet: &Fleet) -> RelayPosition {
     let own = fleet.members.own();
     let near = fleet.members.serving_in(&own.data_hall, BootClock.now());
-    relay_place(&own.vm, near.into_iter().map(Member::contender))
+    relay_position(&own.vm, near.into_iter().map(Member::candidate))
 }
--- a/crates/thymeshift_entry/src/control_plane/rooms.rs
+++ b/crates/thymeshift_entry/src/control_plane/rooms.rs
@@ -42,7 +42,7 @@
 }
 
 fn tell_of_service(shared: &Shared, service: &ServiceRuntime, now: Timestamp) {
-    let groups = service.divided_into();
+    let groups = service.target_groups();
     if groups.len() < 2 {
         return;
     }
@@ -57,9 +57,9 @@
             service: service.name().clone(),
             group: group.clone(),
             allocator: allocator.clone(),
-            room: service.group(group).room(now),
+            room: service.group(group).spare_capacity(now),
         };
-        service.learn_room(&told);
+        service.record_group_room(&told);
         for other in groups.iter().filter(|other| *other != group) {
             if let Some(address) = address_for(shared, service, other, now) {
                 shared.allocation.send(address, Message::Room(told.clone()));
@@ -81,13 +81,13 @@
     let Some(service) = routing.as_ref().and_then(|all| all.service(told.service.as_str())) else {
         return;
     };
-    service.learn_room(told);
+    service.record_group_room(told);
     let is_first_hand = *sender == told.allocator.vm;
     if !is_first_hand {
         return;
     }
     let own_hall = shared.settings().data_hall.clone();
-    let group = service.divided_into().into_iter().find(|group| group.is_of_hall(&own_hall));
+    let group = service.target_groups().into_iter().find(|group| group.is_of_hall(&own_hall));
     let Some(group) = group else {
         return;
     };
@@ -115,7 +115,7 @@
 ) -> Option<SocketAddr> {
     let order = service.allocator_order(shared, group, now);
     let mut usable = order.iter().filter(|place| match place {
-        Some(place) => !shared.allocation.is_passed_over(&place.vm, now),
+        Some(place) => !shared.allocation.is_skipped(&place.vm, now),
         None => true,
     });
     usable.next()?.as_ref().map(|place| place.address)
--- a/crates/thymeshift_entry/src/control_plane/source.rs
+++ b/crates/thymeshift_entry/src/control_plane/source.rs
@@ -9,9 +9,9 @@
 use rand::Rng;
 use spdlog::info;
 use spdlog::warn;
-use thymeshift_fleet::Contender;
-use thymeshift_fleet::HallPlace;
-use thymeshift_fleet::Turn;
+use thymeshift_fleet::Candidate;
+use thymeshift_fleet::HallRank;
+use thymeshift_fleet::ReadAction;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
 use thymeshift_types::BootClock;
@@ -46,16 +46,16 @@
 ) -> Result<(), TaskError> {
     let mut was_answered = true;
     // Until then the start of the process reads. An error would mean that it is ending.
-    let _ = shared.in_force.subscribe().wait_for(|is_in_force| *is_in_force).await;
+    let _ = shared.has_configuration.subscribe().wait_for(|is_in_force| *is_in_force).await;
     loop {
         let turn = {
             let now = BootClock.now();
             turn(&shared.fleet.lock(), now)
         };
         let wait = match turn {
-            Turn::Watch => WATCH_WAIT,
-            Turn::Read => Duration::ZERO,
-            Turn::Rest(rest) => {
+            ReadAction::LongPoll => WATCH_WAIT,
+            ReadAction::Poll => Duration::ZERO,
+            ReadAction::Wait(rest) => {
                 sleep(rest.min(REST_MAX)).await;
                 continue;
             }
@@ -64,21 +64,21 @@
         log_dependency(&read, &mut was_answered);
         tell_fleet(&shared, read.is_ok());
         if let Ok(1..) = read {
-            sleep(GATHER.max(shared.rest())).await;
+            sleep(GATHER.max(shared.list_fetch_delay())).await;
         }
     }
 }
 
-fn turn(fleet: &Fleet, now: Timestamp) -> Turn {
+fn turn(fleet: &Fleet, now: Timestamp) -> ReadAction {
     let own = &fleet.members.own().vm;
     let contacts = fleet.members.contacts(now);
     let others = contacts.iter().filter(|member| member.vm != *own);
-    let others: Vec<Contender<'_>> = others.map(|member| member.contender()).collect();
-    let place = HallPlace {
-        before: fleet.members.place_in_hall(now),
+    let others: Vec<Candidate<'_>> = others.map(|member| member.candidate()).collect();
+    let place = HallRank {
+        rank: fleet.members.rank_in_hall(now),
         is_contact: fleet.members.is_contact(now),
     };
-    fleet.readers.turn(&others, place, now)
+    fleet.readers.next_action(&others, place, now)
 }
 
 /// Makes one call and puts in force what it brought. Returns how many documents changed.
@@ -92,7 +92,7 @@
         *source = S::new(address);
         info!("source_moved", kv: { address: = address });
     }
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     let answered = source.changes(wait).await;
     let now = BootClock.now();
     let result = match &answered {
@@ -147,7 +147,7 @@
             data_hall: own.data_hall.clone(),
             peer_address: own.peer_address,
         };
-        let told = fleet.members.neighbours(now).chain(fleet.members.hubs(now));
+        let told = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
         let addresses = told.filter_map(|member| member.datagram_address);
         (heartbeat, addresses.collect::<Vec<SocketAddr>>())
     };
@@ -160,8 +160,8 @@
     let passed_on = {
         let mut fleet = shared.fleet.lock();
         let SourceHeartbeat { reader, is_answered, heads, .. } = heartbeat;
-        let is_due = fleet.passing_on.is_due(*is_answered, *heads, now);
-        fleet.readers.heard(reader, *is_answered, now);
+        let is_due = fleet.news_forwarding.is_due(*is_answered, *heads, now);
+        fleet.readers.record_report(reader, *is_answered, now);
         let own = fleet.members.own();
         (heartbeat.data_hall != own.data_hall && is_due).then(|| {
             let passed_on = SourceHeartbeat {
@@ -169,7 +169,7 @@
                 peer_address: own.peer_address,
                 ..heartbeat.clone()
             };
-            let near = fleet.members.neighbours(now).filter_map(|member| member.datagram_address);
+            let near = fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
             (passed_on, near.collect::<Vec<SocketAddr>>())
         })
     };
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -39,7 +39,7 @@
         fingerprint: = fingerprint, service: = crash.service, target: = crash.target,
         incarnation: = crash.incarnation, ran_ms = reported.began_ago_ms - reported.ended_ago_ms
     });
-    if shared.fleet.lock().quarantine.crashed(fingerprint, &reported, now) {
+    if shared.fleet.lock().quarantine.record_crash(fingerprint, &reported, now) {
         log_verdict(shared, fingerprint, "own");
         tell(shared, fingerprint);
     }
@@ -49,7 +49,7 @@
 pub(crate) fn note_answered(shared: &Shared, fingerprint: Fingerprint) {
     let is_cleared = {
         let quarantine = &mut shared.fleet.lock().quarantine;
-        !quarantine.is_empty() && quarantine.answered(fingerprint, BootClock.now())
+        !quarantine.is_empty() && quarantine.record_answer(fingerprint, BootClock.now())
     };
     if is_cleared {
         log_verdict(shared, fingerprint, "own");
@@ -62,12 +62,12 @@
     let now = BootClock.now();
     let near = {
         let mut fleet = shared.fleet.lock();
-        if !fleet.quarantine.take(told, now) {
+        if !fleet.quarantine.merge(told, now) {
             return;
         }
         let own_hall = &fleet.members.own().data_hall;
         let is_near = fleet.members.find(sender).is_none_or(|member| member.data_hall == *own_hall);
-        let near = fleet.members.neighbours(now).filter_map(|member| member.datagram_address);
+        let near = fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
         if is_near { Vec::new() } else { near.collect() }
     };
     log_verdict(shared, told.fingerprint, "peer");
@@ -90,16 +90,16 @@
 
 fn tell(shared: &Shared, fingerprint: Fingerprint) {
     if shared.allocation.socket().is_none() {
-        shared.news.notify_one();
+        shared.peer_exchange_due.notify_one();
         return;
     }
     let (told, addresses) = {
         let now = BootClock.now();
         let fleet = shared.fleet.lock();
-        let Some(told) = fleet.quarantine.told(fingerprint, now) else {
+        let Some(told) = fleet.quarantine.report(fingerprint, now) else {
             return;
         };
-        let members = fleet.members.neighbours(now).chain(fleet.members.hubs(now));
+        let members = fleet.members.hall_peers(now).chain(fleet.members.hubs(now));
         let addresses: Vec<_> = members.filter_map(|member| member.datagram_address).collect();
         (told, addresses)
     };
--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -32,7 +32,7 @@
     loop {
         let wait = if has_waiting(&shared) { TICK } else { IDLE_TICK };
         // A request that begins to wait needs ticks from now on.
-        let is_early = timeout(wait, shared.waiting.notified()).await.is_ok();
+        let is_early = timeout(wait, shared.request_queued.notified()).await.is_ok();
         let now = BootClock.now();
         if !is_early {
             late_max = late_max.max(now.since(last).saturating_sub(wait));
@@ -56,13 +56,13 @@
 /// Gauges are set here and not where they change: a look-up for each request would cost
 /// more than the figure is worth.
 fn set_gauges(shared: &Shared, late_max: Duration) {
-    let figures = &shared.figures;
+    let metrics = &shared.metrics;
     gauge!(metric::TICK_LATE_SECONDS).set(late_max.as_secs_f64());
-    let in_flight = figures.requests_in_flight.load(Ordering::Relaxed);
+    let in_flight = metrics.requests_in_flight.load(Ordering::Relaxed);
     gauge!(metric::IN_FLIGHT).set(in_flight as f64);
     gauge!(metric::PEER_BYTES, "way" => "received").set(shared.links.bytes().received() as f64);
     gauge!(metric::PEER_BYTES, "way" => "sent").set(shared.links.bytes().sent() as f64);
-    let connections = figures.caller_connections.load(Ordering::Relaxed);
+    let connections = metrics.caller_connections.load(Ordering::Relaxed);
     gauge!(metric::CALLER_CONNECTIONS).set(connections as f64);
 }
 
@@ -80,7 +80,7 @@
 }
 
 fn keep_house(shared: &Shared, now: Timestamp) {
-    let left_out = shared.request_lines.take_left_out();
+    let left_out = shared.request_log_budget.take_left_out();
     if left_out > 0 {
         warn!("request_lines_left_out", kv: { count = left_out });
     }
--- a/crates/thymeshift_fleet/src/quarantine.rs
+++ b/crates/thymeshift_fleet/src/quarantine.rs
@@ -75,7 +75,12 @@
     }
 
     /// A target ended while it ran the request. Returns whether that is news.
-    pub fn crashed(&mut self, fingerprint: Fingerprint, crash: &Crash, now: Timestamp) -> bool {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crash: &Crash,
+        now: Timestamp,
+    ) -> bool {
         if !self.suspects.contains_key(&fingerprint) && !self.make_room(now) {
             return false;
         }
@@ -83,13 +88,13 @@
     }
 
     /// A target answered the request. Returns whether that clears it of anything.
-    pub fn answered(&mut self, fingerprint: Fingerprint, now: Timestamp) -> bool {
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.add_answer(now))
     }
 
     /// Takes in what a peer tells. Returns whether any of it is news.
-    pub fn take(&mut self, told: &SuspectReport, now: Timestamp) -> bool {
+    pub fn merge(&mut self, told: &SuspectReport, now: Timestamp) -> bool {
         if !self.suspects.contains_key(&told.fingerprint) && !self.make_room(now) {
             return false;
         }
@@ -106,8 +111,8 @@
     }
 
     /// One suspect as it is told to peers.
-    pub fn told(&self, fingerprint: Fingerprint, now: Timestamp) -> Option<SuspectReport> {
-        self.suspects.get(&fingerprint).map(|suspect| suspect.told(fingerprint, now))
+    pub fn report(&self, fingerprint: Fingerprint, now: Timestamp) -> Option<SuspectReport> {
+        self.suspects.get(&fingerprint).map(|suspect| suspect.report(fingerprint, now))
     }
 
     /// Up to `count` suspects behind `after`, in a fixed order, as they are told to peers.
@@ -119,7 +124,7 @@
     ) -> Vec<SuspectReport> {
         let is_behind = |fingerprint: &Fingerprint| after.is_none_or(|after| *fingerprint > after);
         let suspects = self.suspects.iter().filter(|(fingerprint, _)| is_behind(fingerprint));
-        suspects.take(count).map(|(key, suspect)| suspect.told(*key, now)).collect()
+        suspects.take(count).map(|(key, suspect)| suspect.report(*key, now)).collect()
     }
 
     /// What operators are shown, the longest refused first.
--- a/crates/thymeshift_fleet/tests/agreement.rs
+++ b/crates/thymeshift_fleet/tests/agreement.rs
@@ -11,7 +11,6 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::Asked;
 use thymeshift_fleet::Boot;
 use thymeshift_fleet::FleetDigest;
 use thymeshift_fleet::LeavingRegister;
@@ -25,7 +24,8 @@
 use thymeshift_fleet::OrderSubject;
 use thymeshift_fleet::Orders;
 use thymeshift_fleet::Phase;
-use thymeshift_fleet::WatchElection;
+use thymeshift_fleet::ReceivedSummary;
+use thymeshift_fleet::WatcherSelection;
 use thymeshift_types::Capacity;
 use thymeshift_types::DataHallName;
 use thymeshift_types::Incarnation;
@@ -243,7 +243,7 @@
 fn a_member_lives_as_long_as_its_heartbeat_goes_on() {
     let mut members = Members::new(member(0), Vec::new());
     let beat = |members: &mut Members, heartbeat: u64, now| {
-        members.introduced(&Member { heartbeat, ..member(1) }, now);
+        members.record_announcement(&Member { heartbeat, ..member(1) }, now);
     };
     beat(&mut members, 5, at(0));
     assert_eq!(liveness(&members, 1, at(4_000)), Some(Liveness::Alive));
@@ -253,9 +253,9 @@
     beat(&mut members, 6, at(5_600));
     assert_eq!(liveness(&members, 1, at(5_600)), Some(Liveness::Alive));
     // A call without answer is direct evidence, and so is one with an answer.
-    members.unanswered(member(1).peer_address);
+    members.record_no_answer(member(1).peer_address);
     assert_eq!(liveness(&members, 1, at(5_700)), Some(Liveness::Suspect));
-    members.answered(&Member { heartbeat: 6, ..member(1) }, at(5_800));
+    members.record_answer(&Member { heartbeat: 6, ..member(1) }, at(5_800));
     assert_eq!(liveness(&members, 1, at(5_800)), Some(Liveness::Alive));
     assert_eq!(liveness(&members, 1, at(30_000)), Some(Liveness::Gone));
 }
@@ -263,7 +263,7 @@
 #[test]
 fn a_process_that_was_paused_does_not_blame_the_others() {
     let mut members = Members::new(member(0), Vec::new());
-    members.introduced(&Member { heartbeat: 1, ..member(1) }, at(0));
+    members.record_announcement(&Member { heartbeat: 1, ..member(1) }, at(0));
     members.paused(Duration::from_mins(1));
     assert_eq!(liveness(&members, 1, at(61_000)), Some(Liveness::Alive));
 }
@@ -272,15 +272,15 @@
 fn hints_are_tried_only_while_nobody_is_known_there() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut members = Members::new(member(0), vec![member(0).peer_address, member(1).peer_address]);
-    assert_eq!(members.pick(5, at(0), &mut rng), [member(1).peer_address], "not itself");
-    members.introduced(&member(1), at(0));
-    assert_eq!(members.pick(5, at(0), &mut rng), [member(1).peer_address], "once");
-    assert_eq!(members.pick(5, at(60_000), &mut rng), [], "gone");
+    assert_eq!(members.pick_peers(5, at(0), &mut rng), [member(1).peer_address], "not itself");
+    members.record_announcement(&member(1), at(0));
+    assert_eq!(members.pick_peers(5, at(0), &mut rng), [member(1).peer_address], "once");
+    assert_eq!(members.pick_peers(5, at(60_000), &mut rng), [], "gone");
 }
 
 /// Processes that tell one another at random, some of which cannot.
 struct Watching {
-    elections: Vec<WatchElection>,
+    elections: Vec<WatcherSelection>,
     is_running: Vec<bool>,
     rng: SmallRng,
     now: Timestamp,
@@ -291,7 +291,7 @@
 
     fn new(count: usize) -> Self {
         let elections =
-            (0..count).map(|number| WatchElection::new(vm(number), Boot::new(1))).collect();
+            (0..count).map(|number| WatcherSelection::new(vm(number), Boot::new(1))).collect();
         let rng = SmallRng::seed_from_u64(9);
         Self { elections, is_running: vec![true; count], rng, now: at(0) }
     }
@@ -317,7 +317,7 @@
 
     fn tell(&mut self, from: usize, to: usize) {
         for watcher in self.elections[from].watchers(self.now) {
-            self.elections[to].learn(&watcher, self.now);
+            self.elections[to].merge(&watcher, self.now);
         }
     }
 
@@ -348,7 +348,7 @@
 
 #[test]
 fn a_watcher_that_fails_stands_back_longer_each_time() {
-    let mut election = WatchElection::new(vm(0), Boot::new(1));
+    let mut election = WatcherSelection::new(vm(0), Boot::new(1));
     let mut calls = 0;
     for step in 0..3_000 {
         let now = at(step * 100);
@@ -379,25 +379,25 @@
     for Case { note, heard, is_other_new, is_same, passed_on } in cases {
         let mut members = Members::new(member(0), Vec::new());
         for number in 1..=30 {
-            members.introduced(&member(number), at(0));
+            members.record_announcement(&member(number), at(0));
         }
         for number in 1..=heard {
-            members.answered(&member(number), at(0));
+            members.record_answer(&member(number), at(0));
         }
         // Heartbeats while nobody answers do not make a process settled.
         for _ in 0..50 {
-            members.beat(Phase::Serving, None);
+            members.advance_heartbeat(Phase::Serving, None);
         }
         let alone = MembersDigest::of([member(1)].iter());
         let other = FleetDigest { hall: alone, contacts: alone };
-        let asked = Asked {
+        let asked = ReceivedSummary {
             sender: &member(1),
             digest: if is_same { members.digest(at(1)) } else { other },
             is_new: is_other_new,
             is_regular: true,
         };
-        let breadth = members.answer_breadth(&asked, at(1));
-        let passed = members.passed_on(breadth, at(1), &mut SmallRng::seed_from_u64(3));
+        let breadth = members.answer_scope(&asked, at(1));
+        let passed = members.members_to_send(breadth, at(1), &mut SmallRng::seed_from_u64(3));
         assert_eq!(passed.len(), passed_on, "{note}");
     }
 }
@@ -430,7 +430,7 @@
     let mut members = Members::new(member(0), Vec::new());
     for Case { note, told, is_change } in cases {
         let before = members.changes();
-        members.introduced(&told, at(0));
+        members.record_announcement(&told, at(0));
         assert_eq!(members.changes() > before, is_change, "{note}");
     }
 }
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -8,11 +8,11 @@
 use rand_distr::Distribution;
 use rand_distr::Exp;
 use thymeshift_allocation::AllocatorRank;
-use thymeshift_organisations::Counted;
-use thymeshift_organisations::Passed;
+use thymeshift_organisations::Admission;
 use thymeshift_organisations::QuotaCounter;
 use thymeshift_organisations::QuotaLimit;
-use thymeshift_organisations::QuotaQuestion;
+use thymeshift_organisations::TokenGrant;
+use thymeshift_organisations::TokenRequest;
 use thymeshift_types::Timestamp;
 
 use crate::replay::events::Events;
@@ -61,7 +61,7 @@
 enum Event {
     Arrives { caller: usize },
     Asked { from: usize, to: usize, number: u64, wanted: u32, arrived: u32 },
-    Answered { to: usize, number: u64, counted: Option<Counted> },
+    Answered { to: usize, number: u64, counted: Option<TokenGrant> },
     AsksAgain { at: usize, number: u64 },
     TimedOut { at: usize, number: u64 },
     Tells { from: usize },
@@ -214,7 +214,7 @@
                 self.arrives(place);
             }
             Event::Asked { from, to, number, wanted, arrived } => {
-                let asked = QuotaQuestion { number, wanted, arrived };
+                let asked = TokenRequest { number, wanted, arrived };
                 let counted = self.count(from, to, asked);
                 self.send(to, from, || Event::Answered { to: from, number, counted });
             }
@@ -234,7 +234,7 @@
                 let limit = self.limit();
                 let process = &mut self.processes[place];
                 process.holder.set_limit(limit, now);
-                process.holder.arrived(now);
+                process.holder.record_arrival(now);
                 process.waiting += 1;
                 return self.pass_waiting(place);
             }
@@ -263,13 +263,13 @@
     fn pass_waiting(&mut self, place: usize) {
         while self.processes[place].waiting > 0 {
             let now = self.now();
-            let passed = self.processes[place].holder.pass(now);
+            let passed = self.processes[place].holder.admit(now);
             match passed {
-                Passed::Asked => return,
-                Passed::Ask { wanted, arrived } => return self.ask(place, wanted, arrived),
-                Passed::Admitted | Passed::Refused(_) => {
+                Admission::AnswerPending => return,
+                Admission::Ask { wanted, arrived } => return self.ask(place, wanted, arrived),
+                Admission::Admitted | Admission::Refused(_) => {
                     self.processes[place].waiting -= 1;
-                    self.decided(passed == Passed::Admitted);
+                    self.decided(passed == Admission::Admitted);
                 }
             }
         }
@@ -283,11 +283,11 @@
         let first = (0..2).find(|place| passed_over[*place] <= self.now_ms);
         let Some(asked_place) = first else {
             let now = self.now();
-            self.processes[place].holder.unanswered(now);
+            self.processes[place].holder.start_fallback(now);
             return self.pass_waiting(place);
         };
         if asked_place == place {
-            let asked = QuotaQuestion { number, wanted, arrived };
+            let asked = TokenRequest { number, wanted, arrived };
             let counted = self.count(place, place, asked);
             return self.hear(place, counted);
         }
@@ -315,7 +315,7 @@
         }
     }
 
-    fn count(&mut self, from: usize, to: usize, asked: QuotaQuestion) -> Option<Counted> {
+    fn count(&mut self, from: usize, to: usize, asked: TokenRequest) -> Option<TokenGrant> {
         // The second counts once it has noticed that the first is gone, or does not answer it.
         let first_gone_ms = if self.is_killed { KILLED_MS.start } else { u64::MAX };
         let is_first_gone = self.now_ms >= first_gone_ms.saturating_add(NOTICED_MS);
@@ -328,7 +328,7 @@
         let counter = counter.get_or_insert_with(|| QuotaCounter::new(limit, now));
         counter.set_limit(limit, now);
         counter.set_share(share, now);
-        Some(counter.ask(&from, asked, now))
+        Some(counter.grant_tokens(&from, asked, now))
     }
 
     /// The part of the limit that a counter may hand out. The first one is heard of through the
@@ -338,10 +338,10 @@
             return 1.0;
         }
         let known = self.processes.len();
-        AllocatorRank { before: place, heard: known, known }.rate_share().fraction()
+        AllocatorRank { better_ranked: place, reachable: known, known }.rate_share().fraction()
     }
 
-    fn answered(&mut self, place: usize, number: u64, counted: Option<Counted>) {
+    fn answered(&mut self, place: usize, number: u64, counted: Option<TokenGrant>) {
         let is_open =
             self.processes[place].question.as_ref().is_some_and(|one| one.number == number);
         if is_open {
@@ -350,12 +350,12 @@
         }
     }
 
-    fn hear(&mut self, place: usize, counted: Option<Counted>) {
+    fn hear(&mut self, place: usize, counted: Option<TokenGrant>) {
         let now = self.now();
         let holder = &mut self.processes[place].holder;
         match counted {
-            Some(counted) => holder.counted(&counted, now),
-            None => holder.unanswered(now),
+            Some(counted) => holder.apply_grant(&counted, now),
+            None => holder.start_fallback(now),
         }
         self.pass_waiting(place);
     }
