--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -2,8 +2,7 @@
 //!
 //! A target is cold for a while after it appeared, after its data hall was taken back, or after it
 //! reported that it is cold. Its expected time is then multiplied by a factor that falls to 1.
-//! A service may state the request rate
-//! that a cold target bears, and cold targets then get no more.
+//! A service may state the request rate of a cold target, and cold targets then get no more.
 //!
 //! A target that has just started reports no load and answers slowly, so that all VMs together
 //! would overload it. A data hall that comes back as a whole is the worst case:
@@ -26,8 +25,8 @@
 const ALLOCATORS_MAX: u64 = 2;
 /// Seconds in the unit of request rates: 1,000 requests per 1,000 s are one request per second.
 const RATE_UNIT_S: u64 = 1_000;
-/// Divisor of a cold target's rate that gives the least rate of all processes in fallback together,
-/// where the allocators use up the whole bound.
+/// Divisor of a cold target's rate that gives the least rate of all processes in fallback together.
+/// This least rate applies where the allocators use up the whole bound.
 const FALLBACK_RATE_DIVISOR: u64 = 10;
 
 /// Least intervals between two requests to one cold target, by the [`crate::View`] of the process.
