--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -180,7 +180,7 @@
         }
         let (mut parts, body) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
-        D::clean_answer(&mut parts.headers);
+        D::strip_internal_headers(&mut parts.headers);
         Ok(Response::from_parts(parts, ResponseBody::Target(Box::new(body))))
     }
 
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -23,10 +23,10 @@
 use thymeshift_types::Reason;
 use thymeshift_types::Step;
 use thymeshift_types::Timestamp;
+use thymeshift_wire::AnswerClass;
 use thymeshift_wire::AttemptHead;
 use thymeshift_wire::CallContext;
 use thymeshift_wire::Dialect;
-use thymeshift_wire::Meaning;
 
 use crate::service::Destination;
 use crate::service::GrantGuard;
@@ -186,7 +186,7 @@
             }
             Some(Ok(response)) => response,
         };
-        let meaning = D::meaning(response.status(), response.headers(), &attempt);
+        let meaning = D::classify_answer(response.status(), response.headers(), &attempt);
         self.shared.unknown_headers.record::<D>(response.headers(), &destination);
         let statements = TargetStatements::read::<D>(response.status(), response.headers());
         let observed = observation(meaning, &statements, D::report(response.headers()));
@@ -210,7 +210,7 @@
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
         let failure = match buffered {
-            Some(Ok(response)) if meaning == Meaning::Failed => {
+            Some(Ok(response)) if meaning == AnswerClass::Failed => {
                 let failure = Failure::new(Outcome::Failed, Reason::TargetFailed, Step::Wait, peer);
                 return Err(Box::new(AttemptFailure {
                     failure,
@@ -240,15 +240,23 @@
     }
 
     /// Returns the failure that an answer means, or `None` if the answer may be forwarded.
-    fn failure_of(&self, meaning: Meaning, destination: &Destination) -> Option<AttemptFailure> {
+    fn failure_of(
+        &self,
+        meaning: AnswerClass,
+        destination: &Destination,
+    ) -> Option<AttemptFailure> {
         let is_proof = self.grant.service().settings().shed_means_not_run;
         let (outcome, reason) = match meaning {
-            Meaning::Answered | Meaning::Failed | Meaning::ShedByDeeperLayer => return None,
-            Meaning::Shed if !is_proof => return None,
-            Meaning::Shed | Meaning::NotRun | Meaning::OtherTarget => {
+            AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => {
+                return None;
+            }
+            AnswerClass::Shed if !is_proof => return None,
+            AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::WrongTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
-            Meaning::Foreign | Meaning::Spoiled => (Outcome::Unknown, Reason::WrongAnswer),
+            AnswerClass::WrongAttempt | AnswerClass::Invalid => {
+                (Outcome::Unknown, Reason::WrongAnswer)
+            }
         };
         let failure = Failure::new(outcome, reason, Step::Wait, self.peer(destination));
         Some(self.failure(failure, None))
@@ -346,18 +354,22 @@
 }
 
 fn observation(
-    meaning: Meaning,
+    meaning: AnswerClass,
     statements: &TargetStatements,
     report: Option<LoadReport>,
 ) -> Observation {
     match meaning {
-        Meaning::Shed | Meaning::NotRun if statements.asks_for_backoff() => {
+        AnswerClass::Shed | AnswerClass::NotRun if statements.asks_for_backoff() => {
             Observation::ShedWithBackoff(report)
         }
-        Meaning::Answered => Observation::Answered(report),
-        Meaning::Failed => Observation::Failed(report),
-        Meaning::Shed | Meaning::ShedByDeeperLayer | Meaning::NotRun => Observation::Shed(report),
-        Meaning::OtherTarget | Meaning::Foreign | Meaning::Spoiled => Observation::Broken,
+        AnswerClass::Answered => Observation::Answered(report),
+        AnswerClass::Failed => Observation::Failed(report),
+        AnswerClass::Shed | AnswerClass::ShedByDeeperLayer | AnswerClass::NotRun => {
+            Observation::Shed(report)
+        }
+        AnswerClass::WrongTarget | AnswerClass::WrongAttempt | AnswerClass::Invalid => {
+            Observation::Broken
+        }
     }
 }
 
