--- a/crates/thymeshift_query/src/lexer.rs
+++ b/crates/thymeshift_query/src/lexer.rs
@@ -1,6 +1,6 @@
 //! Words of a line.
 
-use crate::QueryMistake;
+use crate::ParseError;
 
 /// Longest line, in bytes.
 const LINE_BYTES_MAX: usize = 4_096;
@@ -17,10 +17,10 @@
 
 /// Cuts a line into words: quoted texts, operators, commas, brackets, and the rest at
 /// white space.
-pub(crate) fn words(line: &str) -> Result<Vec<Word>, QueryMistake> {
+pub(crate) fn words(line: &str) -> Result<Vec<Word>, ParseError> {
     if line.len() > LINE_BYTES_MAX {
         let found = format!("{} bytes", line.len());
-        return Err(QueryMistake::new(1, &found, format!("at most {LINE_BYTES_MAX} bytes")));
+        return Err(ParseError::new(1, &found, format!("at most {LINE_BYTES_MAX} bytes")));
     }
     let characters: Vec<char> = line.chars().collect();
     let mut words = Vec::new();
@@ -47,12 +47,12 @@
     Word { text, column: from + 1, is_quoted: false }
 }
 
-fn quoted(characters: &[char], from: usize) -> Result<(Word, usize), QueryMistake> {
+fn quoted(characters: &[char], from: usize) -> Result<(Word, usize), ParseError> {
     let quote = characters[from];
     let inside = &characters[from + 1..];
     let Some(length) = inside.iter().position(|character| *character == quote) else {
         let found: String = characters[from..].iter().collect();
-        return Err(QueryMistake::new(from + 1, &found, format!("a closing {quote}")));
+        return Err(ParseError::new(from + 1, &found, format!("a closing {quote}")));
     };
     let text = inside[..length].iter().collect();
     Ok((Word { text, column: from + 1, is_quoted: true }, from + length + 2))
--- a/crates/thymeshift_query/src/mistake.rs
+++ b/crates/thymeshift_query/src/mistake.rs
@@ -9,7 +9,7 @@
 
 /// What is wrong with a line.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub struct QueryMistake {
+pub struct ParseError {
     /// Column of the mistake, counted from 1.
     pub column: usize,
     /// What stands there.
@@ -18,7 +18,7 @@
     pub expected: String,
 }
 
-impl QueryMistake {
+impl ParseError {
     pub(crate) fn new(column: usize, found: &str, expected: impl Into<String>) -> Self {
         let found = match found {
             "" => "the end".to_owned(),
@@ -42,7 +42,7 @@
     }
 }
 
-impl fmt::Display for QueryMistake {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { column, found, expected } = self;
         write!(f, "column {column}: found {found}, expected {expected}")
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -17,7 +17,7 @@
 use crate::Condition;
 use crate::Direction;
 use crate::Query;
-use crate::QueryMistake;
+use crate::ParseError;
 use crate::Relation;
 use crate::Sort;
 use crate::TableName;
@@ -38,7 +38,7 @@
 /// Deepest nesting of a condition.
 const DEPTH_MAX: usize = 32;
 
-type Parsed<T> = Result<T, QueryMistake>;
+type Parsed<T> = Result<T, ParseError>;
 
 /// Reads a line.
 pub fn parse(line: &str) -> Parsed<Command> {
@@ -71,7 +71,7 @@
             "refuse" => self.request_order(OrderChange::Stop),
             "release" => self.request_order(OrderChange::Resume),
             "tables" => Ok(Command::Tables),
-            text => Err(QueryMistake::unknown(verb.column, text, "a command", &VERBS)),
+            text => Err(ParseError::unknown(verb.column, text, "a command", &VERBS)),
         }
     }
 
@@ -98,7 +98,7 @@
         if self.take_if("limit") {
             let word = self.word("a number of rows")?;
             let limit = word.text.parse();
-            let mistake = |_| QueryMistake::new(word.column, &word.text, "a number of rows");
+            let mistake = |_| ParseError::new(word.column, &word.text, "a number of rows");
             query.limit = Some(limit.map_err(mistake)?);
         }
         Ok(Command::Show(query))
@@ -110,7 +110,7 @@
         found.ok_or_else(|| {
             let names: Vec<String> = TableName::ALL.iter().map(ToString::to_string).collect();
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
-            QueryMistake::unknown(word.column, &word.text, "a table", &names)
+            ParseError::unknown(word.column, &word.text, "a table", &names)
         })
     }
 
@@ -118,7 +118,7 @@
         let word = self.word("a column")?;
         let unknown = || {
             let what = format!("a column of {table}");
-            QueryMistake::unknown(word.column, &word.text, &what, table.columns())
+            ParseError::unknown(word.column, &word.text, &what, table.columns())
         };
         table.column(&word.text).ok_or_else(unknown)
     }
@@ -146,7 +146,7 @@
         if self.depth > DEPTH_MAX {
             let found = self.peek().unwrap_or_default().to_owned();
             let expected = format!("at most {DEPTH_MAX} conditions within each other");
-            return Err(QueryMistake::new(self.column_here(), &found, expected));
+            return Err(ParseError::new(self.column_here(), &found, expected));
         }
         let condition = if self.take_if("not") {
             Condition::Not(Box::new(self.single(table)?))
@@ -173,7 +173,7 @@
             ">=" => Relation::GreaterOrEqual,
             "like" => Relation::Like,
             text => {
-                return Err(QueryMistake::unknown(word.column, text, "a relation", &RELATIONS));
+                return Err(ParseError::unknown(word.column, text, "a relation", &RELATIONS));
             }
         };
         let value = value(self.word("a value")?);
@@ -184,7 +184,7 @@
         let method = self.word("a method such as GET")?;
         let path = self.word("a path such as /tariffs")?;
         if !path.text.starts_with('/') {
-            return Err(QueryMistake::new(path.column, &path.text, "a path that starts with /"));
+            return Err(ParseError::new(path.column, &path.text, "a path that starts with /"));
         }
         let mut request =
             ExplainRequest { method: method.text, path: path.text, host: None, header: None };
@@ -208,12 +208,12 @@
             return self.target_order(change);
         }
         let word = self.word("'target' or 'hall'")?;
-        Err(QueryMistake::unknown(word.column, &word.text, "a subject", &DRAIN_SUBJECTS))
+        Err(ParseError::unknown(word.column, &word.text, "a subject", &DRAIN_SUBJECTS))
     }
 
     fn hall_order(&mut self, change: OrderChange) -> Parsed<Command> {
         let word = self.word("a data hall")?;
-        let mistake = |_| QueryMistake::new(word.column, &word.text, "a data hall's name");
+        let mistake = |_| ParseError::new(word.column, &word.text, "a data hall's name");
         let hall = DataHallName::new(&word.text).map_err(mistake)?;
         self.order(OrderSubject::DataHall(hall), change)
     }
@@ -225,14 +225,14 @@
             let service = ServiceName::new(service).ok()?;
             Some(OrderSubject::Target(service, TargetName::new(target).ok()?))
         };
-        let mistake = || QueryMistake::new(word.column, &word.text, "SERVICE/TARGET");
+        let mistake = || ParseError::new(word.column, &word.text, "SERVICE/TARGET");
         self.order(subject().ok_or_else(mistake)?, change)
     }
 
     fn probing_order(&mut self, change: OrderChange) -> Parsed<Command> {
         self.keyword("probing")?;
         let word = self.word("a service")?;
-        let mistake = |_| QueryMistake::new(word.column, &word.text, "a service's name");
+        let mistake = |_| ParseError::new(word.column, &word.text, "a service's name");
         let service = ServiceName::new(&word.text).map_err(mistake)?;
         self.order(OrderSubject::Probing(service), change)
     }
@@ -240,7 +240,7 @@
     fn request_order(&mut self, change: OrderChange) -> Parsed<Command> {
         self.keyword("request")?;
         let word = self.word("a fingerprint")?;
-        let mistake = |_| QueryMistake::new(word.column, &word.text, "a fingerprint");
+        let mistake = |_| ParseError::new(word.column, &word.text, "a fingerprint");
         let fingerprint: Fingerprint = word.text.parse().map_err(mistake)?;
         self.order(OrderSubject::Request(fingerprint), change)
     }
@@ -265,12 +265,12 @@
             return Ok(Duration::from_secs(seconds));
         }
         let expected = "a time from 1s to 24h, such as 90s, 10m or 2h";
-        Err(QueryMistake::new(word.column, &word.text, expected))
+        Err(ParseError::new(word.column, &word.text, expected))
     }
 
     fn word(&mut self, expected: &str) -> Parsed<Word> {
         let Some(word) = self.words.get(self.at) else {
-            return Err(QueryMistake::new(self.end, "", expected));
+            return Err(ParseError::new(self.end, "", expected));
         };
         self.at += 1;
         Ok(word.clone())
@@ -297,13 +297,13 @@
             return Ok(());
         }
         let found = self.words.get(self.at).map_or("", |word| &word.text);
-        Err(QueryMistake::new(column, found, format!("'{keyword}'")))
+        Err(ParseError::new(column, found, format!("'{keyword}'")))
     }
 
     fn finish(&self) -> Parsed<()> {
         match self.words.get(self.at) {
             None => Ok(()),
-            Some(word) => Err(QueryMistake::new(word.column, &word.text, "the end of the line")),
+            Some(word) => Err(ParseError::new(word.column, &word.text, "the end of the line")),
         }
     }
 }
