--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -15,7 +15,7 @@
 mod ast;
 mod evaluate;
 mod lexer;
-mod mistake;
+mod error;
 mod parser;
 mod render;
 mod table;
@@ -28,7 +28,7 @@
 pub use ast::Query;
 pub use ast::Relation;
 pub use ast::Sort;
-pub use mistake::ParseError;
+pub use error::ParseError;
 pub use parser::parse;
 pub use render::to_json;
 pub use render::to_text;
