--- a/crates/thymeshift_query/src/ast.rs
+++ b/crates/thymeshift_query/src/ast.rs
@@ -79,14 +79,14 @@
     /// The column.
     pub column: &'static str,
     /// How.
-    pub relation: Relation,
+    pub operator: ComparisonOperator,
     /// With what.
     pub value: Cell,
 }
 
 /// How two values are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Relation {
+pub enum ComparisonOperator {
     /// `=`
     Equal,
     /// `!=`
--- a/crates/thymeshift_query/src/evaluate.rs
+++ b/crates/thymeshift_query/src/evaluate.rs
@@ -7,7 +7,7 @@
 use crate::Condition;
 use crate::Direction;
 use crate::Query;
-use crate::Relation;
+use crate::ComparisonOperator;
 use crate::Table;
 
 impl Query {
@@ -52,21 +52,21 @@
 impl Comparison {
     /// A missing value fulfils no comparison but `!=`.
     fn holds(&self, found: &Cell) -> bool {
-        if let Relation::Like = self.relation {
+        if let ComparisonOperator::Like = self.operator {
             return found.to_string().contains(&self.value.to_string());
         }
         if *found == Cell::Missing {
-            return self.relation == Relation::Unequal;
+            return self.operator == ComparisonOperator::Unequal;
         }
         let order = self.order(found);
-        match self.relation {
-            Relation::Equal => order == Ordering::Equal,
-            Relation::Unequal => order != Ordering::Equal,
-            Relation::Less => order == Ordering::Less,
-            Relation::LessOrEqual => order != Ordering::Greater,
-            Relation::Greater => order == Ordering::Greater,
-            Relation::GreaterOrEqual => order != Ordering::Less,
-            Relation::Like => false,
+        match self.operator {
+            ComparisonOperator::Equal => order == Ordering::Equal,
+            ComparisonOperator::Unequal => order != Ordering::Equal,
+            ComparisonOperator::Less => order == Ordering::Less,
+            ComparisonOperator::LessOrEqual => order != Ordering::Greater,
+            ComparisonOperator::Greater => order == Ordering::Greater,
+            ComparisonOperator::GreaterOrEqual => order != Ordering::Less,
+            ComparisonOperator::Like => false,
         }
     }
 
--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -26,7 +26,7 @@
 pub use ast::Condition;
 pub use ast::Direction;
 pub use ast::Query;
-pub use ast::Relation;
+pub use ast::ComparisonOperator;
 pub use ast::Sort;
 pub use error::ParseError;
 pub use parser::parse;
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -18,7 +18,7 @@
 use crate::Direction;
 use crate::Query;
 use crate::ParseError;
-use crate::Relation;
+use crate::ComparisonOperator;
 use crate::Sort;
 use crate::TableName;
 use crate::lexer::Word;
@@ -32,7 +32,7 @@
 /// Words that may follow the columns of a query.
 const CLAUSES: [&str; 3] = ["where", "sort", "limit"];
 /// Relations between a column and a value.
-const RELATIONS: [&str; 7] = ["=", "!=", "<", "<=", ">", ">=", "like"];
+const COMPARISON_OPERATORS: [&str; 7] = ["=", "!=", "<", "<=", ">", ">=", "like"];
 /// How long an order holds if it does not say.
 const EXPIRY: Duration = Duration::from_mins(30);
 /// Deepest nesting of a condition.
@@ -164,20 +164,20 @@
     fn comparison(&mut self, table: TableName) -> Parsed<Comparison> {
         let column = self.column(table)?;
         let word = self.word("a relation")?;
-        let relation = match word.text.as_str() {
-            "=" => Relation::Equal,
-            "!=" => Relation::Unequal,
-            "<" => Relation::Less,
-            "<=" => Relation::LessOrEqual,
-            ">" => Relation::Greater,
-            ">=" => Relation::GreaterOrEqual,
-            "like" => Relation::Like,
+        let operator = match word.text.as_str() {
+            "=" => ComparisonOperator::Equal,
+            "!=" => ComparisonOperator::Unequal,
+            "<" => ComparisonOperator::Less,
+            "<=" => ComparisonOperator::LessOrEqual,
+            ">" => ComparisonOperator::Greater,
+            ">=" => ComparisonOperator::GreaterOrEqual,
+            "like" => ComparisonOperator::Like,
             text => {
-                return Err(ParseError::unknown(word.column, text, "a relation", &RELATIONS));
+                return Err(ParseError::unknown(word.column, text, "a relation", &COMPARISON_OPERATORS));
             }
         };
         let value = value(self.word("a value")?);
-        Ok(Comparison { column, relation, value })
+        Ok(Comparison { column, operator, value })
     }
 
     fn explain(&mut self) -> Parsed<Command> {
