--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! A condition compares a column with a value (`=`, `!=`, `<`, `<=`, `>`, `>=`, `like`)
 //! and joins comparisons with `and`, `or`, `not` and brackets. [`parse`] reads a line,
-//! [`tables`] makes the tables of a dump, [`Query::run`] answers from one table.
+//! [`build_table`] makes the tables of a dump, [`Query::run`] answers from one table.
 
 mod ast;
 mod evaluate;
@@ -35,4 +35,4 @@
 pub use table::Cell;
 pub use table::Table;
 pub use table::TableName;
-pub use tables::tables;
+pub use tables::build_table;
--- a/crates/thymeshift_query/src/tables.rs
+++ b/crates/thymeshift_query/src/tables.rs
@@ -10,7 +10,7 @@
 use crate::TableName;
 
 /// One table over the dumps of one or more processes.
-pub fn tables(name: TableName, dumps: &[StateDump]) -> Table {
+pub fn build_table(name: TableName, dumps: &[StateDump]) -> Table {
     let rows = dumps.iter().flat_map(|dump| {
         let vm = Cell::text(&dump.vm);
         rows(name, dump).into_iter().map(move |row| [vec![vm.clone()], row].concat())
--- a/crates/thymeshiftctl/src/say.rs
+++ b/crates/thymeshiftctl/src/say.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use thymeshift_query::Query;
 use thymeshift_query::TableName;
-use thymeshift_query::tables as table_of;
+use thymeshift_query::build_table;
 use thymeshift_query::to_json;
 use thymeshift_query::to_text;
 use thymeshift_types::VmName;
@@ -53,7 +53,7 @@
 
 pub(crate) fn rows(query: &Query, asked: &Dumps, format: Format) -> Said {
     let mut said = Said::unanswered(&asked.unanswered);
-    let table = query.run(&table_of(query.table, &asked.dumps));
+    let table = query.run(&build_table(query.table, &asked.dumps));
     if table.rows.is_empty() && said.code == 0 {
         said.code = CODE_NOTHING;
     }
