--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -19,7 +19,7 @@
 mod parser;
 mod render;
 mod table;
-mod tables;
+mod dump_tables;
 
 pub use ast::Command;
 pub use ast::Comparison;
@@ -35,4 +35,4 @@
 pub use table::Cell;
 pub use table::Table;
 pub use table::TableName;
-pub use tables::build_table;
+pub use dump_tables::build_table;
