--- a/crates/thymeshift_query/src/dump_tables.rs
+++ b/crates/thymeshift_query/src/dump_tables.rs
@@ -59,7 +59,7 @@
         number(dump.uptime_ms),
         number(dump.requests_in_flight),
         number(dump.caller_connections),
-        Cell::Flag(dump.platform.is_watching),
+        Cell::Bool(dump.platform.is_watching),
         number(dump.platform.calls),
         Cell::maybe(dump.platform.last_answer_ms),
         number(dump.peer_bytes_received),
@@ -75,7 +75,7 @@
         Cell::maybe(head.map(|head| head.revision.as_u64())),
         head.map_or(Cell::Missing, |head| Cell::text(head.digest)),
         number(configuration.in_force_for_ms),
-        Cell::Flag(configuration.conflict.is_some()),
+        Cell::Bool(configuration.conflict.is_some()),
         Cell::maybe(rejection.map(|rejection| rejection.head.revision.as_u64())),
         rejection.map_or(Cell::Missing, |rejection| Cell::text(&rejection.mistakes)),
     ]
@@ -85,7 +85,7 @@
     let row = |hall: &thymeshift_wire::HallDump| {
         vec![
             Cell::text(&hall.name),
-            Cell::Flag(hall.is_drained),
+            Cell::Bool(hall.is_drained),
             number(hall.targets),
             number(hall.members),
         ]
@@ -271,7 +271,7 @@
 
 fn tasks(dump: &StateDump) -> Vec<Vec<Cell>> {
     let row = |task: &thymeshift_wire::TaskDump| {
-        vec![Cell::text(&task.name), Cell::Flag(task.is_running), number(task.restarts)]
+        vec![Cell::text(&task.name), Cell::Bool(task.is_running), number(task.restarts)]
     };
     dump.tasks.iter().map(row).collect()
 }
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -313,8 +313,8 @@
         return Cell::Text(word.text);
     }
     match word.text.as_str() {
-        "yes" | "true" => Cell::Flag(true),
-        "no" | "false" => Cell::Flag(false),
+        "yes" | "true" => Cell::Bool(true),
+        "no" | "false" => Cell::Bool(false),
         text => match text.parse::<f64>() {
             Ok(number) if number.is_finite() => Cell::Number(number),
             _ => Cell::Text(word.text),
--- a/crates/thymeshift_query/src/render.rs
+++ b/crates/thymeshift_query/src/render.rs
@@ -52,7 +52,7 @@
         Cell::Text(text) => json!(text),
         Cell::Number(number) if number.fract() == 0.0 => json!(*number as i64),
         Cell::Number(number) => json!(number),
-        Cell::Flag(flag) => json!(flag),
+        Cell::Bool(flag) => json!(flag),
         Cell::Missing => Value::Null,
     }
 }
--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -13,7 +13,7 @@
     /// A number.
     Number(f64),
     /// Yes or no.
-    Flag(bool),
+    Bool(bool),
     /// Not known.
     Missing,
 }
@@ -34,14 +34,14 @@
         match (self, other) {
             (Self::Text(a), Self::Text(b)) => a.cmp(b),
             (Self::Number(a), Self::Number(b)) => a.total_cmp(b),
-            (Self::Flag(a), Self::Flag(b)) => a.cmp(b),
+            (Self::Bool(a), Self::Bool(b)) => a.cmp(b),
             _ => self.rank().cmp(&other.rank()),
         }
     }
 
     fn rank(&self) -> u8 {
         match self {
-            Self::Flag(_) => 0,
+            Self::Bool(_) => 0,
             Self::Number(_) => 1,
             Self::Text(_) => 2,
             Self::Missing => 3,
@@ -55,8 +55,8 @@
             Self::Text(text) => f.pad(text),
             Self::Number(number) if number.fract() == 0.0 => f.pad(&format!("{number:.0}")),
             Self::Number(number) => f.pad(&format!("{number:.2}")),
-            Self::Flag(true) => f.pad("yes"),
-            Self::Flag(false) => f.pad("no"),
+            Self::Bool(true) => f.pad("yes"),
+            Self::Bool(false) => f.pad("no"),
             Self::Missing => f.pad("-"),
         }
     }
