--- a/crates/thymeshift_query/src/dump_tables.rs
+++ b/crates/thymeshift_query/src/dump_tables.rs
@@ -61,7 +61,7 @@
         number(dump.caller_connections),
         Cell::Bool(dump.platform.is_watching),
         number(dump.platform.calls),
-        Cell::maybe(dump.platform.last_answer_ms),
+        Cell::number_or_missing(dump.platform.last_answer_ms),
         number(dump.peer_bytes_received),
         number(dump.peer_bytes_sent),
     ]
@@ -72,11 +72,11 @@
     let head = configuration.in_force;
     let rejection = configuration.rejection.as_ref();
     vec![
-        Cell::maybe(head.map(|head| head.revision.as_u64())),
+        Cell::number_or_missing(head.map(|head| head.revision.as_u64())),
         head.map_or(Cell::Missing, |head| Cell::text(head.digest)),
         number(configuration.in_force_for_ms),
         Cell::Bool(configuration.conflict.is_some()),
-        Cell::maybe(rejection.map(|rejection| rejection.head.revision.as_u64())),
+        Cell::number_or_missing(rejection.map(|rejection| rejection.head.revision.as_u64())),
         rejection.map_or(Cell::Missing, |rejection| Cell::text(&rejection.mistakes)),
     ]
 }
@@ -118,15 +118,15 @@
         Cell::text(target.usability),
         number(u64::from(target.in_flight)),
         Cell::Number(target.limit),
-        Cell::maybe(load),
-        Cell::maybe(running),
-        Cell::maybe(queued),
-        Cell::maybe(target.report_age_ms),
+        Cell::number_or_missing(load),
+        Cell::number_or_missing(running),
+        Cell::number_or_missing(queued),
+        Cell::number_or_missing(target.report_age_ms),
         number(target.latency_us),
         number(target.expected_us),
         Cell::Number(target.failure_rate),
-        Cell::maybe(target.ejected_for_ms),
-        Cell::maybe(target.backoff_for_ms),
+        Cell::number_or_missing(target.ejected_for_ms),
+        Cell::number_or_missing(target.backoff_for_ms),
         number(u64::from(target.connection_share)),
     ]
 }
@@ -211,7 +211,7 @@
             Cell::text(member.phase),
             Cell::text(&member.data_hall),
             Cell::Number(member.capacity.processors()),
-            Cell::maybe(member.revision.map(thymeshift_types::Revision::as_u64)),
+            Cell::number_or_missing(member.revision.map(thymeshift_types::Revision::as_u64)),
             number(known.silent_ms),
             Cell::text(member.peer_address),
             Cell::text(member.control_address),
@@ -241,7 +241,7 @@
             Cell::text(&order.operator),
             number(order.stamp.counter),
             Cell::text(&order.stamp.vm),
-            Cell::maybe(order.revision.map(thymeshift_types::Revision::as_u64)),
+            Cell::number_or_missing(order.revision.map(thymeshift_types::Revision::as_u64)),
             number(order.expires_in_ms),
         ]
     };
--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -25,7 +25,7 @@
     }
 
     /// A number, or missing.
-    pub(crate) fn maybe(value: Option<u64>) -> Self {
+    pub(crate) fn number_or_missing(value: Option<u64>) -> Self {
         value.map_or(Self::Missing, |value| Self::Number(value as f64))
     }
 
