--- a/crates/thymeshift_query/src/evaluate.rs
+++ b/crates/thymeshift_query/src/evaluate.rs
@@ -17,7 +17,7 @@
         let mut rows: Vec<&Vec<Cell>> = table.rows.iter().filter(keeps).collect();
         if let Some(sort) = self.sort {
             rows.sort_by(|a, b| {
-                let order = cell(table, a, sort.column).order(&cell(table, b, sort.column));
+                let order = cell(table, a, sort.column).compare(&cell(table, b, sort.column));
                 match sort.direction {
                     Direction::Ascending => order,
                     Direction::Descending => order.reverse(),
@@ -58,7 +58,7 @@
         if *found == Cell::Missing {
             return self.operator == ComparisonOperator::Unequal;
         }
-        let order = self.order(found);
+        let order = self.compare(found);
         match self.operator {
             ComparisonOperator::Equal => order == Ordering::Equal,
             ComparisonOperator::Unequal => order != Ordering::Equal,
@@ -71,10 +71,10 @@
     }
 
     /// A text column is compared as text even with what looks like a number or a flag.
-    fn order(&self, found: &Cell) -> Ordering {
+    fn compare(&self, found: &Cell) -> Ordering {
         match (found, &self.value) {
             (Cell::Text(text), value) => text.as_str().cmp(value.to_string().as_str()),
-            (found, value) => found.order(value),
+            (found, value) => found.compare(value),
         }
     }
 }
--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -30,7 +30,7 @@
     }
 
     /// Order for sorting: missing last, then by kind, then by value.
-    pub(crate) fn order(&self, other: &Self) -> Ordering {
+    pub(crate) fn compare(&self, other: &Self) -> Ordering {
         match (self, other) {
             (Self::Text(a), Self::Text(b)) => a.cmp(b),
             (Self::Number(a), Self::Number(b)) => a.total_cmp(b),
