--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -35,11 +35,11 @@
             (Self::Text(a), Self::Text(b)) => a.cmp(b),
             (Self::Number(a), Self::Number(b)) => a.total_cmp(b),
             (Self::Bool(a), Self::Bool(b)) => a.cmp(b),
-            _ => self.rank().cmp(&other.rank()),
+            _ => self.type_rank().cmp(&other.type_rank()),
         }
     }
 
-    fn rank(&self) -> u8 {
+    fn type_rank(&self) -> u8 {
         match self {
             Self::Bool(_) => 0,
             Self::Number(_) => 1,
