--- a/crates/thymeshift_query/src/lexer.rs
+++ b/crates/thymeshift_query/src/lexer.rs
@@ -7,7 +7,7 @@
 
 /// A word and its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Word {
+pub(crate) struct Token {
     pub(crate) text: String,
     /// Counted from 1.
     pub(crate) column: usize,
@@ -17,7 +17,7 @@
 
 /// Cuts a line into words: quoted texts, operators, commas, brackets, and the rest at
 /// white space.
-pub(crate) fn words(line: &str) -> Result<Vec<Word>, ParseError> {
+pub(crate) fn tokenize(line: &str) -> Result<Vec<Token>, ParseError> {
     if line.len() > LINE_BYTES_MAX {
         let found = format!("{} bytes", line.len());
         return Err(ParseError::new(1, &found, format!("at most {LINE_BYTES_MAX} bytes")));
@@ -42,12 +42,12 @@
     Ok(words)
 }
 
-fn plain(characters: &[char], from: usize, to: usize) -> Word {
+fn plain(characters: &[char], from: usize, to: usize) -> Token {
     let text = characters[from..to].iter().collect();
-    Word { text, column: from + 1, is_quoted: false }
+    Token { text, column: from + 1, is_quoted: false }
 }
 
-fn quoted(characters: &[char], from: usize) -> Result<(Word, usize), ParseError> {
+fn quoted(characters: &[char], from: usize) -> Result<(Token, usize), ParseError> {
     let quote = characters[from];
     let inside = &characters[from + 1..];
     let Some(length) = inside.iter().position(|character| *character == quote) else {
@@ -55,16 +55,16 @@
         return Err(ParseError::new(from + 1, &found, format!("a closing {quote}")));
     };
     let text = inside[..length].iter().collect();
-    Ok((Word { text, column: from + 1, is_quoted: true }, from + length + 2))
+    Ok((Token { text, column: from + 1, is_quoted: true }, from + length + 2))
 }
 
-fn operator(characters: &[char], from: usize) -> (Word, usize) {
+fn operator(characters: &[char], from: usize) -> (Token, usize) {
     let has_equals = characters.get(from + 1) == Some(&'=');
     let to = if has_equals { from + 2 } else { from + 1 };
     (plain(characters, from, to), to)
 }
 
-fn bare(characters: &[char], from: usize) -> (Word, usize) {
+fn bare(characters: &[char], from: usize) -> (Token, usize) {
     let is_inside = |character: &char| {
         !character.is_whitespace()
             && !matches!(character, '"' | '\'' | ',' | '(' | ')' | '=' | '!' | '<' | '>')
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -21,8 +21,8 @@
 use crate::ComparisonOperator;
 use crate::Sort;
 use crate::TableName;
-use crate::lexer::Word;
-use crate::lexer::words;
+use crate::lexer::Token;
+use crate::lexer::tokenize;
 
 /// First words of commands.
 const VERBS: [&str; 9] =
@@ -42,7 +42,7 @@
 
 /// Reads a line.
 pub fn parse(line: &str) -> Parsed<Command> {
-    let words = words(line)?;
+    let words = tokenize(line)?;
     let end = line.chars().count() + 1;
     let mut parser = Parser { words, at: 0, end, depth: 0 };
     let command = parser.command()?;
@@ -51,7 +51,7 @@
 }
 
 struct Parser {
-    words: Vec<Word>,
+    words: Vec<Token>,
     at: usize,
     /// Column behind the line.
     end: usize,
@@ -268,7 +268,7 @@
         Err(ParseError::new(word.column, &word.text, expected))
     }
 
-    fn word(&mut self, expected: &str) -> Parsed<Word> {
+    fn word(&mut self, expected: &str) -> Parsed<Token> {
         let Some(word) = self.words.get(self.at) else {
             return Err(ParseError::new(self.end, "", expected));
         };
@@ -308,7 +308,7 @@
     }
 }
 
-fn value(word: Word) -> Cell {
+fn value(word: Token) -> Cell {
     if word.is_quoted {
         return Cell::Text(word.text);
     }
