--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -120,7 +120,7 @@
             let what = format!("a column of {table}");
             ParseError::unknown(word.column, &word.text, &what, table.columns())
         };
-        table.column(&word.text).ok_or_else(unknown)
+        table.find_column(&word.text).ok_or_else(unknown)
     }
 
     fn any_of(&mut self, table: TableName) -> Parsed<Condition> {
--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -265,7 +265,7 @@
     }
 
     /// Its column called `name`.
-    pub(crate) fn column(self, name: &str) -> Option<&'static str> {
+    pub(crate) fn find_column(self, name: &str) -> Option<&'static str> {
         self.columns().iter().find(|column| **column == name).copied()
     }
 }
