--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -2,7 +2,7 @@
 
 mod arguments;
 mod ask;
-mod say;
+mod output;
 
 use std::io::BufRead;
 use std::io::Write;
@@ -15,7 +15,7 @@
 use crate::arguments::Arguments;
 use crate::arguments::HELP;
 use crate::arguments::Invocation;
-use crate::say::Said;
+use crate::output::Said;
 
 /// Exit code for a mistake in the arguments or the line.
 const CODE_MISTAKE: u8 = 2;
@@ -87,17 +87,17 @@
 
 async fn run(command: &Command, arguments: &Arguments) -> Said {
     match command {
-        Command::Tables => say::tables(),
+        Command::Tables => output::tables(),
         Command::Show(query) => {
             let asked = ask::dumps(arguments).await;
-            say::rows(query, &asked, arguments.format)
+            output::rows(query, &asked, arguments.format)
         }
         Command::Explain(request) => {
-            say::explanation(&ask::explain(arguments, request).await, arguments.format)
+            output::explanation(&ask::explain(arguments, request).await, arguments.format)
         }
         Command::Order { subject, change, expires_in } => {
             let answer = ask::order(arguments, subject, *change, *expires_in).await;
-            say::order(&answer, arguments.format)
+            output::order(&answer, arguments.format)
         }
     }
 }
