--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -1,7 +1,7 @@
 //! The operators' program of thymeshift. The language is in `thymeshift_query`.
 
 mod arguments;
-mod ask;
+mod client;
 mod output;
 
 use std::io::BufRead;
@@ -89,14 +89,14 @@
     match command {
         Command::Tables => output::tables(),
         Command::Show(query) => {
-            let asked = ask::dumps(arguments).await;
+            let asked = client::dumps(arguments).await;
             output::rows(query, &asked, arguments.format)
         }
         Command::Explain(request) => {
-            output::explanation(&ask::explain(arguments, request).await, arguments.format)
+            output::explanation(&client::explain(arguments, request).await, arguments.format)
         }
         Command::Order { subject, change, expires_in } => {
-            let answer = ask::order(arguments, subject, *change, *expires_in).await;
+            let answer = client::order(arguments, subject, *change, *expires_in).await;
             output::order(&answer, arguments.format)
         }
     }
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -13,8 +13,8 @@
 use thymeshift_wire::OrderAnswer;
 
 use crate::arguments::Format;
-use crate::ask::Dumps;
-use crate::ask::Unanswered;
+use crate::client::Dumps;
+use crate::client::Unanswered;
 
 /// Exit code if there is no row or no effect.
 const CODE_NOTHING: u8 = 1;
