--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -15,7 +15,7 @@
 use crate::arguments::Arguments;
 use crate::arguments::HELP;
 use crate::arguments::Invocation;
-use crate::output::Said;
+use crate::output::CommandOutput;
 
 /// Exit code for a mistake in the arguments or the line.
 const CODE_MISTAKE: u8 = 2;
@@ -77,15 +77,15 @@
             return CODE_MISTAKE;
         }
     };
-    let said = runtime.block_on(run(&command, arguments));
-    print(&said.text);
-    if !said.complaint.is_empty() {
-        eprint!("{}", said.complaint);
+    let output = runtime.block_on(run(&command, arguments));
+    print(&output.text);
+    if !output.complaint.is_empty() {
+        eprint!("{}", output.complaint);
     }
-    said.code
+    output.code
 }
 
-async fn run(command: &Command, arguments: &Arguments) -> Said {
+async fn run(command: &Command, arguments: &Arguments) -> CommandOutput {
     match command {
         Command::Tables => output::tables(),
         Command::Show(query) => {
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -23,7 +23,7 @@
 
 /// An answer for the operator.
 #[derive(Debug, Default)]
-pub(crate) struct Said {
+pub(crate) struct CommandOutput {
     /// For standard output.
     pub(crate) text: String,
     /// For standard error.
@@ -32,49 +32,49 @@
     pub(crate) code: u8,
 }
 
-impl Said {
+impl CommandOutput {
     fn unanswered(unanswered: &[Unanswered]) -> Self {
-        let mut said = Self::default();
+        let mut output = Self::default();
         for Unanswered(reason) in unanswered {
-            let _ = writeln!(said.complaint, "thymeshiftctl: no answer: {reason}");
-            said.code = CODE_UNANSWERED;
+            let _ = writeln!(output.complaint, "thymeshiftctl: no answer: {reason}");
+            output.code = CODE_UNANSWERED;
         }
-        said
+        output
     }
 }
 
-pub(crate) fn tables() -> Said {
+pub(crate) fn tables() -> CommandOutput {
     let mut text = String::new();
     for table in TableName::ALL {
         let _ = writeln!(text, "{:<14} {}", table.to_string(), table.columns().join(", "));
     }
-    Said { text, ..Said::default() }
+    CommandOutput { text, ..CommandOutput::default() }
 }
 
-pub(crate) fn rows(query: &Query, asked: &Dumps, format: Format) -> Said {
-    let mut said = Said::unanswered(&asked.unanswered);
+pub(crate) fn rows(query: &Query, asked: &Dumps, format: Format) -> CommandOutput {
+    let mut output = CommandOutput::unanswered(&asked.unanswered);
     let table = query.run(&build_table(query.table, &asked.dumps));
-    if table.rows.is_empty() && said.code == 0 {
-        said.code = CODE_NOTHING;
+    if table.rows.is_empty() && output.code == 0 {
+        output.code = CODE_NOTHING;
     }
-    said.text = match format {
+    output.text = match format {
         Format::Text => to_text(&table),
         Format::Json => format!("{}\n", to_json(&table)),
     };
-    said
+    output
 }
 
-pub(crate) fn explanation(explained: &Result<Explanation, Unanswered>, format: Format) -> Said {
+pub(crate) fn explanation(explained: &Result<Explanation, Unanswered>, format: Format) -> CommandOutput {
     let explanation = match explained {
         Ok(explanation) => explanation,
-        Err(unanswered) => return Said::unanswered(std::slice::from_ref(unanswered)),
+        Err(unanswered) => return CommandOutput::unanswered(std::slice::from_ref(unanswered)),
     };
     let code = if explanation.kind.is_some() { 0 } else { CODE_NOTHING };
     let text = match format {
         Format::Json => format!("{}\n", json!(explanation)),
         Format::Text => explanation_text(explanation),
     };
-    Said { text, code, ..Said::default() }
+    CommandOutput { text, code, ..CommandOutput::default() }
 }
 
 fn explanation_text(explanation: &Explanation) -> String {
@@ -101,10 +101,10 @@
     text
 }
 
-pub(crate) fn order(answered: &Result<OrderAnswer, Unanswered>, format: Format) -> Said {
+pub(crate) fn order(answered: &Result<OrderAnswer, Unanswered>, format: Format) -> CommandOutput {
     let answer = match answered {
         Ok(answer) => answer,
-        Err(unanswered) => return Said::unanswered(std::slice::from_ref(unanswered)),
+        Err(unanswered) => return CommandOutput::unanswered(std::slice::from_ref(unanswered)),
     };
     let code = match answer {
         OrderAnswer::UnknownSubject(_) => CODE_NOTHING,
@@ -126,7 +126,7 @@
             names(unconfirmed)
         ),
     };
-    Said { text, code, ..Said::default() }
+    CommandOutput { text, code, ..CommandOutput::default() }
 }
 
 fn names(vms: &[VmName]) -> String {
