--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -78,11 +78,11 @@
         }
     };
     let output = runtime.block_on(run(&command, arguments));
-    print(&output.text);
-    if !output.complaint.is_empty() {
-        eprint!("{}", output.complaint);
+    print(&output.stdout);
+    if !output.stderr.is_empty() {
+        eprint!("{}", output.stderr);
     }
-    output.code
+    output.exit_code
 }
 
 async fn run(command: &Command, arguments: &Arguments) -> CommandOutput {
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -25,39 +25,39 @@
 #[derive(Debug, Default)]
 pub(crate) struct CommandOutput {
     /// For standard output.
-    pub(crate) text: String,
+    pub(crate) stdout: String,
     /// For standard error.
-    pub(crate) complaint: String,
+    pub(crate) stderr: String,
     /// Exit code.
-    pub(crate) code: u8,
+    pub(crate) exit_code: u8,
 }
 
 impl CommandOutput {
     fn unanswered(unanswered: &[Unanswered]) -> Self {
         let mut output = Self::default();
         for Unanswered(reason) in unanswered {
-            let _ = writeln!(output.complaint, "thymeshiftctl: no answer: {reason}");
-            output.code = CODE_UNANSWERED;
+            let _ = writeln!(output.stderr, "thymeshiftctl: no answer: {reason}");
+            output.exit_code = CODE_UNANSWERED;
         }
         output
     }
 }
 
 pub(crate) fn tables() -> CommandOutput {
-    let mut text = String::new();
+    let mut stdout = String::new();
     for table in TableName::ALL {
-        let _ = writeln!(text, "{:<14} {}", table.to_string(), table.columns().join(", "));
+        let _ = writeln!(stdout, "{:<14} {}", table.to_string(), table.columns().join(", "));
     }
-    CommandOutput { text, ..CommandOutput::default() }
+    CommandOutput { stdout, ..CommandOutput::default() }
 }
 
 pub(crate) fn rows(query: &Query, asked: &Dumps, format: Format) -> CommandOutput {
     let mut output = CommandOutput::unanswered(&asked.unanswered);
     let table = query.run(&build_table(query.table, &asked.dumps));
-    if table.rows.is_empty() && output.code == 0 {
-        output.code = CODE_NOTHING;
+    if table.rows.is_empty() && output.exit_code == 0 {
+        output.exit_code = CODE_NOTHING;
     }
-    output.text = match format {
+    output.stdout = match format {
         Format::Text => to_text(&table),
         Format::Json => format!("{}\n", to_json(&table)),
     };
@@ -69,12 +69,12 @@
         Ok(explanation) => explanation,
         Err(unanswered) => return CommandOutput::unanswered(std::slice::from_ref(unanswered)),
     };
-    let code = if explanation.kind.is_some() { 0 } else { CODE_NOTHING };
-    let text = match format {
+    let exit_code = if explanation.kind.is_some() { 0 } else { CODE_NOTHING };
+    let stdout = match format {
         Format::Json => format!("{}\n", json!(explanation)),
         Format::Text => explanation_text(explanation),
     };
-    CommandOutput { text, code, ..CommandOutput::default() }
+    CommandOutput { stdout, exit_code, ..CommandOutput::default() }
 }
 
 fn explanation_text(explanation: &Explanation) -> String {
@@ -106,12 +106,12 @@
         Ok(answer) => answer,
         Err(unanswered) => return CommandOutput::unanswered(std::slice::from_ref(unanswered)),
     };
-    let code = match answer {
+    let exit_code = match answer {
         OrderAnswer::UnknownSubject(_) => CODE_NOTHING,
         OrderAnswer::Taken { unconfirmed, .. } if !unconfirmed.is_empty() => CODE_UNANSWERED,
         OrderAnswer::Taken { .. } => 0,
     };
-    let text = match (format, answer) {
+    let stdout = match (format, answer) {
         (Format::Json, answer) => format!("{}\n", json!(answer)),
         (Format::Text, OrderAnswer::UnknownSubject(reason)) => format!("refused: {reason}\n"),
         (Format::Text, OrderAnswer::Taken { order, confirmed, unconfirmed }) => format!(
@@ -126,7 +126,7 @@
             names(unconfirmed)
         ),
     };
-    CommandOutput { text, code, ..CommandOutput::default() }
+    CommandOutput { stdout, exit_code, ..CommandOutput::default() }
 }
 
 fn names(vms: &[VmName]) -> String {
