--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -25,13 +25,13 @@
 
 /// A process that did not answer, in words.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Unanswered(pub(crate) String);
+pub(crate) struct CallError(pub(crate) String);
 
 /// Dumps, and who did not answer.
 #[derive(Debug, Default)]
 pub(crate) struct Dumps {
     pub(crate) dumps: Vec<StateDump>,
-    pub(crate) unanswered: Vec<Unanswered>,
+    pub(crate) errors: Vec<CallError>,
 }
 
 fn context() -> context::Context {
@@ -40,14 +40,14 @@
     context
 }
 
-async fn connect(address: SocketAddr) -> Result<ControlClient, Unanswered> {
-    connect_control(address, LIMIT).await.map_err(|error| Unanswered(error.to_string()))
+async fn connect(address: SocketAddr) -> Result<ControlClient, CallError> {
+    connect_control(address, LIMIT).await.map_err(|error| CallError(error.to_string()))
 }
 
-async fn dump(address: SocketAddr) -> Result<StateDump, Unanswered> {
+async fn dump(address: SocketAddr) -> Result<StateDump, CallError> {
     let client = connect(address).await?;
     let dumped = client.dump(context()).await;
-    dumped.map_err(|error| Unanswered(format!("{address}: {error}")))
+    dumped.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
 /// The dumps of the named processes, and if asked for of all that they know.
@@ -60,7 +60,7 @@
         for dumped in join_all(next.drain(..).map(dump)).await {
             match dumped {
                 Ok(dump) => answers.dumps.push(dump),
-                Err(unanswered) => answers.unanswered.push(unanswered),
+                Err(error) => answers.errors.push(error),
             }
         }
         if arguments.reach == Reach::All {
@@ -77,11 +77,11 @@
 pub(crate) async fn explain(
     arguments: &Arguments,
     request: &ExplainRequest,
-) -> Result<Explanation, Unanswered> {
+) -> Result<Explanation, CallError> {
     let address = arguments.at[0];
     let client = connect(address).await?;
     let explained = client.explain(context(), request.clone()).await;
-    explained.map_err(|error| Unanswered(format!("{address}: {error}")))
+    explained.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
 pub(crate) async fn order(
@@ -89,7 +89,7 @@
     subject: &OrderSubject,
     change: OrderChange,
     expires_in: Duration,
-) -> Result<OrderAnswer, Unanswered> {
+) -> Result<OrderAnswer, CallError> {
     let address = arguments.at[0];
     let client = connect(address).await?;
     let request = OrderRequest {
@@ -100,6 +100,6 @@
     };
     let ordered = client.order(context(), request).await;
     // The call may have arrived although its answer did not.
-    let lost = |error| Unanswered(format!("{address}: {error}; the order may have been taken"));
+    let lost = |error| CallError(format!("{address}: {error}; the order may have been taken"));
     ordered.map_err(lost)
 }
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -14,7 +14,7 @@
 
 use crate::arguments::Format;
 use crate::client::Dumps;
-use crate::client::Unanswered;
+use crate::client::CallError;
 
 /// Exit code if there is no row or no effect.
 const CODE_NOTHING: u8 = 1;
@@ -33,9 +33,9 @@
 }
 
 impl CommandOutput {
-    fn unanswered(unanswered: &[Unanswered]) -> Self {
+    fn from_errors(errors: &[CallError]) -> Self {
         let mut output = Self::default();
-        for Unanswered(reason) in unanswered {
+        for CallError(reason) in errors {
             let _ = writeln!(output.stderr, "thymeshiftctl: no answer: {reason}");
             output.exit_code = CODE_UNANSWERED;
         }
@@ -52,7 +52,7 @@
 }
 
 pub(crate) fn rows(query: &Query, asked: &Dumps, format: Format) -> CommandOutput {
-    let mut output = CommandOutput::unanswered(&asked.unanswered);
+    let mut output = CommandOutput::from_errors(&asked.errors);
     let table = query.run(&build_table(query.table, &asked.dumps));
     if table.rows.is_empty() && output.exit_code == 0 {
         output.exit_code = CODE_NOTHING;
@@ -64,10 +64,10 @@
     output
 }
 
-pub(crate) fn explanation(explained: &Result<Explanation, Unanswered>, format: Format) -> CommandOutput {
+pub(crate) fn explanation(explained: &Result<Explanation, CallError>, format: Format) -> CommandOutput {
     let explanation = match explained {
         Ok(explanation) => explanation,
-        Err(unanswered) => return CommandOutput::unanswered(std::slice::from_ref(unanswered)),
+        Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
     };
     let exit_code = if explanation.kind.is_some() { 0 } else { CODE_NOTHING };
     let stdout = match format {
@@ -101,10 +101,10 @@
     text
 }
 
-pub(crate) fn order(answered: &Result<OrderAnswer, Unanswered>, format: Format) -> CommandOutput {
+pub(crate) fn order(answered: &Result<OrderAnswer, CallError>, format: Format) -> CommandOutput {
     let answer = match answered {
         Ok(answer) => answer,
-        Err(unanswered) => return CommandOutput::unanswered(std::slice::from_ref(unanswered)),
+        Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
     };
     let exit_code = match answer {
         OrderAnswer::UnknownSubject(_) => CODE_NOTHING,
