--- a/crates/thymeshiftctl/src/arguments.rs
+++ b/crates/thymeshiftctl/src/arguments.rs
@@ -51,15 +51,15 @@
 
 /// Whom to ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Reach {
-    Named,
-    All,
+pub(crate) enum ProcessSelection {
+    Listed,
+    AllKnown,
 }
 
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Arguments {
     pub(crate) at: Vec<SocketAddr>,
-    pub(crate) reach: Reach,
+    pub(crate) selection: ProcessSelection,
     pub(crate) format: Format,
     pub(crate) operator: String,
     pub(crate) line: Option<String>,
@@ -76,7 +76,7 @@
 
 pub(crate) fn parse(mut parser: Parser) -> Result<Invocation, Error> {
     let mut at = Vec::new();
-    let mut reach = Reach::Named;
+    let mut selection = ProcessSelection::Listed;
     let mut format = Format::Text;
     let mut operator = None;
     let mut words: Vec<String> = Vec::new();
@@ -86,7 +86,7 @@
             Arg::Short('V') | Arg::Long("version") => return Ok(Invocation::Version),
             Arg::Long("key-digest") => return Ok(Invocation::KeyDigest),
             Arg::Long("at") => at.push(parser.value()?.parse()?),
-            Arg::Long("all") => reach = Reach::All,
+            Arg::Long("all") => selection = ProcessSelection::AllKnown,
             Arg::Long("json") => format = Format::Json,
             Arg::Long("operator") => operator = Some(parser.value()?.string()?),
             Arg::Value(word) => words.push(word.string()?),
@@ -99,5 +99,5 @@
     let operator = operator.or_else(|| std::env::var("USER").ok());
     let operator = operator.unwrap_or_else(|| "unknown".to_owned());
     let line = (!words.is_empty()).then(|| words.join(" "));
-    Ok(Invocation::Run(Arguments { at, reach, format, operator, line }))
+    Ok(Invocation::Run(Arguments { at, selection, format, operator, line }))
 }
--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -18,7 +18,7 @@
 use thymeshift_wire::connect_control;
 
 use crate::arguments::Arguments;
-use crate::arguments::Reach;
+use crate::arguments::ProcessSelection;
 
 /// Longest time to open a connection, and for one call.
 const LIMIT: Duration = Duration::from_secs(3);
@@ -63,7 +63,7 @@
                 Err(error) => answers.errors.push(error),
             }
         }
-        if arguments.reach == Reach::All {
+        if arguments.selection == ProcessSelection::AllKnown {
             let members = answers.dumps.iter().flat_map(|dump| &dump.members);
             let there = members.filter(|known| known.liveness != thymeshift_fleet::Liveness::Gone);
             let known: BTreeSet<SocketAddr> =
