--- a/crates/thymeshiftctl/src/arguments.rs
+++ b/crates/thymeshiftctl/src/arguments.rs
@@ -58,7 +58,7 @@
 
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Arguments {
-    pub(crate) at: Vec<SocketAddr>,
+    pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) selection: ProcessSelection,
     pub(crate) format: Format,
     pub(crate) operator: String,
@@ -75,7 +75,7 @@
 }
 
 pub(crate) fn parse(mut parser: Parser) -> Result<Invocation, Error> {
-    let mut at = Vec::new();
+    let mut addresses = Vec::new();
     let mut selection = ProcessSelection::Listed;
     let mut format = Format::Text;
     let mut operator = None;
@@ -85,7 +85,7 @@
             Arg::Short('h') | Arg::Long("help") => return Ok(Invocation::Help),
             Arg::Short('V') | Arg::Long("version") => return Ok(Invocation::Version),
             Arg::Long("key-digest") => return Ok(Invocation::KeyDigest),
-            Arg::Long("at") => at.push(parser.value()?.parse()?),
+            Arg::Long("at") => addresses.push(parser.value()?.parse()?),
             Arg::Long("all") => selection = ProcessSelection::AllKnown,
             Arg::Long("json") => format = Format::Json,
             Arg::Long("operator") => operator = Some(parser.value()?.string()?),
@@ -93,11 +93,11 @@
             unexpected => return Err(unexpected.unexpected()),
         }
     }
-    if at.is_empty() {
+    if addresses.is_empty() {
         return Err("--at IP:PORT is missing: the control address of an entry process".into());
     }
     let operator = operator.or_else(|| std::env::var("USER").ok());
     let operator = operator.unwrap_or_else(|| "unknown".to_owned());
     let line = (!words.is_empty()).then(|| words.join(" "));
-    Ok(Invocation::Run(Arguments { at, selection, format, operator, line }))
+    Ok(Invocation::Run(Arguments { addresses, selection, format, operator, line }))
 }
--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -53,7 +53,7 @@
 /// The dumps of the named processes, and if asked for of all that they know.
 pub(crate) async fn dumps(arguments: &Arguments) -> Dumps {
     let mut asked: BTreeSet<SocketAddr> = BTreeSet::new();
-    let mut next = arguments.at.clone();
+    let mut next = arguments.addresses.clone();
     let mut answers = Dumps::default();
     while !next.is_empty() {
         asked.extend(&next);
@@ -78,7 +78,7 @@
     arguments: &Arguments,
     request: &ExplainRequest,
 ) -> Result<Explanation, CallError> {
-    let address = arguments.at[0];
+    let address = arguments.addresses[0];
     let client = connect(address).await?;
     let explained = client.explain(context(), request.clone()).await;
     explained.map_err(|error| CallError(format!("{address}: {error}")))
@@ -90,7 +90,7 @@
     change: OrderChange,
     expires_in: Duration,
 ) -> Result<OrderAnswer, CallError> {
-    let address = arguments.at[0];
+    let address = arguments.addresses[0];
     let client = connect(address).await?;
     let request = OrderRequest {
         subject: subject.clone(),
