--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -44,20 +44,20 @@
     connect_control(address, LIMIT).await.map_err(|error| CallError(error.to_string()))
 }
 
-async fn dump(address: SocketAddr) -> Result<StateDump, CallError> {
+async fn fetch_dump(address: SocketAddr) -> Result<StateDump, CallError> {
     let client = connect(address).await?;
     let dumped = client.dump(context()).await;
     dumped.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
 /// The dumps of the named processes, and if asked for of all that they know.
-pub(crate) async fn dumps(arguments: &Arguments) -> Dumps {
+pub(crate) async fn fetch_dumps(arguments: &Arguments) -> Dumps {
     let mut asked: BTreeSet<SocketAddr> = BTreeSet::new();
     let mut next = arguments.addresses.clone();
     let mut answers = Dumps::default();
     while !next.is_empty() {
         asked.extend(&next);
-        for dumped in join_all(next.drain(..).map(dump)).await {
+        for dumped in join_all(next.drain(..).map(fetch_dump)).await {
             match dumped {
                 Ok(dump) => answers.dumps.push(dump),
                 Err(error) => answers.errors.push(error),
@@ -74,7 +74,7 @@
     answers
 }
 
-pub(crate) async fn explain(
+pub(crate) async fn fetch_explanation(
     arguments: &Arguments,
     request: &ExplainRequest,
 ) -> Result<Explanation, CallError> {
@@ -84,7 +84,7 @@
     explained.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
-pub(crate) async fn order(
+pub(crate) async fn send_order(
     arguments: &Arguments,
     subject: &OrderSubject,
     change: OrderChange,
--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -87,17 +87,17 @@
 
 async fn run(command: &Command, arguments: &Arguments) -> CommandOutput {
     match command {
-        Command::Tables => output::tables(),
+        Command::Tables => output::list_tables(),
         Command::Show(query) => {
-            let asked = client::dumps(arguments).await;
-            output::rows(query, &asked, arguments.format)
+            let asked = client::fetch_dumps(arguments).await;
+            output::query_result(query, &asked, arguments.format)
         }
         Command::Explain(request) => {
-            output::explanation(&client::explain(arguments, request).await, arguments.format)
+            output::explanation(&client::fetch_explanation(arguments, request).await, arguments.format)
         }
         Command::Order { subject, change, expires_in } => {
-            let answer = client::order(arguments, subject, *change, *expires_in).await;
-            output::order(&answer, arguments.format)
+            let answer = client::send_order(arguments, subject, *change, *expires_in).await;
+            output::order_result(&answer, arguments.format)
         }
     }
 }
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -43,7 +43,7 @@
     }
 }
 
-pub(crate) fn tables() -> CommandOutput {
+pub(crate) fn list_tables() -> CommandOutput {
     let mut stdout = String::new();
     for table in TableName::ALL {
         let _ = writeln!(stdout, "{:<14} {}", table.to_string(), table.columns().join(", "));
@@ -51,7 +51,7 @@
     CommandOutput { stdout, ..CommandOutput::default() }
 }
 
-pub(crate) fn rows(query: &Query, asked: &Dumps, format: Format) -> CommandOutput {
+pub(crate) fn query_result(query: &Query, asked: &Dumps, format: Format) -> CommandOutput {
     let mut output = CommandOutput::from_errors(&asked.errors);
     let table = query.run(&build_table(query.table, &asked.dumps));
     if table.rows.is_empty() && output.exit_code == 0 {
@@ -101,7 +101,7 @@
     text
 }
 
-pub(crate) fn order(answered: &Result<OrderAnswer, CallError>, format: Format) -> CommandOutput {
+pub(crate) fn order_result(answered: &Result<OrderAnswer, CallError>, format: Format) -> CommandOutput {
     let answer = match answered {
         Ok(answer) => answer,
         Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
