--- a/crates/thymeshift_query/src/evaluate.rs
+++ b/crates/thymeshift_query/src/evaluate.rs
@@ -4,10 +4,10 @@
 
 use crate::Cell;
 use crate::Comparison;
+use crate::ComparisonOperator;
 use crate::Condition;
 use crate::Direction;
 use crate::Query;
-use crate::ComparisonOperator;
 use crate::Table;
 
 impl Query {
--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -13,21 +13,22 @@
 //! [`build_table`] makes the tables of a dump, [`Query::run`] answers from one table.
 
 mod ast;
+mod dump_tables;
+mod error;
 mod evaluate;
 mod lexer;
-mod error;
 mod parser;
 mod render;
 mod table;
-mod dump_tables;
 
 pub use ast::Command;
 pub use ast::Comparison;
+pub use ast::ComparisonOperator;
 pub use ast::Condition;
 pub use ast::Direction;
 pub use ast::Query;
-pub use ast::ComparisonOperator;
 pub use ast::Sort;
+pub use dump_tables::build_table;
 pub use error::ParseError;
 pub use parser::parse;
 pub use render::to_json;
@@ -35,4 +36,3 @@
 pub use table::Cell;
 pub use table::Table;
 pub use table::TableName;
-pub use dump_tables::build_table;
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -14,11 +14,11 @@
 use crate::Cell;
 use crate::Command;
 use crate::Comparison;
+use crate::ComparisonOperator;
 use crate::Condition;
 use crate::Direction;
-use crate::Query;
 use crate::ParseError;
-use crate::ComparisonOperator;
+use crate::Query;
 use crate::Sort;
 use crate::TableName;
 use crate::lexer::Token;
@@ -173,7 +173,12 @@
             ">=" => ComparisonOperator::GreaterOrEqual,
             "like" => ComparisonOperator::Like,
             text => {
-                return Err(ParseError::unknown(word.column, text, "a relation", &COMPARISON_OPERATORS));
+                return Err(ParseError::unknown(
+                    word.column,
+                    text,
+                    "a relation",
+                    &COMPARISON_OPERATORS,
+                ));
             }
         };
         let value = value(self.word("a value")?);
--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -92,9 +92,10 @@
             let asked = client::fetch_dumps(arguments).await;
             output::query_result(query, &asked, arguments.format)
         }
-        Command::Explain(request) => {
-            output::explanation(&client::fetch_explanation(arguments, request).await, arguments.format)
-        }
+        Command::Explain(request) => output::explanation(
+            &client::fetch_explanation(arguments, request).await,
+            arguments.format,
+        ),
         Command::Order { subject, change, expires_in } => {
             let answer = client::send_order(arguments, subject, *change, *expires_in).await;
             output::order_result(&answer, arguments.format)
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -13,8 +13,8 @@
 use thymeshift_wire::OrderAnswer;
 
 use crate::arguments::Format;
-use crate::client::Dumps;
 use crate::client::CallError;
+use crate::client::Dumps;
 
 /// Exit code if there is no row or no effect.
 const CODE_NOTHING: u8 = 1;
@@ -64,7 +64,10 @@
     output
 }
 
-pub(crate) fn explanation(explained: &Result<Explanation, CallError>, format: Format) -> CommandOutput {
+pub(crate) fn explanation(
+    explained: &Result<Explanation, CallError>,
+    format: Format,
+) -> CommandOutput {
     let explanation = match explained {
         Ok(explanation) => explanation,
         Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
@@ -101,7 +104,10 @@
     text
 }
 
-pub(crate) fn order_result(answered: &Result<OrderAnswer, CallError>, format: Format) -> CommandOutput {
+pub(crate) fn order_result(
+    answered: &Result<OrderAnswer, CallError>,
+    format: Format,
+) -> CommandOutput {
     let answer = match answered {
         Ok(answer) => answer,
         Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
