--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' query language over a state dump.
+//! Query language that operators use on the state dumps of entry processes.
 //!
 //! ```text
 //! show TABLE [COLUMN, …] [where CONDITION] [sort by COLUMN [desc]] [limit N]
@@ -8,9 +8,11 @@
 //! tables
 //! ```
 //!
-//! A condition compares a column with a value (`=`, `!=`, `<`, `<=`, `>`, `>=`, `like`)
-//! and joins comparisons with `and`, `or`, `not` and brackets. [`parse`] reads a line,
-//! [`build_table`] makes the tables of a dump, [`Query::run`] answers from one table.
+//! A condition compares a column with a value (`=`, `!=`, `<`, `<=`, `>`, `>=`, `like`).
+//! Comparisons are combined with `and`, `or`, `not` and parentheses.
+//!
+//! [`parse`] parses a command line, [`build_table`] converts state dumps to a table, and
+//! [`Query::run`] evaluates a query on a table.
 
 mod ast;
 mod dump_tables;
