--- a/crates/thymeshift_query/src/ast.rs
+++ b/crates/thymeshift_query/src/ast.rs
@@ -1,4 +1,4 @@
-//! What a line means.
+//! Syntax tree of a parsed command line.
 
 use std::time::Duration;
 
@@ -7,84 +7,84 @@
 use crate::Cell;
 use crate::TableName;
 
-/// A whole line.
+/// A parsed command line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Show rows of a table.
+    /// `show`: queries the rows of one table.
     Show(Query),
-    /// Say why a request would go where it goes.
+    /// `explain`: reports how an entry process would route a request, and why.
     Explain(ExplainRequest),
-    /// Give an order.
+    /// An operator's order, such as `drain`, `pause probing` or `refuse request`.
     Order {
-        /// What it is about.
+        /// Target, data hall, service or request that the order applies to.
         subject: thymeshift_fleet::OrderSubject,
-        /// What it says.
+        /// Whether the order stops the subject (drain, pause, refuse) or resumes normal operation.
         change: thymeshift_fleet::OrderChange,
-        /// How long it shall hold.
+        /// Time until the order expires.
         expires_in: Duration,
     },
-    /// List the tables and their columns.
+    /// `tables`: lists the tables and their columns.
     Tables,
 }
 
-/// Rows of a table.
+/// A `show` command.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Query {
-    /// The table.
+    /// Table to query.
     pub table: TableName,
-    /// The columns; empty shows all.
+    /// Columns to return; an empty list returns every column.
     pub columns: Vec<&'static str>,
-    /// Which rows.
+    /// `where` clause; without one every row is returned.
     pub condition: Option<Condition>,
-    /// In which order.
+    /// `sort by` clause; without one the rows keep the order of the dump.
     pub sort: Option<Sort>,
-    /// How many at most.
+    /// Maximum number of rows to return.
     pub limit: Option<usize>,
 }
 
-/// An order of rows.
+/// A `sort by` clause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sort {
-    /// By which column.
+    /// Column to sort by.
     pub column: &'static str,
-    /// Which way.
+    /// Sort direction.
     pub direction: Direction,
 }
 
-/// A direction of sorting.
+/// A sort direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// Smallest first.
+    /// Smallest value first.
     Ascending,
-    /// Largest first.
+    /// Largest value first.
     Descending,
 }
 
-/// Which rows.
+/// A `where` clause, evaluated for each row.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Condition {
-    /// A comparison holds.
+    /// True if the comparison is true.
     Compare(Comparison),
-    /// It does not hold.
+    /// True if the inner condition is false.
     Not(Box<Condition>),
-    /// Both hold.
+    /// True if both conditions are true.
     And(Box<Condition>, Box<Condition>),
-    /// At least one holds.
+    /// True if at least one of the two conditions is true.
     Or(Box<Condition>, Box<Condition>),
 }
 
-/// A column compared with a value.
+/// A comparison of a column with a constant value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Comparison {
-    /// The column.
+    /// Column on the left side of the comparison.
     pub column: &'static str,
-    /// How.
+    /// Comparison operator.
     pub operator: ComparisonOperator,
-    /// With what.
+    /// Constant on the right side of the comparison.
     pub value: Cell,
 }
 
-/// How two values are compared.
+/// Comparison operator of a condition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ComparisonOperator {
     /// `=`
@@ -99,6 +99,6 @@
     Greater,
     /// `>=`
     GreaterOrEqual,
-    /// `like`: the column contains the text.
+    /// `like`: true if the text of the column contains the value.
     Like,
 }
