--- a/crates/thymeshift_query/src/evaluate.rs
+++ b/crates/thymeshift_query/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! Answering a query from a table.
+//! Evaluation of a query on a table.
 
 use std::cmp::Ordering;
 
@@ -11,24 +11,26 @@
 use crate::Table;
 
 impl Query {
-    /// The rows that are asked for, in the order and with the columns asked for.
+    /// Returns the rows of `table` that match the condition, sorted, truncated to the limit and
+    /// reduced to the selected columns.
     pub fn run(&self, table: &Table) -> Table {
-        let keeps = |row: &&Vec<Cell>| self.condition.as_ref().is_none_or(|c| c.holds(table, row));
-        let mut rows: Vec<&Vec<Cell>> = table.rows.iter().filter(keeps).collect();
+        let matches =
+            |row: &&Vec<Cell>| self.condition.as_ref().is_none_or(|c| c.matches(table, row));
+        let mut rows: Vec<&Vec<Cell>> = table.rows.iter().filter(matches).collect();
         if let Some(sort) = self.sort {
             rows.sort_by(|a, b| {
-                let order = cell(table, a, sort.column).compare(&cell(table, b, sort.column));
+                let ordering = cell(table, a, sort.column).compare(&cell(table, b, sort.column));
                 match sort.direction {
-                    Direction::Ascending => order,
-                    Direction::Descending => order.reverse(),
+                    Direction::Ascending => ordering,
+                    Direction::Descending => ordering.reverse(),
                 }
             });
         }
         rows.truncate(self.limit.unwrap_or(usize::MAX));
         let columns =
             if self.columns.is_empty() { table.columns.clone() } else { self.columns.clone() };
-        let pick = |row: &Vec<Cell>| columns.iter().map(|c| cell(table, row, c)).collect();
-        let rows = rows.into_iter().map(pick).collect();
+        let select = |row: &Vec<Cell>| columns.iter().map(|c| cell(table, row, c)).collect();
+        let rows = rows.into_iter().map(select).collect();
         Table { columns, rows }
     }
 }
@@ -39,38 +41,40 @@
 }
 
 impl Condition {
-    fn holds(&self, table: &Table, row: &[Cell]) -> bool {
+    fn matches(&self, table: &Table, row: &[Cell]) -> bool {
         match self {
-            Self::Compare(comparison) => comparison.holds(&cell(table, row, comparison.column)),
-            Self::Not(inner) => !inner.holds(table, row),
-            Self::And(left, right) => left.holds(table, row) && right.holds(table, row),
-            Self::Or(left, right) => left.holds(table, row) || right.holds(table, row),
+            Self::Compare(comparison) => comparison.matches(&cell(table, row, comparison.column)),
+            Self::Not(inner) => !inner.matches(table, row),
+            Self::And(left, right) => left.matches(table, row) && right.matches(table, row),
+            Self::Or(left, right) => left.matches(table, row) || right.matches(table, row),
         }
     }
 }
 
 impl Comparison {
-    /// A missing value fulfils no comparison but `!=`.
-    fn holds(&self, found: &Cell) -> bool {
+    /// Returns whether the comparison is true for `found`. A missing cell matches `!=` and no other
+    /// operator except `like`, which matches the text `-` that a missing cell is printed as.
+    fn matches(&self, found: &Cell) -> bool {
         if let ComparisonOperator::Like = self.operator {
             return found.to_string().contains(&self.value.to_string());
         }
         if *found == Cell::Missing {
             return self.operator == ComparisonOperator::Unequal;
         }
-        let order = self.compare(found);
+        let ordering = self.compare(found);
         match self.operator {
-            ComparisonOperator::Equal => order == Ordering::Equal,
-            ComparisonOperator::Unequal => order != Ordering::Equal,
-            ComparisonOperator::Less => order == Ordering::Less,
-            ComparisonOperator::LessOrEqual => order != Ordering::Greater,
-            ComparisonOperator::Greater => order == Ordering::Greater,
-            ComparisonOperator::GreaterOrEqual => order != Ordering::Less,
+            ComparisonOperator::Equal => ordering == Ordering::Equal,
+            ComparisonOperator::Unequal => ordering != Ordering::Equal,
+            ComparisonOperator::Less => ordering == Ordering::Less,
+            ComparisonOperator::LessOrEqual => ordering != Ordering::Greater,
+            ComparisonOperator::Greater => ordering == Ordering::Greater,
+            ComparisonOperator::GreaterOrEqual => ordering != Ordering::Less,
             ComparisonOperator::Like => false,
         }
     }
 
-    /// A text column is compared as text even with what looks like a number or a flag.
+    /// Compares a cell with the constant. A text cell is compared as text even if the constant
+    /// parses as a number or a boolean, so that a name made of digits can be matched.
     fn compare(&self, found: &Cell) -> Ordering {
         match (found, &self.value) {
             (Cell::Text(text), value) => text.as_str().cmp(value.to_string().as_str()),
