--- a/crates/thymeshift_query/src/lexer.rs
+++ b/crates/thymeshift_query/src/lexer.rs
@@ -1,74 +1,75 @@
-//! Words of a line.
+//! Lexer of command lines.
 
 use crate::ParseError;
 
-/// Longest line, in bytes.
+/// Maximum length of a command line, in bytes.
 const LINE_BYTES_MAX: usize = 4_096;
 
-/// A word and its place.
+/// A token and its position in the line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Token {
     pub(crate) text: String,
-    /// Counted from 1.
+    /// Position of the first character, counted from 1.
     pub(crate) column: usize,
-    /// Whether it stood in quotes, so that it is a value and never a keyword.
+    /// Whether the token was quoted; a quoted token is a value and never a keyword.
     pub(crate) is_quoted: bool,
 }
 
-/// Cuts a line into words: quoted texts, operators, commas, brackets, and the rest at
-/// white space.
+/// Splits a line into tokens: quoted strings, comparison operators, commas, parentheses, and words
+/// separated by white space.
 pub(crate) fn tokenize(line: &str) -> Result<Vec<Token>, ParseError> {
     if line.len() > LINE_BYTES_MAX {
         let found = format!("{} bytes", line.len());
         return Err(ParseError::new(1, &found, format!("at most {LINE_BYTES_MAX} bytes")));
     }
     let characters: Vec<char> = line.chars().collect();
-    let mut words = Vec::new();
-    let mut at = 0;
-    while let Some(&character) = characters.get(at) {
+    let mut tokens = Vec::new();
+    let mut position = 0;
+    while let Some(&character) = characters.get(position) {
         if character.is_whitespace() {
-            at += 1;
+            position += 1;
             continue;
         }
-        let (word, next) = match character {
-            '"' | '\'' => quoted(&characters, at)?,
-            ',' | '(' | ')' => (plain(&characters, at, at + 1), at + 1),
-            '=' | '!' | '<' | '>' => operator(&characters, at),
-            _ => bare(&characters, at),
+        let (token, next) = match character {
+            '"' | '\'' => quoted_token(&characters, position)?,
+            ',' | '(' | ')' => (unquoted_token(&characters, position, position + 1), position + 1),
+            '=' | '!' | '<' | '>' => operator_token(&characters, position),
+            _ => word_token(&characters, position),
         };
-        words.push(word);
-        at = next;
+        tokens.push(token);
+        position = next;
     }
-    Ok(words)
+    Ok(tokens)
 }
 
-fn plain(characters: &[char], from: usize, to: usize) -> Token {
-    let text = characters[from..to].iter().collect();
-    Token { text, column: from + 1, is_quoted: false }
+fn unquoted_token(characters: &[char], start: usize, end: usize) -> Token {
+    let text = characters[start..end].iter().collect();
+    Token { text, column: start + 1, is_quoted: false }
 }
 
-fn quoted(characters: &[char], from: usize) -> Result<(Token, usize), ParseError> {
-    let quote = characters[from];
-    let inside = &characters[from + 1..];
-    let Some(length) = inside.iter().position(|character| *character == quote) else {
-        let found: String = characters[from..].iter().collect();
-        return Err(ParseError::new(from + 1, &found, format!("a closing {quote}")));
+fn quoted_token(characters: &[char], start: usize) -> Result<(Token, usize), ParseError> {
+    let quote = characters[start];
+    let rest = &characters[start + 1..];
+    let Some(length) = rest.iter().position(|character| *character == quote) else {
+        let found: String = characters[start..].iter().collect();
+        return Err(ParseError::new(start + 1, &found, format!("a closing {quote}")));
     };
-    let text = inside[..length].iter().collect();
-    Ok((Token { text, column: from + 1, is_quoted: true }, from + length + 2))
+    let text = rest[..length].iter().collect();
+    Ok((Token { text, column: start + 1, is_quoted: true }, start + length + 2))
 }
 
-fn operator(characters: &[char], from: usize) -> (Token, usize) {
-    let has_equals = characters.get(from + 1) == Some(&'=');
-    let to = if has_equals { from + 2 } else { from + 1 };
-    (plain(characters, from, to), to)
+fn operator_token(characters: &[char], start: usize) -> (Token, usize) {
+    let has_equals = characters.get(start + 1) == Some(&'=');
+    let end = if has_equals { start + 2 } else { start + 1 };
+    (unquoted_token(characters, start, end), end)
 }
 
-fn bare(characters: &[char], from: usize) -> (Token, usize) {
-    let is_inside = |character: &char| {
+fn word_token(characters: &[char], start: usize) -> (Token, usize) {
+    let is_word_character = |character: &char| {
         !character.is_whitespace()
             && !matches!(character, '"' | '\'' | ',' | '(' | ')' | '=' | '!' | '<' | '>')
     };
-    let length = characters[from..].iter().take_while(|character| is_inside(character)).count();
-    (plain(characters, from, from + length), from + length)
+    let length =
+        characters[start..].iter().take_while(|character| is_word_character(character)).count();
+    (unquoted_token(characters, start, start + length), start + length)
 }
