--- a/crates/thymeshift_query/src/error.rs
+++ b/crates/thymeshift_query/src/error.rs
@@ -1,20 +1,20 @@
-//! A mistake in a query, with its place and a way out.
+//! Parse error of a command line, with its column and what was expected there.
 
 use std::fmt;
 
 use derive_more::Error;
 
-/// Smallest likeness at which a known word is suggested.
-const SUGGESTION_LIKENESS_MIN: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity, from 0 to 1, for a "did you mean" suggestion.
+const SUGGESTION_SIMILARITY_MIN: f64 = 0.7;
 
-/// What is wrong with a line.
+/// First syntax error of a command line.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct ParseError {
-    /// Column of the mistake, counted from 1.
+    /// Position of the error in characters, counted from 1.
     pub column: usize,
-    /// What stands there.
+    /// The unexpected text in quotes, or `the end` at the end of the line.
     pub found: String,
-    /// What should stand there.
+    /// What the parser expected at this position, with a suggestion if there is a similar word.
     pub expected: String,
 }
 
@@ -27,14 +27,15 @@
         Self { column, found, expected: expected.into() }
     }
 
-    /// The same place, naming the known word that is most like the one found.
-    pub(crate) fn unknown(column: usize, found: &str, what: &str, known: &[&str]) -> Self {
-        let like = known
+    /// Returns the error for an unknown word. The message suggests the most similar known word, or
+    /// lists all known words if none is similar enough.
+    pub(crate) fn unknown_word(column: usize, found: &str, what: &str, known: &[&str]) -> Self {
+        let suggestion = known
             .iter()
             .map(|word| (strsim::jaro_winkler(found, word), word))
-            .filter(|(likeness, _)| *likeness >= SUGGESTION_LIKENESS_MIN)
+            .filter(|(similarity, _)| *similarity >= SUGGESTION_SIMILARITY_MIN)
             .max_by(|a, b| a.0.total_cmp(&b.0));
-        let expected = match like {
+        let expected = match suggestion {
             Some((_, word)) => format!("{what} (did you mean '{word}'?)"),
             None => format!("{what}: {}", known.join(", ")),
         };
--- a/crates/thymeshift_query/tests/mistakes.rs
+++ b/crates/thymeshift_query/tests/mistakes.rs
@@ -1,4 +1,4 @@
-//! Lines with a mistake: each is refused with its column and a way out.
+//! Syntax errors of command lines: each is reported with its column and what was expected there.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use thymeshift_query::parse;
@@ -17,8 +17,12 @@
     Case { line: "show zzz", column: 6, message: "a table: process, configuration" },
     Case { line: "show targets lod", column: 14, message: "did you mean 'load'?" },
     Case { line: "show targets where", column: 19, message: "found the end, expected a column" },
-    Case { line: "show targets where load", column: 24, message: "expected a relation" },
-    Case { line: "show targets where load ~ 2", column: 25, message: "a relation: =, !=" },
+    Case { line: "show targets where load", column: 24, message: "expected a comparison operator" },
+    Case {
+        line: "show targets where load ~ 2",
+        column: 25,
+        message: "a comparison operator: =, !=",
+    },
     Case { line: "show targets where load >", column: 26, message: "expected a value" },
     Case { line: "show targets where (load > 2", column: 29, message: "expected ')'" },
     Case { line: "show targets where load > 2 and", column: 32, message: "expected a column" },
@@ -39,34 +43,35 @@
 ];
 
 #[test]
-fn each_mistake_is_named_at_its_place() {
+fn each_syntax_error_is_reported_with_its_column() {
     for case in CASES {
-        let mistake = parse(case.line).expect_err(case.line);
-        assert_eq!(mistake.column, case.column, "{}: {mistake}", case.line);
-        let text = mistake.to_string();
+        let error = parse(case.line).expect_err(case.line);
+        assert_eq!(error.column, case.column, "{}: {error}", case.line);
+        let text = error.to_string();
         assert!(text.contains(case.message), "{}: {text}", case.line);
     }
 }
 
 #[test]
-fn deep_and_long_lines_are_refused() {
+fn deeply_nested_and_long_lines_are_rejected() {
     let deep = format!("show targets where {} load > 1", "not ".repeat(200));
     assert!(parse(&deep).expect_err("deep").to_string().contains("at most 32"));
     let long = format!("show targets where target = {}", "x".repeat(5_000));
     assert!(parse(&long).expect_err("long").to_string().contains("at most 4096 bytes"));
 }
 
-/// Whatever is typed, the parser answers.
+/// For any input the parser returns a command, or an error whose column lies within the line or one
+/// past its end. A panic would end `thymeshiftctl` on a typing error.
 #[test]
-fn any_line_is_answered() {
-    fn answers(line: String) -> bool {
+fn any_line_gives_a_command_or_an_error() {
+    fn parse_reports_valid_column(line: String) -> bool {
         match parse(&line) {
             Ok(_) => true,
-            Err(mistake) => mistake.column <= line.chars().count() + 1,
+            Err(error) => error.column <= line.chars().count() + 1,
         }
     }
     quickcheck::QuickCheck::new()
         .tests(2_000)
         .rng(quickcheck::Gen::from_size_and_seed(60, 7))
-        .quickcheck(answers as fn(String) -> bool);
+        .quickcheck(parse_reports_valid_column as fn(String) -> bool);
 }
