--- a/crates/thymeshift_query/src/dump_tables.rs
+++ b/crates/thymeshift_query/src/dump_tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a state dump.
+//! Conversion of state dumps to tables.
 
 use thymeshift_dispatch::ServiceDump;
 use thymeshift_dispatch::TargetDump;
@@ -9,7 +9,8 @@
 use crate::Table;
 use crate::TableName;
 
-/// One table over the dumps of one or more processes.
+/// Returns the table called `name`, with the rows of all `dumps` below each other. The first column
+/// holds the VM of the process that a row comes from.
 pub fn build_table(name: TableName, dumps: &[StateDump]) -> Table {
     let rows = dumps.iter().flat_map(|dump| {
         let vm = Cell::text(&dump.vm);
@@ -18,7 +19,7 @@
     Table { columns: name.columns().to_vec(), rows: rows.collect() }
 }
 
-/// Rows without their first cell, the VM.
+/// Returns the rows of one dump without their first cell, the VM.
 fn rows(name: TableName, dump: &StateDump) -> Vec<Vec<Cell>> {
     match name {
         TableName::Process => vec![process(dump)],
@@ -26,11 +27,11 @@
         TableName::Halls => halls(dump),
         TableName::Services => dump.services.iter().map(service).collect(),
         TableName::Targets => {
-            let each = |service: &ServiceDump| {
-                let row = |found: &TargetDump| target(service, found);
+            let service_rows = |service: &ServiceDump| {
+                let row = |target_dump: &TargetDump| target(service, target_dump);
                 service.targets.iter().map(row).collect::<Vec<_>>()
             };
-            dump.services.iter().flat_map(each).collect()
+            dump.services.iter().flat_map(service_rows).collect()
         }
         TableName::Limits => dump.services.iter().flat_map(limits).collect(),
         TableName::Queues => dump.services.iter().flat_map(queues).collect(),
@@ -196,23 +197,23 @@
 }
 
 fn keys(dump: &StateDump) -> Vec<Vec<Cell>> {
-    let held = dump.organisations.iter().flat_map(|organisation| {
+    let digests = dump.organisations.iter().flat_map(|organisation| {
         organisation.key_digests.iter().map(move |digest| (digest, &organisation.name))
     });
-    held.map(|(digest, name)| vec![Cell::text(digest), Cell::text(name)]).collect()
+    digests.map(|(digest, name)| vec![Cell::text(digest), Cell::text(name)]).collect()
 }
 
 fn members(dump: &StateDump) -> Vec<Vec<Cell>> {
-    let row = |known: &thymeshift_fleet::MemberDump| {
-        let member = &known.member;
+    let row = |member_dump: &thymeshift_fleet::MemberDump| {
+        let member = &member_dump.member;
         vec![
             Cell::text(&member.vm),
-            Cell::text(known.liveness),
+            Cell::text(member_dump.liveness),
             Cell::text(member.phase),
             Cell::text(&member.data_hall),
             Cell::Number(member.capacity.processors()),
             Cell::number_or_missing(member.revision.map(thymeshift_types::Revision::as_u64)),
-            number(known.silent_ms),
+            number(member_dump.silent_ms),
             Cell::text(member.peer_address),
             Cell::text(member.control_address),
         ]
