--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables of plain cells.
+//! Tables, their columns and their cells.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -8,28 +8,29 @@
 /// A value in a table.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Cell {
-    /// A text.
+    /// Text, such as a name or an address.
     Text(String),
-    /// A number.
+    /// Number; the column name carries its unit.
     Number(f64),
-    /// Yes or no.
+    /// Boolean, printed as `yes` or `no`.
     Bool(bool),
-    /// Not known.
+    /// Unknown or absent value, printed as `-`, in JSON as `null`.
     Missing,
 }
 
 impl Cell {
-    /// A text of anything that can be shown.
+    /// Returns a text cell that holds the `Display` output of `value`.
     pub(crate) fn text(value: impl fmt::Display) -> Self {
         Self::Text(value.to_string())
     }
 
-    /// A number, or missing.
+    /// Returns a number cell, or a missing cell for `None`.
     pub(crate) fn number_or_missing(value: Option<u64>) -> Self {
         value.map_or(Self::Missing, |value| Self::Number(value as f64))
     }
 
-    /// Order for sorting: missing last, then by kind, then by value.
+    /// Compares two cells for sorting: booleans first, then numbers, texts and missing cells; cells of
+    /// one type by value.
     pub(crate) fn compare(&self, other: &Self) -> Ordering {
         match (self, other) {
             (Self::Text(a), Self::Text(b)) => a.cmp(b),
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Sort position of the cell's type among the types.
     fn type_rank(&self) -> u8 {
         match self {
             Self::Bool(_) => 0,
@@ -62,63 +64,63 @@
     }
 }
 
-/// The tables of a dump.
+/// Names of the tables that a query can show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum TableName {
-    /// The process as a whole, one row.
+    /// State of the entry process, one row per process.
     #[display("process")]
     Process,
-    /// The configuration in force, one row.
+    /// Configuration in force and the last rejected one, one row per process.
     #[display("configuration")]
     Configuration,
-    /// Data halls.
+    /// Data halls with their drain state, targets and entry processes.
     #[display("halls")]
     Halls,
-    /// Services.
+    /// Services with their balancing strategy and expected wait.
     #[display("services")]
     Services,
-    /// Targets.
+    /// Targets with their load, latency and usability.
     #[display("targets")]
     Targets,
-    /// Targets in need, with the limits that they have named.
+    /// Rate-limited targets with the limits that they have stated.
     #[display("limits")]
     Limits,
-    /// Waiting requests by service and rank.
+    /// Queued requests by service and priority.
     #[display("queues")]
     Queues,
-    /// Request kinds.
+    /// Request kinds with the counts of their outcomes.
     #[display("kinds")]
     Kinds,
-    /// Organisations.
+    /// Organisations with their rate limits and demand.
     #[display("organisations")]
     Organisations,
-    /// Keys of organisations, by digest.
+    /// Digests of the keys of organisations.
     #[display("keys")]
     Keys,
-    /// Other entry processes.
+    /// Other entry processes that the process knows.
     #[display("members")]
     Members,
-    /// Who watches the platform.
+    /// Entry processes that watch the platform for new versions of its documents.
     #[display("watchers")]
     Watchers,
-    /// Targets that are leaving.
+    /// Targets that are leaving and get no new requests.
     #[display("leaving")]
     Leaving,
-    /// Operators' orders.
+    /// Operators' orders that have not expired.
     #[display("orders")]
     Orders,
-    /// Requests that crash the targets which run them.
+    /// Fingerprints of requests during which targets crashed.
     #[display("suspects")]
     Suspects,
-    /// Entries of the list of targets that cannot be used.
+    /// Invalid entries of the published target list, each with its first mistake.
     #[display("left_out")]
     LeftOut,
-    /// Tasks of the process.
+    /// Supervised tasks of the process with their restart counts.
     #[display("tasks")]
     Tasks,
 }
 
-/// Columns of the table of targets in need.
+/// Columns of the `limits` table.
 const LIMIT_COLUMNS: [&str; 10] = [
     "vm",
     "service",
@@ -132,7 +134,7 @@
     "usability",
 ];
 
-/// Columns of the table of organisations.
+/// Columns of the `organisations` table.
 const ORGANISATION_COLUMNS: [&str; 9] = [
     "vm",
     "organisation",
@@ -146,7 +148,7 @@
 ];
 
 impl TableName {
-    /// All tables.
+    /// All tables, in the order in which `tables` lists them.
     pub const ALL: [Self; 17] = [
         Self::Process,
         Self::Configuration,
@@ -167,7 +169,7 @@
         Self::Tasks,
     ];
 
-    /// Its columns.
+    /// Returns the names of the table's columns; the first one is always `vm`.
     pub fn columns(self) -> &'static [&'static str] {
         match self {
             Self::Process => &[
@@ -264,17 +266,17 @@
         }
     }
 
-    /// Its column called `name`.
+    /// Returns the column called `name`, if the table has one.
     pub(crate) fn find_column(self, name: &str) -> Option<&'static str> {
         self.columns().iter().find(|column| **column == name).copied()
     }
 }
 
-/// Rows under columns.
+/// Column names and rows of cells.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Table {
-    /// Names of the columns.
+    /// Column names, in display order.
     pub columns: Vec<&'static str>,
-    /// Each row has one cell for each column.
+    /// Rows; each has one cell per column, in the order of `columns`.
     pub rows: Vec<Vec<Cell>>,
 }
