--- a/crates/thymeshift_query/tests/rows.rs
+++ b/crates/thymeshift_query/tests/rows.rs
@@ -1,4 +1,4 @@
-//! Lines over a small table give the rows they ask for.
+//! Queries on a small table return the selected rows and columns in the requested order.
 
 use thymeshift_query::Cell;
 use thymeshift_query::Command;
@@ -8,7 +8,7 @@
 use thymeshift_query::to_json;
 use thymeshift_query::to_text;
 
-/// Kinds by name, rank, requests accepted and retries; a missing rank is unknown.
+/// Rows of the test table: kind, priority, accepted requests, retries. `None` becomes a missing cell.
 const ROWS: [(&str, Option<f64>, f64, f64); 4] = [
     ("lookup", Some(1.0), 100.0, 3.0),
     ("switch", Some(2.0), 10.0, 0.0),
