--- a/crates/thymeshiftctl/src/arguments.rs
+++ b/crates/thymeshiftctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command-line arguments.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use lexopt::ValueExt;
 
 pub(crate) const HELP: &str = "\
-Asks entry processes of thymeshift what they believe, and gives them orders.
+Queries the state of thymeshift's entry processes and sends them orders.
 
 Usage:
   thymeshiftctl --at IP:PORT [--at IP:PORT…] [--all] [--json] [--operator NAME] [LINE]
@@ -20,56 +20,64 @@
   show TABLE [COLUMN, …] [where CONDITION] [sort by COLUMN [desc]] [limit N]
   tables                                     list the tables and their columns
   explain METHOD PATH [host HOST] [header NAME = VALUE]
-  drain target SERVICE/TARGET [for 10m]      no new work for a while (default 30m)
+  drain target SERVICE/TARGET [for 10m]      send it no new requests (default 30m)
   undrain target SERVICE/TARGET
   pause probing SERVICE [for 10m]
   resume probing SERVICE
-  refuse request FINGERPRINT [for 10m]       send it to no target, whatever is known of it
-  release request FINGERPRINT [for 10m]      send it, whatever targets crashed under it
+  refuse request FINGERPRINT [for 10m]       send it to no target, even if none crashed under it
+  release request FINGERPRINT [for 10m]      send it to targets, even if some crashed under it
 
 Example:
   thymeshiftctl --at 10.9.1.21:8082 'show targets where service = calculator and load > 2 sort by age'
 
 Options:
-  --at IP:PORT     Control address of an entry process; several are asked together.
-  --all            Ask also every other entry process that these know of.
-  --json           Answer in JSON.
-  --operator NAME  Who gives an order (default: the user's name).
+  --at IP:PORT     Control address of an entry process. Repeat it to query several; explain
+                   and orders go to the first.
+  --all            Also query every other entry process that these know.
+  --json           Print results as JSON.
+  --operator NAME  Name recorded with an order (default: $USER).
   -h, --help       Print this text.
   -V, --version    Print the version.
 
-Exit codes: 0 answered, 1 no row or no effect, 2 a mistake in arguments or line,
-3 a process did not answer.
+Exit codes: 0 success, 1 no row or no effect, 2 invalid arguments or line,
+3 a process did not answer or did not confirm an order.
 ";
 
-/// How answers are written.
+/// Output format of results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Format {
     Text,
     Json,
 }
 
-/// Whom to ask.
+/// Which entry processes a query is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProcessSelection {
+    /// Those given with `--at`.
     Listed,
+    /// Those given with `--at`, and every process that they know.
     AllKnown,
 }
 
+/// Arguments of a run that contacts entry processes.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Arguments {
+    /// Control addresses of entry processes; never empty.
     pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) selection: ProcessSelection,
     pub(crate) format: Format,
+    /// Name recorded with an order.
     pub(crate) operator: String,
+    /// Command line to run; without one, lines are read from standard input.
     pub(crate) line: Option<String>,
 }
 
+/// What the program is asked to do.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Invocation {
     Help,
     Version,
-    /// Tell the digest of a key.
+    /// Print the digest of a key that is read from standard input.
     KeyDigest,
     Run(Arguments),
 }
--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking entry processes.
+//! Client side of the control calls to entry processes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,70 +20,76 @@
 use crate::arguments::Arguments;
 use crate::arguments::ProcessSelection;
 
-/// Longest time to open a connection, and for one call.
-const LIMIT: Duration = Duration::from_secs(3);
+/// Timeout for opening a connection, and for each call on it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A process that did not answer, in words.
+/// Failure to reach an entry process or to get its answer, as a message with its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CallError(pub(crate) String);
 
-/// Dumps, and who did not answer.
+/// State dumps of the processes that answered, and the errors of those that did not.
 #[derive(Debug, Default)]
 pub(crate) struct Dumps {
     pub(crate) dumps: Vec<StateDump>,
     pub(crate) errors: Vec<CallError>,
 }
 
+/// Returns a call context whose deadline is one call timeout from now.
 fn context() -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + LIMIT;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     context
 }
 
 async fn connect(address: SocketAddr) -> Result<ControlClient, CallError> {
-    connect_control(address, LIMIT).await.map_err(|error| CallError(error.to_string()))
+    connect_control(address, CALL_TIMEOUT).await.map_err(|error| CallError(error.to_string()))
 }
 
 async fn fetch_dump(address: SocketAddr) -> Result<StateDump, CallError> {
     let client = connect(address).await?;
-    let dumped = client.dump(context()).await;
-    dumped.map_err(|error| CallError(format!("{address}: {error}")))
+    let result = client.dump(context()).await;
+    result.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
-/// The dumps of the named processes, and if asked for of all that they know.
+/// Fetches the dumps of the processes listed on the command line. With `--all`, also queries the
+/// members in the fetched dumps until no unqueried member is left. Members considered gone are
+/// skipped.
 pub(crate) async fn fetch_dumps(arguments: &Arguments) -> Dumps {
-    let mut asked: BTreeSet<SocketAddr> = BTreeSet::new();
-    let mut next = arguments.addresses.clone();
-    let mut answers = Dumps::default();
-    while !next.is_empty() {
-        asked.extend(&next);
-        for dumped in join_all(next.drain(..).map(fetch_dump)).await {
-            match dumped {
-                Ok(dump) => answers.dumps.push(dump),
-                Err(error) => answers.errors.push(error),
+    let mut queried: BTreeSet<SocketAddr> = BTreeSet::new();
+    let mut pending = arguments.addresses.clone();
+    let mut results = Dumps::default();
+    while !pending.is_empty() {
+        queried.extend(&pending);
+        for result in join_all(pending.drain(..).map(fetch_dump)).await {
+            match result {
+                Ok(dump) => results.dumps.push(dump),
+                Err(error) => results.errors.push(error),
             }
         }
         if arguments.selection == ProcessSelection::AllKnown {
-            let members = answers.dumps.iter().flat_map(|dump| &dump.members);
-            let there = members.filter(|known| known.liveness != thymeshift_fleet::Liveness::Gone);
-            let known: BTreeSet<SocketAddr> =
-                there.map(|known| known.member.control_address).collect();
-            next = known.difference(&asked).copied().collect();
+            let members = results.dumps.iter().flat_map(|dump| &dump.members);
+            let not_gone = members.filter(|dump| dump.liveness != thymeshift_fleet::Liveness::Gone);
+            let known_addresses: BTreeSet<SocketAddr> =
+                not_gone.map(|dump| dump.member.control_address).collect();
+            pending = known_addresses.difference(&queried).copied().collect();
         }
     }
-    answers
+    results
 }
 
+/// Asks the first process listed on the command line to explain how it would route a request.
 pub(crate) async fn fetch_explanation(
     arguments: &Arguments,
     request: &ExplainRequest,
 ) -> Result<Explanation, CallError> {
     let address = arguments.addresses[0];
     let client = connect(address).await?;
-    let explained = client.explain(context(), request.clone()).await;
-    explained.map_err(|error| CallError(format!("{address}: {error}")))
+    let result = client.explain(context(), request.clone()).await;
+    result.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
+/// Sends an order to the first process listed on the command line. That process distributes the
+/// order to the fleet.
 pub(crate) async fn send_order(
     arguments: &Arguments,
     subject: &OrderSubject,
@@ -98,8 +104,8 @@
         operator: arguments.operator.clone(),
         expires_in_ms: expires_in.as_millis() as u64,
     };
-    let ordered = client.order(context(), request).await;
-    // The call may have arrived although its answer did not.
-    let lost = |error| CallError(format!("{address}: {error}; the order may have been taken"));
-    ordered.map_err(lost)
+    let result = client.order(context(), request).await;
+    // The call may have reached the process even if its answer was lost.
+    let to_error = |error| CallError(format!("{address}: {error}; the order may have been taken"));
+    result.map_err(to_error)
 }
--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -1,4 +1,5 @@
-//! The operators' program of thymeshift. The language is in `thymeshift_query`.
+//! Command-line client that operators use to query entry processes and to send them orders. The
+//! query language is implemented in `thymeshift_query`.
 
 mod arguments;
 mod client;
@@ -17,8 +18,8 @@
 use crate::arguments::Invocation;
 use crate::output::CommandOutput;
 
-/// Exit code for a mistake in the arguments or the line.
-const CODE_MISTAKE: u8 = 2;
+/// Exit code for invalid arguments, an invalid command line or unreadable standard input.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = match arguments::parse(lexopt::Parser::from_env()) {
@@ -26,58 +27,61 @@
         Ok(Invocation::Version) => {
             return print(concat!("thymeshiftctl ", env!("CARGO_PKG_VERSION"), "\n"));
         }
-        Ok(Invocation::KeyDigest) => return tell_key_digest(),
+        Ok(Invocation::KeyDigest) => return print_key_digest(),
         Ok(Invocation::Run(arguments)) => arguments,
-        Err(mistake) => return mistaken(&format!("{mistake}\nTry 'thymeshiftctl --help'.")),
+        Err(error) => return invalid_input(&format!("{error}\nTry 'thymeshiftctl --help'.")),
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return mistaken(&format!("starting: {error}")),
+        Err(error) => return invalid_input(&format!("failed to start the async runtime: {error}")),
     };
     match &arguments.line {
-        Some(line) => ExitCode::from(answer(&runtime, &arguments, line)),
+        Some(line) => ExitCode::from(run_line(&runtime, &arguments, line)),
         None => read_lines(&runtime, &arguments),
     }
 }
 
-/// Prints the digest of the key on standard input: as an argument it would stand in the list of
-/// processes.
-fn tell_key_digest() -> ExitCode {
+/// Prints the digest of a key that is read from standard input. A key given as an argument would be
+/// visible in the process list.
+fn print_key_digest() -> ExitCode {
     let mut key = String::new();
     if let Err(error) = std::io::stdin().lock().read_line(&mut key) {
-        return mistaken(&format!("reading standard input: {error}"));
+        return invalid_input(&format!("failed to read standard input: {error}"));
     }
     match KeyDigest::of(key.trim_end_matches(['\r', '\n']).as_bytes()) {
         Some(digest) => print(&format!("{digest}\n")),
-        None => mistaken("standard input: a key is of visible ASCII characters, and not empty"),
+        None => invalid_input(
+            "invalid key on standard input: a key is one or more visible ASCII characters",
+        ),
     }
 }
 
-/// Answers lines of standard input; the exit code is that of the last one.
+/// Runs each line of standard input as a command and returns the exit code of the last one.
 fn read_lines(runtime: &tokio::runtime::Runtime, arguments: &Arguments) -> ExitCode {
-    let mut code = 0;
+    let mut exit_code = 0;
     for line in std::io::stdin().lock().lines() {
         let line = match line {
             Ok(line) => line,
-            Err(error) => return mistaken(&format!("reading standard input: {error}")),
+            Err(error) => return invalid_input(&format!("failed to read standard input: {error}")),
         };
         if !line.trim().is_empty() {
-            code = answer(runtime, arguments, &line);
+            exit_code = run_line(runtime, arguments, &line);
         }
     }
-    ExitCode::from(code)
+    ExitCode::from(exit_code)
 }
 
-fn answer(runtime: &tokio::runtime::Runtime, arguments: &Arguments, line: &str) -> u8 {
+/// Runs one command line, prints its output and returns its exit code.
+fn run_line(runtime: &tokio::runtime::Runtime, arguments: &Arguments, line: &str) -> u8 {
     let command = match parse(line) {
         Ok(command) => command,
-        Err(mistake) => {
-            let pointer = " ".repeat(mistake.column.saturating_sub(1));
-            eprintln!("thymeshiftctl: {mistake}\n  {line}\n  {pointer}^");
-            return CODE_MISTAKE;
+        Err(error) => {
+            let pointer = " ".repeat(error.column.saturating_sub(1));
+            eprintln!("thymeshiftctl: {error}\n  {line}\n  {pointer}^");
+            return EXIT_INVALID_INPUT;
         }
     };
-    let output = runtime.block_on(run(&command, arguments));
+    let output = runtime.block_on(execute(&command, arguments));
     print(&output.stdout);
     if !output.stderr.is_empty() {
         eprint!("{}", output.stderr);
@@ -85,31 +89,32 @@
     output.exit_code
 }
 
-async fn run(command: &Command, arguments: &Arguments) -> CommandOutput {
+async fn execute(command: &Command, arguments: &Arguments) -> CommandOutput {
     match command {
         Command::Tables => output::list_tables(),
         Command::Show(query) => {
-            let asked = client::fetch_dumps(arguments).await;
-            output::query_result(query, &asked, arguments.format)
+            let results = client::fetch_dumps(arguments).await;
+            output::query_result(query, &results, arguments.format)
         }
         Command::Explain(request) => output::explanation(
             &client::fetch_explanation(arguments, request).await,
             arguments.format,
         ),
         Command::Order { subject, change, expires_in } => {
-            let answer = client::send_order(arguments, subject, *change, *expires_in).await;
-            output::order_result(&answer, arguments.format)
+            let result = client::send_order(arguments, subject, *change, *expires_in).await;
+            output::order_result(&result, arguments.format)
         }
     }
 }
 
 fn print(text: &str) -> ExitCode {
-    // Nobody listens any more if this fails.
+    // A write error is ignored: it usually means that the reader has closed the pipe.
     let _ = std::io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
 }
 
-fn mistaken(text: &str) -> ExitCode {
+/// Prints an error message and returns the exit code for invalid input.
+fn invalid_input(text: &str) -> ExitCode {
     eprintln!("thymeshiftctl: {text}");
-    ExitCode::from(CODE_MISTAKE)
+    ExitCode::from(EXIT_INVALID_INPUT)
 }
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Writing answers.
+//! Formatting of command results for standard output and standard error.
 
 use std::fmt::Write;
 
@@ -16,28 +16,30 @@
 use crate::client::CallError;
 use crate::client::Dumps;
 
-/// Exit code if there is no row or no effect.
-const CODE_NOTHING: u8 = 1;
-/// Exit code if a process did not answer.
-const CODE_UNANSWERED: u8 = 3;
+/// Exit code if a query returns no row, no kind matches an explained request, or the subject of an
+/// order is unknown.
+const EXIT_NO_RESULT: u8 = 1;
+/// Exit code if at least one process did not answer or did not confirm an order.
+const EXIT_NO_ANSWER: u8 = 3;
 
-/// An answer for the operator.
+/// Output and exit code of one command.
 #[derive(Debug, Default)]
 pub(crate) struct CommandOutput {
-    /// For standard output.
+    /// Text for standard output.
     pub(crate) stdout: String,
-    /// For standard error.
+    /// Text for standard error.
     pub(crate) stderr: String,
-    /// Exit code.
+    /// Exit code; 0 if the command succeeded.
     pub(crate) exit_code: u8,
 }
 
 impl CommandOutput {
+    /// Returns one line on standard error per failed call.
     fn from_errors(errors: &[CallError]) -> Self {
         let mut output = Self::default();
         for CallError(reason) in errors {
             let _ = writeln!(output.stderr, "thymeshiftctl: no answer: {reason}");
-            output.exit_code = CODE_UNANSWERED;
+            output.exit_code = EXIT_NO_ANSWER;
         }
         output
     }
@@ -51,11 +53,11 @@
     CommandOutput { stdout, ..CommandOutput::default() }
 }
 
-pub(crate) fn query_result(query: &Query, asked: &Dumps, format: Format) -> CommandOutput {
-    let mut output = CommandOutput::from_errors(&asked.errors);
-    let table = query.run(&build_table(query.table, &asked.dumps));
+pub(crate) fn query_result(query: &Query, results: &Dumps, format: Format) -> CommandOutput {
+    let mut output = CommandOutput::from_errors(&results.errors);
+    let table = query.run(&build_table(query.table, &results.dumps));
     if table.rows.is_empty() && output.exit_code == 0 {
-        output.exit_code = CODE_NOTHING;
+        output.exit_code = EXIT_NO_RESULT;
     }
     output.stdout = match format {
         Format::Text => to_text(&table),
@@ -65,14 +67,14 @@
 }
 
 pub(crate) fn explanation(
-    explained: &Result<Explanation, CallError>,
+    result: &Result<Explanation, CallError>,
     format: Format,
 ) -> CommandOutput {
-    let explanation = match explained {
+    let explanation = match result {
         Ok(explanation) => explanation,
         Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
     };
-    let exit_code = if explanation.kind.is_some() { 0 } else { CODE_NOTHING };
+    let exit_code = if explanation.kind.is_some() { 0 } else { EXIT_NO_RESULT };
     let stdout = match format {
         Format::Json => format!("{}\n", json!(explanation)),
         Format::Text => explanation_text(explanation),
@@ -105,16 +107,16 @@
 }
 
 pub(crate) fn order_result(
-    answered: &Result<OrderAnswer, CallError>,
+    result: &Result<OrderAnswer, CallError>,
     format: Format,
 ) -> CommandOutput {
-    let answer = match answered {
+    let answer = match result {
         Ok(answer) => answer,
         Err(error) => return CommandOutput::from_errors(std::slice::from_ref(error)),
     };
     let exit_code = match answer {
-        OrderAnswer::UnknownSubject(_) => CODE_NOTHING,
-        OrderAnswer::Taken { unconfirmed, .. } if !unconfirmed.is_empty() => CODE_UNANSWERED,
+        OrderAnswer::UnknownSubject(_) => EXIT_NO_RESULT,
+        OrderAnswer::Taken { unconfirmed, .. } if !unconfirmed.is_empty() => EXIT_NO_ANSWER,
         OrderAnswer::Taken { .. } => 0,
     };
     let stdout = match (format, answer) {
@@ -127,14 +129,14 @@
             order.change,
             order.expires_in_ms / 1_000,
             confirmed.len(),
-            names(confirmed),
+            join_names(confirmed),
             unconfirmed.len(),
-            names(unconfirmed)
+            join_names(unconfirmed)
         ),
     };
     CommandOutput { stdout, exit_code, ..CommandOutput::default() }
 }
 
-fn names(vms: &[VmName]) -> String {
+fn join_names(vms: &[VmName]) -> String {
     vms.iter().map(VmName::as_str).collect::<Vec<_>>().join(" ")
 }
