--- a/crates/thymeshiftd/src/arguments.rs
+++ b/crates/thymeshiftd/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command-line arguments.
 
 use lexopt::Arg;
 use lexopt::Error;
@@ -13,35 +13,45 @@
   thymeshiftd check [--settings FILE] [--configuration FILE]
 
 Commands:
-  run      Serve callers until SIGTERM or SIGINT, then finish what is in flight and stop.
-  check    Report every mistake of the files, without running.
+  run      Serve callers until SIGTERM or SIGINT, then finish the requests in flight and stop.
+  check    Report every mistake in the files without serving callers.
 
 Options:
   --settings FILE       This VM's settings, in YAML.
   --configuration FILE  A configuration as the platform would publish it, in YAML.
-  --environment NAME    How clients, targets and the source speak: native (the product's
-                        own, the default) or platform (the users' platform).
+  --environment NAME    Protocols of callers, targets and the configuration source: native
+                        (thymeshift's own, the default) or platform (the users' platform).
   -h, --help            Print this text.
   -V, --version         Print the version.
 
-Exit codes: 0 good or stopped as planned, 1 the process could not go on, 2 a mistake in
-arguments or files, 3 a planned stop cut connections off at its bound.
+Exit codes: 0 valid files or planned stop, 1 fatal error, 2 invalid arguments or files,
+3 planned stop that closed connections because its time limit had passed.
 ";
 
-/// What the process is asked to do.
+/// Command given on the command line.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     Help,
     Version,
-    Run { settings: String, environment: EnvironmentName },
-    Check { settings: Option<String>, configuration: Option<String> },
+    /// Serve callers with the settings file at the path `settings`.
+    Run {
+        settings: String,
+        environment: EnvironmentName,
+    },
+    /// Check the files at the given paths; at least one path is given.
+    Check {
+        settings: Option<String>,
+        configuration: Option<String>,
+    },
 }
 
-/// How clients, targets and the source of configuration speak.
+/// Protocols that callers, targets and the configuration source use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum EnvironmentName {
     #[default]
+    /// Thymeshift's own protocols.
     Native,
+    /// Protocols of the users' platform, implemented in `thymeshift_platform`.
     Platform,
 }
 
@@ -50,19 +60,21 @@
         match word {
             "native" => Ok(Self::Native),
             "platform" => Ok(Self::Platform),
-            other => Err(format!("unknown environment '{other}': native or platform").into()),
+            other => {
+                Err(format!("unknown environment '{other}', expected native or platform").into())
+            }
         }
     }
 }
 
 #[derive(Clone, Copy)]
-enum Verb {
+enum Subcommand {
     Run,
     Check,
 }
 
 pub(crate) fn parse(mut parser: Parser) -> Result<Command, Error> {
-    let mut verb = None;
+    let mut subcommand = None;
     let mut settings = None;
     let mut configuration = None;
     let mut environment = EnvironmentName::default();
@@ -75,28 +87,28 @@
             Arg::Long("environment") => {
                 environment = EnvironmentName::parse(&parser.value()?.string()?)?;
             }
-            Arg::Value(word) if verb.is_none() => {
-                verb = Some(match word.string()?.as_str() {
-                    "run" => Verb::Run,
-                    "check" => Verb::Check,
+            Arg::Value(word) if subcommand.is_none() => {
+                subcommand = Some(match word.string()?.as_str() {
+                    "run" => Subcommand::Run,
+                    "check" => Subcommand::Check,
                     other => return Err(format!("unknown command '{other}'").into()),
                 });
             }
             unexpected => return Err(unexpected.unexpected()),
         }
     }
-    match verb {
+    match subcommand {
         None => Err("a command is missing: run or check".into()),
-        Some(Verb::Run) if configuration.is_some() => {
+        Some(Subcommand::Run) if configuration.is_some() => {
             Err("'run' takes no --configuration: the platform publishes it".into())
         }
-        Some(Verb::Run) => match settings {
+        Some(Subcommand::Run) => match settings {
             Some(settings) => Ok(Command::Run { settings, environment }),
             None => Err("'run' needs --settings FILE".into()),
         },
-        Some(Verb::Check) if settings.is_none() && configuration.is_none() => {
+        Some(Subcommand::Check) if settings.is_none() && configuration.is_none() => {
             Err("'check' needs --settings FILE or --configuration FILE".into())
         }
-        Some(Verb::Check) => Ok(Command::Check { settings, configuration }),
+        Some(Subcommand::Check) => Ok(Command::Check { settings, configuration }),
     }
 }
--- a/crates/thymeshiftd/src/main.rs
+++ b/crates/thymeshiftd/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry process of thymeshift. All it does is in `thymeshift_entry`.
+//! Command line of the entry process. The process itself is implemented in `thymeshift_entry`.
 
 mod arguments;
 
@@ -20,88 +20,92 @@
 use crate::arguments::EnvironmentName;
 use crate::arguments::HELP;
 
-/// Exit code for a mistake in arguments, settings or configuration.
-const CODE_MISTAKE: u8 = 2;
-/// Exit code when the process cannot go on.
-const CODE_FAILED: u8 = 1;
-/// Exit code when a planned stop cut connections off at its bound.
-const CODE_BOUND_PASSED: u8 = 3;
+/// Exit code for invalid arguments, settings or configuration.
+const EXIT_INVALID_INPUT: u8 = 2;
+/// Exit code for an error that the process cannot recover from.
+const EXIT_FAILURE: u8 = 1;
+/// Exit code of a planned stop that closed callers' connections because `stop_bound_ms` had passed.
+const EXIT_DRAIN_TIMED_OUT: u8 = 3;
 
 fn main() -> ExitCode {
     let command = match arguments::parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
-        Err(mistake) => return mistaken(&format!("{mistake}\nTry 'thymeshiftd --help'.")),
+        Err(error) => return invalid_input(&format!("{error}\nTry 'thymeshiftd --help'.")),
     };
     match command {
-        Command::Help => say(HELP),
-        Command::Version => say(concat!("thymeshiftd ", env!("CARGO_PKG_VERSION"), "\n")),
+        Command::Help => print(HELP),
+        Command::Version => print(concat!("thymeshiftd ", env!("CARGO_PKG_VERSION"), "\n")),
         Command::Check { settings, configuration } => check(settings, configuration),
-        Command::Run { settings: path, environment } => match read(&path, Settings::parse) {
+        Command::Run { settings: path, environment } => match read_file(&path, Settings::parse) {
             Ok(settings) => match environment {
                 EnvironmentName::Native => run::<NativeEnvironment>(settings, path),
                 EnvironmentName::Platform => run::<PlatformEnvironment>(settings, path),
             },
-            Err(text) => mistaken(&text),
+            Err(text) => invalid_input(&text),
         },
     }
 }
 
-fn say(text: &str) -> ExitCode {
-    // Nobody listens any more if this fails.
+fn print(text: &str) -> ExitCode {
+    // A write error is ignored: it usually means that the reader has closed the pipe.
     let _ = std::io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
 }
 
-fn mistaken(text: &str) -> ExitCode {
+/// Prints an error message and returns the exit code for invalid input.
+fn invalid_input(text: &str) -> ExitCode {
     eprintln!("thymeshiftd: {text}");
-    ExitCode::from(CODE_MISTAKE)
+    ExitCode::from(EXIT_INVALID_INPUT)
 }
 
-fn read<T, E: ToString>(path: &str, parse: fn(&str) -> Result<T, E>) -> Result<T, String> {
+/// Reads and parses a file. Each line of an error message starts with the path of the file.
+fn read_file<T, E: ToString>(path: &str, parse: fn(&str) -> Result<T, E>) -> Result<T, String> {
     let text = fs::read_to_string(path).map_err(|error| format!("{path}: {error}"))?;
-    let place = |mistakes: String| {
+    let prefix_path = |mistakes: String| {
         let lines = mistakes.lines().map(|line| format!("{path}: {line}"));
         lines.collect::<Vec<_>>().join("\n")
     };
-    parse(&text).map_err(|mistakes| place(mistakes.to_string()))
+    parse(&text).map_err(|mistakes| prefix_path(mistakes.to_string()))
 }
 
-/// Reports the mistakes of both files, not only of the first.
+/// Checks the given files. Errors in the settings don't keep the configuration from being checked.
 fn check(settings: Option<String>, configuration: Option<String>) -> ExitCode {
-    let settings = settings.map(|path| read(&path, Settings::parse).map(|_| path));
-    let configuration = configuration.map(|path| read(&path, Configuration::parse).map(|_| path));
-    let mut code = ExitCode::SUCCESS;
+    let settings = settings.map(|path| read_file(&path, Settings::parse).map(|_| path));
+    let configuration =
+        configuration.map(|path| read_file(&path, Configuration::parse).map(|_| path));
+    let mut exit_code = ExitCode::SUCCESS;
     for checked in [settings, configuration].into_iter().flatten() {
         match checked {
-            Ok(path) => println!("{path}: good"),
+            Ok(path) => println!("{path}: valid"),
             Err(mistakes) => {
                 eprintln!("{mistakes}");
-                code = ExitCode::from(CODE_MISTAKE);
+                exit_code = ExitCode::from(EXIT_INVALID_INPUT);
             }
         }
     }
-    code
+    exit_code
 }
 
 fn run<E: Environment>(settings: Settings, path: String) -> ExitCode {
     if let Err(error) = start_logging(settings.log_level) {
-        return mistaken(&error.to_string());
+        return invalid_input(&error.to_string());
     }
     let runtime = match runtime_builder(settings.worker_threads).enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&format!("starting threads: {error}")),
+        Err(error) => return fatal_error(&format!("failed to start the async runtime: {error}")),
     };
-    let exit = runtime.block_on(thymeshift_entry::run::<E>(settings, Some(path), announce));
+    let exit = runtime.block_on(thymeshift_entry::run::<E>(settings, Some(path), print_addresses));
     runtime.shutdown_background();
     match exit {
         Ok(Exit::Stopped) => ExitCode::SUCCESS,
-        Ok(Exit::BoundPassed { .. }) => ExitCode::from(CODE_BOUND_PASSED),
-        Ok(Exit::Escalated(escalation)) => failed(&escalation.to_string()),
-        Err(error) => failed(&error.to_string()),
+        Ok(Exit::BoundPassed { .. }) => ExitCode::from(EXIT_DRAIN_TIMED_OUT),
+        Ok(Exit::Escalated(escalation)) => fatal_error(&escalation.to_string()),
+        Err(error) => fatal_error(&error.to_string()),
     }
 }
 
-/// One thread needs no scheduler that shares work among several.
+/// Returns a builder for a runtime with `worker_threads` threads, or with one per processor for 0.
+/// A single thread runs without the work-stealing scheduler, which it does not need.
 fn runtime_builder(worker_threads: u64) -> Builder {
     if worker_threads == 1 {
         return Builder::new_current_thread();
@@ -113,13 +117,15 @@
     builder
 }
 
-fn failed(text: &str) -> ExitCode {
+/// Prints an error message and returns the exit code for a fatal error.
+fn fatal_error(text: &str) -> ExitCode {
     eprintln!("thymeshiftd: {text}");
-    ExitCode::from(CODE_FAILED)
+    ExitCode::from(EXIT_FAILURE)
 }
 
-/// One line on standard output, for whoever started the process with port 0.
-fn announce(bound: &Bound) {
+/// Prints the listening addresses on standard output, so that the program which started the process
+/// with port 0 learns the ports.
+fn print_addresses(bound: &Bound) {
     let Bound { caller, peer, control, observe } = bound;
-    say(&format!("listening caller={caller} peer={peer} control={control} observe={observe}\n"));
+    print(&format!("listening caller={caller} peer={peer} control={control} observe={observe}\n"));
 }
