--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -294,8 +294,8 @@
         Ok(token.clone())
     }
 
-    /// Returns the text of the next token without consuming the token. The text of a quoted token is
-    /// reported as empty, so that it matches no keyword.
+    /// Returns the text of the next token without consuming the token, and an empty text for a
+    /// quoted token, so that a quoted token matches no keyword.
     fn peek(&self) -> Option<&str> {
         let token = self.tokens.get(self.position)?;
         if token.is_quoted { Some("") } else { Some(&token.text) }
@@ -332,8 +332,8 @@
     }
 }
 
-/// Converts a token to a constant. A quoted token is always text; an unquoted one may be a boolean or
-/// a finite number.
+/// Converts a token to a constant. A quoted token is always text; an unquoted one may be a boolean
+/// or a finite number.
 fn literal(token: Token) -> Cell {
     if token.is_quoted {
         return Cell::Text(token.text);
--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -29,8 +29,8 @@
         value.map_or(Self::Missing, |value| Self::Number(value as f64))
     }
 
-    /// Compares two cells for sorting: booleans first, then numbers, texts and missing cells; cells of
-    /// one type by value.
+    /// Compares two cells for sorting: booleans first, then numbers, texts and missing cells. Cells
+    /// of the same type are compared by value.
     pub(crate) fn compare(&self, other: &Self) -> Ordering {
         match (self, other) {
             (Self::Text(a), Self::Text(b)) => a.cmp(b),
