--- a/crates/thymeshift_query/src/ast.rs
+++ b/crates/thymeshift_query/src/ast.rs
@@ -47,11 +47,11 @@
 pub struct Sort {
     /// Column to sort by.
     pub column: &'static str,
-    /// Sort direction.
+    /// Direction of the sort; ascending unless the clause ends in `desc`.
     pub direction: Direction,
 }
 
-/// A sort direction.
+/// Sort direction of a `sort by` clause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// Smallest value first.
@@ -63,13 +63,13 @@
 /// A `where` clause, evaluated for each row.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Condition {
-    /// True if the comparison is true.
+    /// A single comparison of a column with a constant.
     Compare(Comparison),
-    /// True if the inner condition is false.
+    /// `not`: true if the inner condition is false.
     Not(Box<Condition>),
-    /// True if both conditions are true.
+    /// `and`: true if both conditions are true.
     And(Box<Condition>, Box<Condition>),
-    /// True if at least one of the two conditions is true.
+    /// `or`: true if at least one of the two conditions is true.
     Or(Box<Condition>, Box<Condition>),
 }
 
@@ -78,7 +78,7 @@
 pub struct Comparison {
     /// Column on the left side of the comparison.
     pub column: &'static str,
-    /// Comparison operator.
+    /// Operator between the column and the constant.
     pub operator: ComparisonOperator,
     /// Constant on the right side of the comparison.
     pub value: Cell,
--- a/crates/thymeshift_query/src/evaluate.rs
+++ b/crates/thymeshift_query/src/evaluate.rs
@@ -11,8 +11,9 @@
 use crate::Table;
 
 impl Query {
-    /// Returns the rows of `table` that match the condition, sorted, truncated to the limit and
-    /// reduced to the selected columns.
+    /// Returns the selected columns of the rows of `table` that match the condition.
+    ///
+    /// Rows are sorted before the limit is applied.
     pub fn run(&self, table: &Table) -> Table {
         let matches =
             |row: &&Vec<Cell>| self.condition.as_ref().is_none_or(|c| c.matches(table, row));
--- a/crates/thymeshift_query/src/lexer.rs
+++ b/crates/thymeshift_query/src/lexer.rs
@@ -5,7 +5,7 @@
 /// Maximum length of a command line, in bytes.
 const LINE_BYTES_MAX: usize = 4_096;
 
-/// A token and its position in the line.
+/// Token of a command line, with its position in the line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Token {
     pub(crate) text: String,
@@ -15,8 +15,10 @@
     pub(crate) is_quoted: bool,
 }
 
-/// Splits a line into tokens: quoted strings, comparison operators, commas, parentheses, and words
-/// separated by white space.
+/// Splits a command line into tokens.
+///
+/// Tokens are quoted strings, comparison operators, commas, parentheses, and words between them or
+/// between white space.
 pub(crate) fn tokenize(line: &str) -> Result<Vec<Token>, ParseError> {
     if line.len() > LINE_BYTES_MAX {
         let found = format!("{} bytes", line.len());
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -332,8 +332,9 @@
     }
 }
 
-/// Converts a token to a constant. A quoted token is always text; an unquoted one may be a boolean
-/// or a finite number.
+/// Converts a token to the constant of a comparison.
+///
+/// A quoted token is always text; an unquoted token may be a boolean or a finite number.
 fn literal(token: Token) -> Cell {
     if token.is_quoted {
         return Cell::Text(token.text);
--- a/crates/thymeshift_query/src/render.rs
+++ b/crates/thymeshift_query/src/render.rs
@@ -10,8 +10,9 @@
 /// Number of spaces between two columns of text output.
 const COLUMN_GAP_SPACES: usize = 2;
 
-/// Returns the table as text with a header line. Numbers are right-aligned, other cells are
-/// left-aligned.
+/// Returns the table as text with a header line.
+///
+/// Numbers are right-aligned, all other cells are left-aligned.
 pub fn to_text(table: &Table) -> String {
     let width = |index: usize| {
         let cells = table.rows.iter().map(|row| row[index].to_string().chars().count());
--- a/crates/thymeshift_query/src/table.rs
+++ b/crates/thymeshift_query/src/table.rs
@@ -5,12 +5,12 @@
 
 use derive_more::Display;
 
-/// A value in a table.
+/// Value of one column in one row of a table.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Cell {
     /// Text, such as a name or an address.
     Text(String),
-    /// Number; the column name carries its unit.
+    /// Number, such as a count, a ratio or a duration in milliseconds.
     Number(f64),
     /// Boolean, printed as `yes` or `no`.
     Bool(bool),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sort position of the cell's type among the types.
+    /// Rank of the cell's type when cells of different types are sorted.
     fn type_rank(&self) -> u8 {
         match self {
             Self::Bool(_) => 0,
--- a/crates/thymeshift_query/tests/rows.rs
+++ b/crates/thymeshift_query/tests/rows.rs
@@ -8,8 +8,9 @@
 use thymeshift_query::to_json;
 use thymeshift_query::to_text;
 
-/// Rows of the test table: kind, priority, accepted requests, retries. A priority of `None` becomes
-/// a missing cell.
+/// Rows of the test table: kind, priority, accepted requests, retries.
+///
+/// A priority of `None` becomes a missing cell.
 const ROWS: [(&str, Option<f64>, f64, f64); 4] = [
     ("lookup", Some(1.0), 100.0, 3.0),
     ("switch", Some(2.0), 10.0, 0.0),
