--- a/crates/thymeshiftctl/src/arguments.rs
+++ b/crates/thymeshiftctl/src/arguments.rs
@@ -53,9 +53,9 @@
 /// Which entry processes a query is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProcessSelection {
-    /// Those given with `--at`.
+    /// Only the processes given with `--at`.
     Listed,
-    /// Those given with `--at`, and every process that they know.
+    /// The processes given with `--at`, and every process that these know.
     AllKnown,
 }
 
@@ -72,7 +72,7 @@
     pub(crate) line: Option<String>,
 }
 
-/// What the program is asked to do.
+/// Action selected by the command-line arguments.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Invocation {
     Help,
--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -51,9 +51,10 @@
     result.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
-/// Fetches the dumps of the processes listed on the command line. With `--all`, also queries the
-/// members in the fetched dumps until no unqueried member is left. Members considered gone are
-/// skipped.
+/// Fetches the dumps of the processes listed on the command line.
+///
+/// With `--all`, also queries the members in the fetched dumps until no unqueried member is left.
+/// Members considered gone are not queried.
 pub(crate) async fn fetch_dumps(arguments: &Arguments) -> Dumps {
     let mut queried: BTreeSet<SocketAddr> = BTreeSet::new();
     let mut pending = arguments.addresses.clone();
@@ -88,8 +89,9 @@
     result.map_err(|error| CallError(format!("{address}: {error}")))
 }
 
-/// Sends an order to the first process listed on the command line. That process distributes the
-/// order to the fleet.
+/// Sends an order to the first process listed on the command line.
+///
+/// The process that receives an order distributes it to the fleet.
 pub(crate) async fn send_order(
     arguments: &Arguments,
     subject: &OrderSubject,
--- a/crates/thymeshiftctl/src/main.rs
+++ b/crates/thymeshiftctl/src/main.rs
@@ -41,8 +41,9 @@
     }
 }
 
-/// Prints the digest of a key that is read from standard input. A key given as an argument would be
-/// visible in the process list.
+/// Prints the digest of a key that is read from standard input.
+///
+/// A key given as an argument would be visible in the process list.
 fn print_key_digest() -> ExitCode {
     let mut key = String::new();
     if let Err(error) = std::io::stdin().lock().read_line(&mut key) {
--- a/crates/thymeshiftctl/src/output.rs
+++ b/crates/thymeshiftctl/src/output.rs
@@ -16,8 +16,8 @@
 use crate::client::CallError;
 use crate::client::Dumps;
 
-/// Exit code if a query returns no row, no kind matches an explained request, or the subject of an
-/// order is unknown.
+/// Exit code if a query returns no row, no request kind matches an explained request, or an order
+/// names a subject that is not in the configuration in force.
 const EXIT_NO_RESULT: u8 = 1;
 /// Exit code if at least one process did not answer or did not confirm an order.
 const EXIT_NO_ANSWER: u8 = 3;
@@ -25,9 +25,9 @@
 /// Output and exit code of one command.
 #[derive(Debug, Default)]
 pub(crate) struct CommandOutput {
-    /// Text for standard output.
+    /// Result, written to standard output.
     pub(crate) stdout: String,
-    /// Text for standard error.
+    /// Error messages, written to standard error.
     pub(crate) stderr: String,
     /// Exit code; 0 if the command succeeded.
     pub(crate) exit_code: u8,
