--- a/crates/thymeshiftd/src/arguments.rs
+++ b/crates/thymeshiftd/src/arguments.rs
@@ -28,7 +28,7 @@
 3 planned stop that closed connections because its time limit had passed.
 ";
 
-/// Command given on the command line.
+/// Action selected by the command-line arguments.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     Help,
--- a/crates/thymeshiftd/src/main.rs
+++ b/crates/thymeshiftd/src/main.rs
@@ -123,8 +123,9 @@
     ExitCode::from(EXIT_FAILURE)
 }
 
-/// Prints the listening addresses on standard output, so that the program which started the process
-/// with port 0 learns the ports.
+/// Prints the listening addresses on standard output.
+///
+/// A program that starts the process with port 0 reads the assigned ports from this line.
 fn print_addresses(addresses: &BoundAddresses) {
     let BoundAddresses { caller, peer, control, observe } = addresses;
     print(&format!("listening caller={caller} peer={peer} control={control} observe={observe}\n"));
