--- a/crates/thymeshift_config/src/check.rs
+++ b/crates/thymeshift_config/src/check.rs
@@ -1,5 +1,4 @@
-//! Checks that need more than one field: names that must be unique or must exist, and
-//! figures that must fit each other.
+//! Checks across several fields: unique names, references to existing names, and consistent values.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,7 +13,7 @@
 use crate::Repeat;
 use crate::Service;
 use crate::configuration::TEXT_BYTES_MAX;
-use crate::decode::add;
+use crate::decode::add_mistake;
 use crate::tree::Node;
 
 struct Checker<'a> {
@@ -23,16 +22,22 @@
 }
 
 impl Checker<'_> {
-    fn refuse(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
-        add(self.node.place_of(path), path, found.into(), expected.into(), self.mistakes);
+    fn report(&mut self, path: &str, found: impl Into<String>, expected: impl Into<String>) {
+        add_mistake(
+            self.node.location_of(path),
+            path,
+            found.into(),
+            expected.into(),
+            self.mistakes,
+        );
     }
 
-    fn unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
+    fn check_unique<'n>(&mut self, list: &str, field: &str, names: impl Iterator<Item = &'n str>) {
         let mut seen = HashSet::new();
         for (index, name) in names.enumerate() {
             if !seen.insert(name) {
                 let path = format!("{list}[{index}]{field}");
-                self.refuse(&path, format!("'{name}' a second time"), "a unique name");
+                self.report(&path, format!("'{name}' a second time"), "a unique name");
             }
         }
     }
@@ -41,12 +46,12 @@
 pub(crate) fn check(configuration: &Configuration, node: &Node, mistakes: &mut Mistakes) {
     let mut checker = Checker { node, mistakes };
     let halls = configuration.data_halls.iter().map(DataHallName::as_str);
-    checker.unique("data_halls", "", halls);
+    checker.check_unique("data_halls", "", halls);
     check_drained_halls(configuration, &mut checker);
     let services = configuration.services.iter().map(|service| service.name.as_str());
-    checker.unique("services", ".name", services);
+    checker.check_unique("services", ".name", services);
     let kinds = configuration.kinds.iter().map(|kind| kind.name.as_str());
-    checker.unique("kinds", ".name", kinds);
+    checker.check_unique("kinds", ".name", kinds);
     for (index, service) in configuration.services.iter().enumerate() {
         check_service(configuration, service, &format!("services[{index}]"), &mut checker);
     }
@@ -59,11 +64,11 @@
 
 fn check_drained_halls(configuration: &Configuration, checker: &mut Checker<'_>) {
     let names = configuration.drained_halls.iter().map(DataHallName::as_str);
-    checker.unique("drained_halls", "", names);
+    checker.check_unique("drained_halls", "", names);
     for (index, hall) in configuration.drained_halls.iter().enumerate() {
         if !configuration.data_halls.contains(hall) {
             let path = format!("drained_halls[{index}]");
-            checker.refuse(&path, format!("'{hall}'"), "a name from data_halls");
+            checker.report(&path, format!("'{hall}'"), "a name from data_halls");
         }
     }
 }
@@ -75,11 +80,11 @@
     checker: &mut Checker<'_>,
 ) {
     let names = service.targets.iter().map(|target| target.name.as_str());
-    checker.unique(&format!("{path}.targets"), ".name", names);
+    checker.check_unique(&format!("{path}.targets"), ".name", names);
     for (index, target) in service.targets.iter().enumerate() {
         if !configuration.data_halls.contains(&target.data_hall) {
             let path = format!("{path}.targets[{index}].data_hall");
-            checker.refuse(&path, format!("'{}'", target.data_hall), "a name from data_halls");
+            checker.report(&path, format!("'{}'", target.data_hall), "a name from data_halls");
         }
     }
     if service.connections_per_target < configuration.entry_vms_max {
@@ -88,76 +93,77 @@
             "at least one connection for each of {} entry VMs",
             configuration.entry_vms_max
         );
-        checker.refuse(&format!("{path}.connections_per_target"), found, expected);
+        checker.report(&format!("{path}.connections_per_target"), found, expected);
     }
     if service.measuring_budget_us_per_s > 0 && service.probe.is_none() {
         let path = format!("{path}.measuring_budget_us_per_s");
         let found = format!("'{}' without a probe", service.measuring_budget_us_per_s);
-        checker.refuse(&path, found, "the field 'probe', or a budget of 0");
+        checker.report(&path, found, "the field 'probe', or a budget of 0");
     }
 }
 
 fn check_kind(configuration: &Configuration, kind: &Kind, path: &str, checker: &mut Checker<'_>) {
     if configuration.service_index(kind.service.as_str()).is_none() {
-        checker.refuse(&format!("{path}.service"), format!("'{}'", kind.service), "a service");
+        checker.report(&format!("{path}.service"), format!("'{}'", kind.service), "a service");
     }
     for (index, part) in kind.split.iter().enumerate() {
         if configuration.service_index(part.service.as_str()).is_none() {
             let path = format!("{path}.split[{index}].service");
-            checker.refuse(&path, format!("'{}'", part.service), "a service");
+            checker.report(&path, format!("'{}'", part.service), "a service");
         }
     }
     if !kind.split.is_empty() && kind.split.iter().all(|part| part.weight == 0) {
-        checker.refuse(&format!("{path}.split"), "weights of 0 only", "a weight above 0");
+        checker.report(&format!("{path}.split"), "weights of 0 only", "a weight above 0");
     }
     if kind.wait_max_ms > kind.deadline_ms {
         let found = format!("'{}'", kind.wait_max_ms);
         let expected = format!("at most deadline_ms ({})", kind.deadline_ms);
-        checker.refuse(&format!("{path}.wait_max_ms"), found, expected);
+        checker.report(&format!("{path}.wait_max_ms"), found, expected);
     }
     if kind.repeat == Repeat::Unsafe && kind.hedge_after_ms > 0 {
         let found = format!("'{}'", kind.hedge_after_ms);
-        checker.refuse(&format!("{path}.hedge_after_ms"), found, "0: an unsafe kind runs once");
+        checker.report(&format!("{path}.hedge_after_ms"), found, "0: an unsafe kind runs once");
     }
     if let Some(prefix) = &kind.rules.path_prefix
         && !prefix.starts_with('/')
     {
         let path = format!("{path}.match.path_prefix");
-        checker.refuse(&path, format!("'{}'", prefix.escape_debug()), "a path that starts with /");
+        checker.report(&path, format!("'{}'", prefix.escape_debug()), "a path that starts with /");
     }
 }
 
-/// A kind behind another with the same rules would never be found.
+/// Checks that no kind has the earliest rules as an earlier one,
+/// because no request would ever match the later kind.
 fn check_reachable(configuration: &Configuration, checker: &mut Checker<'_>) {
     let mut earlier: HashMap<&KindMatch, &Kind> = HashMap::new();
     for (index, kind) in configuration.kinds.iter().enumerate() {
-        let same = *earlier.entry(&kind.rules).or_insert(kind);
-        if same.name != kind.name {
-            let found = format!("the rules of '{}' again", same.name);
-            checker.refuse(&format!("kinds[{index}].match"), found, "rules of its own");
+        let earliest = *earlier.entry(&kind.rules).or_insert(kind);
+        if earliest.name != kind.name {
+            let found = format!("the rules of '{}' again", earliest.name);
+            checker.report(&format!("kinds[{index}].match"), found, "rules of its own");
         }
     }
 }
 
-/// A key belongs to one organisation.
+/// Checks that organisation names are unique and that each key belongs to only one organisation.
 fn check_organisations(configuration: &Configuration, checker: &mut Checker<'_>) {
     let organisations = &configuration.organisations;
     let names = organisations.iter().map(|organisation| organisation.name.as_str());
-    checker.unique("organisations", ".name", names);
-    let mut holders = HashMap::new();
+    checker.check_unique("organisations", ".name", names);
+    let mut owners = HashMap::new();
     for (index, organisation) in organisations.iter().enumerate() {
         for (place, digest) in organisation.key_digests.iter().enumerate() {
-            let holder = *holders.entry(digest).or_insert(&organisation.name);
-            if *holder != organisation.name {
+            let owner = *owners.entry(digest).or_insert(&organisation.name);
+            if *owner != organisation.name {
                 let path = format!("organisations[{index}].key_digests[{place}]");
-                let found = format!("a key of '{holder}' again");
-                checker.refuse(&path, found, "a key of its own");
+                let found = format!("a key of '{owner}' again");
+                checker.report(&path, found, "a key of its own");
             }
         }
     }
 }
 
-pub(crate) fn too_long(length: usize) -> Mistake {
+pub(crate) fn text_too_long(length: usize) -> Mistake {
     Mistake {
         line: 1,
         column: 1,
--- a/crates/thymeshift_entry/src/organisations/pending_asks.rs
+++ b/crates/thymeshift_entry/src/organisations/pending_asks.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use parking_lot::Mutex;
-use thymeshift_wire::QuestionNumber;
 use thymeshift_wire::QuotaGrant;
+use thymeshift_wire::QuotaRequestNumber;
 use tokio::sync::oneshot;
 
 /// Reply to an ask for quota tokens.
@@ -22,30 +22,30 @@
 #[derive(Default)]
 pub(super) struct PendingQuotaAsks {
     next_number: AtomicU64,
-    pending: Mutex<HashMap<QuestionNumber, oneshot::Sender<QuotaReply>>>,
+    pending: Mutex<HashMap<QuotaRequestNumber, oneshot::Sender<QuotaReply>>>,
 }
 
 /// Registered ask; dropping it removes the registration.
 pub(super) struct PendingQuotaAsk<'a> {
     pending_asks: &'a PendingQuotaAsks,
-    number: QuestionNumber,
+    number: QuotaRequestNumber,
     pub(super) reply: oneshot::Receiver<QuotaReply>,
 }
 
 impl PendingQuotaAsks {
-    pub(super) fn next_number(&self) -> QuestionNumber {
-        QuestionNumber(self.next_number.fetch_add(1, Ordering::Relaxed))
+    pub(super) fn next_number(&self) -> QuotaRequestNumber {
+        QuotaRequestNumber(self.next_number.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Registers an ask, so that its reply is delivered to the returned receiver.
-    pub(super) fn register(&self, number: QuestionNumber) -> PendingQuotaAsk<'_> {
+    pub(super) fn register(&self, number: QuotaRequestNumber) -> PendingQuotaAsk<'_> {
         let (sender, reply) = oneshot::channel();
         self.pending.lock().insert(number, sender);
         PendingQuotaAsk { pending_asks: self, number, reply }
     }
 
     /// Delivers a reply to the ask with this number, if one is registered.
-    pub(super) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
+    pub(super) fn deliver(&self, number: QuotaRequestNumber, reply: QuotaReply) {
         if let Some(sender) = self.pending.lock().remove(&number) {
             // A send fails only if the waiting request was cancelled.
             let _ = sender.send(reply);
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -9,18 +9,18 @@
 use spdlog::info;
 use thymeshift_config::RequestRate;
 use thymeshift_telemetry::metric;
+use thymeshift_wire::AnswerClass;
 use thymeshift_wire::Dialect;
-use thymeshift_wire::Meaning;
-use thymeshift_wire::RateLimitMistake;
-use thymeshift_wire::RetryAfterMistake;
+use thymeshift_wire::RateLimitError;
+use thymeshift_wire::RetryAfterError;
 
 use crate::service::Destination;
 use crate::target_client::Attempt;
 
 /// Statements about the target in the head of one answer.
 pub(super) struct TargetStatements {
-    rate_limit: Result<Option<RequestRate>, RateLimitMistake>,
-    backoff: Result<Option<Duration>, RetryAfterMistake>,
+    rate_limit: Result<Option<RequestRate>, RateLimitError>,
+    backoff: Result<Option<Duration>, RetryAfterError>,
     is_leaving: bool,
 }
 
@@ -45,11 +45,11 @@
     /// Ignores answers of another target or to another request: they don't describe this target.
     pub(super) fn apply_statements(
         &mut self,
-        meaning: Meaning,
+        meaning: AnswerClass,
         statements: TargetStatements,
         destination: &Destination,
     ) {
-        if matches!(meaning, Meaning::OtherTarget | Meaning::Foreign) {
+        if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
             return;
         }
         self.apply_rate_limit(meaning, statements.rate_limit, destination);
@@ -67,8 +67,8 @@
     /// of the target that does not know the limit.
     fn apply_rate_limit(
         &self,
-        meaning: Meaning,
-        stated: Result<Option<RequestRate>, RateLimitMistake>,
+        meaning: AnswerClass,
+        stated: Result<Option<RequestRate>, RateLimitError>,
         destination: &Destination,
     ) {
         let stated = match stated {
@@ -80,7 +80,7 @@
                 return;
             }
         };
-        let may_end_limit = matches!(meaning, Meaning::Answered | Meaning::Failed);
+        let may_end_limit = matches!(meaning, AnswerClass::Answered | AnswerClass::Failed);
         if stated.is_none() && !may_end_limit {
             return;
         }
@@ -95,7 +95,7 @@
 
     fn apply_backoff(
         &self,
-        requested: Result<Option<Duration>, RetryAfterMistake>,
+        requested: Result<Option<Duration>, RetryAfterError>,
         destination: &Destination,
     ) {
         let service = destination.service.as_str().to_owned();
--- a/crates/thymeshift_telemetry/src/lib.rs
+++ b/crates/thymeshift_telemetry/src/lib.rs
@@ -1,19 +1,20 @@
-//! Key=value logging and the list of metrics.
+//! Structured logging in key=value format, and the metrics of the entry process.
 //!
-//! * [`start_logging`] sends one line for each event to standard output, and never waits for
-//!   its reader.
-//! * [`metric`] names every metric, and [`start_metrics`] collects them for Prometheus.
+//! * [`start_logging`] writes one line per event to standard output
+//!   and never blocks on the reader of the output.
+//! * [`metric`] defines the name of every metric,
+//!   and [`start_metrics`] collects the metrics for Prometheus.
 
 mod format;
-mod line_budget;
+mod log_rate_limiter;
 mod logging;
 pub mod metric;
-mod unblocking_sink;
+mod non_blocking_sink;
 
 pub use format::KeyValueFormatter;
-pub use line_budget::LineBudget;
+pub use log_rate_limiter::LogRateLimiter;
 pub use logging::StartError;
 pub use logging::start_logging;
 pub use metric::MetricsText;
 pub use metric::start_metrics;
-pub use unblocking_sink::take_unwritten_lines;
+pub use non_blocking_sink::take_dropped_lines;
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -1,14 +1,14 @@
-//! Headers and remote calls between callers, targets, entry processes and operators.
+//! HTTP headers and remote calls between callers, targets, entry processes and operators.
 //!
-//! * [`headers`]: the names of the product's own HTTP headers.
-//! * [`CallContext`]: deadline, attempts and depth that travel with a call.
-//! * [`load_header`]: load reports on answers.
-//! * [`Dialect`]: how calls, attempts and answers look on the wire; [`Native`] is the
-//!   product's own.
-//! * [`PeerLink`] and [`Control`]: `tarpc` services; [`connect_peer`],
-//!   [`connect_control`], [`peer_channel`] and [`control_channel`] carry them over TCP with
-//!   the `postcard` codec and a bound on every frame.
-//! * [`StateDump`]: what a process says of its whole state.
+//! * [`headers`]: names of the HTTP headers that Thymeshift defines.
+//! * [`CallContext`]: deadline, remaining attempts and depth that are propagated with a call.
+//! * [`load_header`]: load reports in response headers.
+//! * [`Dialect`]: wire format of calls, attempts and answers;
+//!   [`Native`] is the implementation for Thymeshift's own headers.
+//! * [`PeerLink`] and [`Control`]: `tarpc` services;
+//!   [`connect_peer`], [`connect_control`], [`peer_channel`] and [`control_channel`] carry them
+//!   over TCP with the `postcard` codec and a size limit for every frame.
+//! * [`StateDump`]: snapshot of the state of an entry process.
 
 mod answer_headers;
 mod call_context;
@@ -16,6 +16,7 @@
 mod control;
 mod counted;
 mod datagram;
+mod dead_peer;
 mod dialect;
 mod dump;
 pub mod headers;
@@ -25,13 +26,12 @@
 mod peer;
 mod rate_header;
 mod retry_after;
-mod silence;
 mod transport;
 
 pub use answer_headers::HeaderAudience;
 pub use answer_headers::standard_audience;
 pub use call_context::CallContext;
-pub use call_context::HeaderMistake;
+pub use call_context::HeaderError;
 pub use codec::CodecError;
 pub use codec::Postcard;
 pub use control::Control;
@@ -41,25 +41,29 @@
 pub use control::Explanation;
 pub use control::OrderAnswer;
 pub use control::OrderRequest;
-pub use counted::CountedStream;
+pub use counted::ByteCountingStream;
 pub use counted::LinkBytes;
 pub use datagram::Acquire;
 pub use datagram::AllocatorAddress;
 pub use datagram::DATAGRAM_BYTES_MAX;
 pub use datagram::Datagram;
 pub use datagram::DatagramError;
-pub use datagram::GroupRoom;
+pub use datagram::GroupHeadroomReport;
 pub use datagram::Heads;
 pub use datagram::LeaseNumber;
 pub use datagram::Message;
-pub use datagram::QuestionNumber;
 pub use datagram::QuotaAsk;
 pub use datagram::QuotaGrant;
+pub use datagram::QuotaRequestNumber;
 pub use datagram::Release;
 pub use datagram::SourceHeartbeat;
+pub use dead_peer::KEEPALIVE_INTERVAL;
+pub use dead_peer::KEEPALIVE_PROBES_MAX;
+pub use dead_peer::UNACKNOWLEDGED_DATA_TIMEOUT;
+pub use dead_peer::set_dead_peer_timeouts;
+pub use dialect::AnswerClass;
 pub use dialect::AttemptHead;
 pub use dialect::Dialect;
-pub use dialect::Meaning;
 pub use dump::ConfigurationDump;
 pub use dump::HallDump;
 pub use dump::KindDump;
@@ -77,14 +81,10 @@
 pub use peer::PeerLink;
 pub use peer::PeerLinkClient;
 pub use peer::TargetRateLimit;
-pub use rate_header::RateLimitMistake;
+pub use rate_header::RateLimitError;
 pub use rate_header::read_rate_limit;
-pub use retry_after::RetryAfterMistake;
+pub use retry_after::RetryAfterError;
 pub use retry_after::read_retry_after;
-pub use silence::ASKED_AFTER;
-pub use silence::UNANSWERED_MAX;
-pub use silence::UNCONFIRMED_MAX;
-pub use silence::end_if_silent;
 pub use transport::CALLS_PER_CONNECTION_MAX;
 pub use transport::ControlChannel;
 pub use transport::LinkError;
--- a/crates/thymeshift_wire/tests/silence.rs
+++ b/crates/thymeshift_wire/tests/dead_peer.rs
@@ -1,5 +1,5 @@
-//! What the kernel is told about connections whose other side falls silent. Loopback cannot fall
-//! silent, so that the effect itself is not shown here.
+//! Tests of the TCP options that detect an unreachable peer. Loopback connections
+//! cannot lose their peer silently, so the tests check the options and not their effect.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use rustix::net::sockopt::tcp_keepidle;
 use rustix::net::sockopt::tcp_keepintvl;
 use rustix::net::sockopt::tcp_user_timeout;
-use thymeshift_wire::UNANSWERED_MAX;
-use thymeshift_wire::UNCONFIRMED_MAX;
-use thymeshift_wire::end_if_silent;
+use thymeshift_wire::KEEPALIVE_PROBES_MAX;
+use thymeshift_wire::UNACKNOWLEDGED_DATA_TIMEOUT;
+use thymeshift_wire::set_dead_peer_timeouts;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
@@ -20,14 +20,18 @@
     let listener = Arc::new(TcpListener::bind("127.0.0.1:0").await.expect("a listener"));
     let address = listener.local_addr().expect("an address");
     let stream = TcpStream::connect(address).await.expect("a connection");
-    assert!(!socket_keepalive(&stream).expect("an option"), "as the kernel makes it");
-    end_if_silent(&stream).expect("options");
+    assert!(!socket_keepalive(&stream).expect("an option"), "default of the kernel");
+    set_dead_peer_timeouts(&stream).expect("options");
     assert!(socket_keepalive(&stream).expect("an option"));
     let idle = tcp_keepidle(&stream).expect("an option");
     let between = tcp_keepintvl(&stream).expect("an option");
     let count = tcp_keepcnt(&stream).expect("an option");
-    assert_eq!(count, UNANSWERED_MAX);
-    assert!(idle + between * count <= Duration::from_secs(3), "while it is idle");
-    let unconfirmed_ms = tcp_user_timeout(&stream).expect("an option");
-    assert_eq!(u128::from(unconfirmed_ms), UNCONFIRMED_MAX.as_millis(), "while it is in use");
+    assert_eq!(count, KEEPALIVE_PROBES_MAX);
+    assert!(idle + between * count <= Duration::from_secs(3), "an idle connection");
+    let unacknowledged_ms = tcp_user_timeout(&stream).expect("an option");
+    assert_eq!(
+        u128::from(unacknowledged_ms),
+        UNACKNOWLEDGED_DATA_TIMEOUT.as_millis(),
+        "a connection with unacknowledged data"
+    );
 }
