--- a/crates/thymeshift_dispatch/src/strategy/candidates.rs
+++ b/crates/thymeshift_dispatch/src/strategy/candidates.rs
@@ -13,7 +13,7 @@
 use crate::halls::Halls;
 use crate::model::ServiceModel;
 use crate::table::MarginalCosts;
-use crate::table::Table;
+use crate::table::TargetTable;
 use crate::target_state::Bound;
 use crate::target_state::Target;
 
@@ -61,7 +61,7 @@
 
 impl<'a> Candidates<'a> {
     pub(crate) fn new(
-        table: &'a Table,
+        table: &'a TargetTable,
         view: View,
         now: Timestamp,
         tried: &'a Tried,
@@ -107,7 +107,7 @@
         let Self { targets, model, now, tried, excluded, bound, share, .. } = *self;
         targets.iter().enumerate().filter_map(move |(index, target)| {
             let index = TargetIndex::new(index);
-            let is_allowed = !tried.has(index) && !excluded.has(index);
+            let is_allowed = !tried.contains(index) && !excluded.contains(index);
             let is_open = is_allowed && target.is_open(now, bound, share, model);
             is_open.then_some(Candidate { index, target })
         })
--- a/crates/thymeshift_dispatch/src/target_state/room.rs
+++ b/crates/thymeshift_dispatch/src/target_state/capacity.rs
@@ -6,7 +6,7 @@
 
 use crate::RateShare;
 use crate::Usability;
-use crate::concurrency::Explored;
+use crate::concurrency::ExplorationLevels;
 use crate::model::ServiceModel;
 use crate::target_state::Presence;
 use crate::target_state::Target;
@@ -18,17 +18,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Bound {
     /// The limit that this process has learnt for the target.
-    Learnt,
+    Adaptive,
     /// A number.
     Fixed(u32),
     /// The best number, but for targets that explore.
-    Best(u32, Explored),
+    Best(u32, ExplorationLevels),
 }
 
 /// What a target explores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Explores {
-    Nothing,
+pub(crate) enum Exploration {
+    Disabled,
     /// One request more than the best number.
     More,
     /// One fewer.
@@ -70,37 +70,39 @@
 
     fn is_slow_spell(&self, now: Timestamp, model: &ServiceModel) -> bool {
         let service = Duration::from_micros(model.service_us() as u64);
-        self.others.is_slow_spell(now, model.usual_pace(), service)
+        self.external_load.is_slow_spell(now, model.usual_pace(), service)
     }
 
     /// Whether it is cold and got its last request too recently for another one.
     fn is_held_cold(&self, now: Timestamp, bound: Bound) -> bool {
-        let Some(paces) = self.shape.cold_paces.filter(|_| self.cold_start.is_cold(now)) else {
+        let Some(paces) = self.parameters.cold_intervals.filter(|_| self.cold_start.is_cold(now))
+        else {
             return false;
         };
         let waited = now.since(self.granted_at);
         match bound {
-            Bound::Best(..) => waited < paces.allocating,
-            Bound::Learnt => waited.min(now.since(self.cold_start.since())) < paces.own,
-            Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.alone,
+            Bound::Best(..) => waited < paces.fleet,
+            Bound::Adaptive => waited.min(now.since(self.cold_start.since())) < paces.own,
+            Bound::Fixed(_) => waited.min(now.since(self.cold_start.since())) < paces.fallback,
         }
     }
 
     fn has_room(&self, bound: Bound, now: Timestamp) -> bool {
-        self.room(bound, now) > 0
+        self.spare_capacity(bound, now) > 0
     }
 
     /// Further requests that it may get.
-    pub(crate) fn room(&self, bound: Bound, now: Timestamp) -> u32 {
+    pub(crate) fn spare_capacity(&self, bound: Bound, now: Timestamp) -> u32 {
         let most = match bound {
-            Bound::Learnt => self.limit.value() as u32,
-            Bound::Fixed(most) => most.min(self.shape.connection_share),
+            Bound::Adaptive => self.limit.value() as u32,
+            Bound::Fixed(most) => most.min(self.parameters.connection_share),
             Bound::Best(best, explored) => {
-                let best = self.explored_or(best, explored).min(self.shape.connection_share);
+                let best = self.explored_or(best, explored).min(self.parameters.connection_share);
                 self.left_by_others(best, now)
             }
         };
-        let most = self.refusals.room(self.granted_at, now).map_or(most, |room| room.min(most));
+        let most =
+            self.refusals.in_flight_max(self.granted_at, now).map_or(most, |room| room.min(most));
         let most = most.saturating_sub(self.in_flight);
         if self.is_rate_limited() { most.min(1) } else { most }
     }
@@ -111,14 +113,14 @@
     fn left_by_others(&self, most: u32, now: Timestamp) -> u32 {
         let is_tried_long_ago = now.since(self.granted_at) >= TRIED_BESIDE_OTHERS_EVERY;
         let least = u32::from(is_tried_long_ago);
-        most.saturating_sub(self.others.uncounted(now)).max(least.min(most))
+        most.saturating_sub(self.external_load.untracked_requests(now)).max(least.min(most))
     }
 
-    fn explored_or(&self, best: u32, explored: Explored) -> u32 {
-        let explored = match self.explores {
-            Explores::Nothing => None,
-            Explores::More => explored.more,
-            Explores::Fewer => explored.fewer,
+    fn explored_or(&self, best: u32, explored: ExplorationLevels) -> u32 {
+        let explored = match self.exploration {
+            Exploration::Disabled => None,
+            Exploration::More => explored.more,
+            Exploration::Fewer => explored.fewer,
         };
         explored.unwrap_or(best)
     }
--- a/crates/thymeshift_dispatch/tests/backoffs.rs
+++ b/crates/thymeshift_dispatch/tests/backoffs.rs
@@ -41,9 +41,9 @@
     wait: Duration,
     now: Timestamp,
 ) {
-    let grant = dispatcher.grant_at(&target_name(index), None, now).expect("a grant");
-    dispatcher.back_off(&grant, wait, now);
-    dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
+    let grant = dispatcher.grant_target(&target_name(index), None, now).expect("a grant");
+    dispatcher.record_backoff(&grant, wait, now);
+    dispatcher.record_attempt(&grant, Observation::ShedWithBackoff(None), now);
     dispatcher.release(grant, now);
 }
 
@@ -79,10 +79,14 @@
             let mut dispatcher = service(2);
             dispatcher.set_view(view);
             let grants: Vec<_> = (0..requested.len())
-                .map(|_| dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant"))
+                .map(|_| dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant"))
                 .collect();
             for (grant, (at_s, wait_s)) in grants.into_iter().zip(requested) {
-                dispatcher.back_off(&grant, Duration::from_secs_f64(*wait_s), at_seconds(*at_s));
+                dispatcher.record_backoff(
+                    &grant,
+                    Duration::from_secs_f64(*wait_s),
+                    at_seconds(*at_s),
+                );
                 dispatcher.release(grant, at_seconds(*at_s));
             }
             let note = format!("{requested:?}, {view}");
@@ -91,7 +95,9 @@
                 "{note}: used before the backoff ends"
             );
             assert!(
-                dispatcher.grant_at(&target_name(0), None, at_seconds(ends_at_s - 0.001)).is_none(),
+                dispatcher
+                    .grant_target(&target_name(0), None, at_seconds(ends_at_s - 0.001))
+                    .is_none(),
                 "{note}"
             );
             assert!(
@@ -105,7 +111,7 @@
 #[test]
 fn an_unsent_grant_is_void_once_its_target_asks_for_a_backoff() {
     let mut dispatcher = service(2);
-    let held = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+    let held = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
     assert!(dispatcher.may_send(&held, at(900), at(1)));
     refuse_with_backoff(&mut dispatcher, 0, BACKOFF, at(2));
     assert!(!dispatcher.may_send(&held, at(900), at(3)));
@@ -116,9 +122,9 @@
 #[test]
 fn an_answer_during_a_backoff_does_not_end_it() {
     let mut dispatcher = service(2);
-    let slow = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+    let slow = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
     refuse_with_backoff(&mut dispatcher, 0, BACKOFF, at(2));
-    dispatcher.learn(&slow, Observation::Answered(None), at(50));
+    dispatcher.record_attempt(&slow, Observation::Answered(None), at(50));
     dispatcher.release(slow, at(50));
     assert!(!is_used(&mut dispatcher, 0, at(2_900)));
 }
@@ -183,7 +189,7 @@
     let Decision::Wait(ticket) = dispatcher.request(request(1, at(900)), at(1), &mut rng) else {
         panic!("the request is not queued");
     };
-    dispatcher.back_off(&in_flight, BACKOFF, at(5));
+    dispatcher.record_backoff(&in_flight, BACKOFF, at(5));
     dispatcher.release(in_flight, at(5));
     let woken = dispatcher.next_wake(at(5), &mut rng);
     let Some(Wake::Refuse(refused, Refusal { reason: Reason::BackingOff, .. })) = woken else {
@@ -220,9 +226,9 @@
     let mut dispatcher = dispatcher(&configuration(4, 2, ""));
     refuse_with_backoff(&mut dispatcher, 1, BACKOFF, at(0));
     refuse_with_backoff(&mut dispatcher, 3, BACKOFF, at(0));
-    assert_eq!(dispatcher.backing_off(None, at(10)), [target_name(1), target_name(3)]);
-    assert_eq!(dispatcher.backing_off(Some(&local_hall()), at(10)), [target_name(1)]);
-    assert_eq!(dispatcher.backing_off(None, at(3_001)), []);
+    assert_eq!(dispatcher.backing_off_targets(None, at(10)), [target_name(1), target_name(3)]);
+    assert_eq!(dispatcher.backing_off_targets(Some(&local_hall()), at(10)), [target_name(1)]);
+    assert_eq!(dispatcher.backing_off_targets(None, at(3_001)), []);
 }
 
 /// Counts the requests that are routed to the first of two targets within a second. The target
@@ -234,9 +240,9 @@
         let grant = expect_grant(dispatcher, request(1, now + ms(900)), now, rng);
         if dispatcher.target_name(&grant) == target_name(0) {
             refused += 1;
-            dispatcher.learn(&grant, Observation::ShedWithBackoff(None), now);
+            dispatcher.record_attempt(&grant, Observation::ShedWithBackoff(None), now);
         } else {
-            dispatcher.learn(&grant, Observation::Answered(None), now);
+            dispatcher.record_attempt(&grant, Observation::Answered(None), now);
         }
         dispatcher.release(grant, now);
     }
@@ -250,8 +256,8 @@
     let mut rng = rng();
     let refused = refused_in_one_second(&mut dispatcher, 0, &mut rng);
     assert!((5..=13).contains(&refused), "{refused} refused requests");
-    let grant = dispatcher.grant_at(&target_name(0), None, at(1_200)).expect("a grant");
-    dispatcher.learn(&grant, Observation::Answered(None), at(1_210));
+    let grant = dispatcher.grant_target(&target_name(0), None, at(1_200)).expect("a grant");
+    dispatcher.record_attempt(&grant, Observation::Answered(None), at(1_210));
     dispatcher.release(grant, at(1_210));
     assert!(is_used(&mut dispatcher, 0, at(1_211)), "one answer ends the refusal streak");
 }
@@ -274,7 +280,7 @@
         Case {
             note: "a leaving mark",
             announce: |dispatcher| {
-                let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+                let grant = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
                 assert!(dispatcher.mark_granted_leaving(&grant).is_some());
                 dispatcher.release(grant, at(0));
             },
--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -86,7 +86,7 @@
             while vm.share.try_begin(now) {
                 let taken_us = if index == chosen { slow_us.max(COST_US) } else { COST_US };
                 spent += taken_us;
-                vm.share.settle(Duration::from_micros(taken_us));
+                vm.share.charge_overrun(Duration::from_micros(taken_us));
             }
         }
     }
@@ -161,15 +161,15 @@
         "initial reserve of a fresh process"
     );
     for _ in 0..30 {
-        budget.requested();
+        budget.record_request();
     }
     assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 3, "one retry per ten requests");
     for _ in 0..10_000 {
-        budget.requested();
+        budget.record_request();
     }
     assert_eq!((0..20).filter(|_| budget.try_spend()).count(), 10, "bounded reserve");
     let mut none = RetryBudget::new(0);
-    none.requested();
+    none.record_request();
     assert!(!none.try_spend());
 }
 
@@ -226,7 +226,7 @@
         let mut ends_ms = None;
         for now_ms in (0..10_000).step_by(CHECK_INTERVAL_MS as usize) {
             if ends_ms.is_some_and(|ends_ms| now_ms >= ends_ms) {
-                pacing.ended(is_answered);
+                pacing.finish(is_answered);
                 ends_ms = None;
             }
             if pacing.try_begin(INTERVAL, Timestamp::from_millis(1_000 + now_ms)) {
@@ -255,7 +255,7 @@
                 _ => false,
             };
             if may_begin {
-                pacing.ended(true);
+                pacing.finish(true);
                 begun.push(step);
             }
         }
@@ -279,9 +279,9 @@
     let mut pacing = ProbePacing::default();
     assert!(pacing.try_begin_early(ms(48), START));
     assert!(!pacing.try_begin_early(ms(48), START), "one at a time");
-    pacing.ended(false);
+    pacing.finish(false);
     assert!(!pacing.try_begin_early(ms(48), START + ms(500)));
     assert!(pacing.try_begin(ms(48), START + ms(500)));
-    pacing.ended(true);
+    pacing.finish(true);
     assert!(pacing.try_begin_early(ms(48), START + ms(501)));
 }
--- a/crates/thymeshift_dispatch/tests/cold_targets.rs
+++ b/crates/thymeshift_dispatch/tests/cold_targets.rs
@@ -45,7 +45,7 @@
 fn cold(view: View) -> TestDispatcher {
     let mut dispatcher = dispatcher(&one_target());
     dispatcher.set_view(view);
-    let _ = dispatcher.learn_probe(&target_name(0), cold_report(3_000), at(0));
+    let _ = dispatcher.record_probe(&target_name(0), cold_report(3_000), at(0));
     dispatcher
 }
 
@@ -115,14 +115,14 @@
 #[test]
 fn a_target_may_become_cold_at_any_time_and_repeatedly() {
     let mut dispatcher = cold(View::Fleet);
-    let _ = dispatcher.learn_probe(&target_name(0), cold_report(0), at(10));
+    let _ = dispatcher.record_probe(&target_name(0), cold_report(0), at(10));
     let warm_times_ms: Vec<u64> = (11..111).collect();
     assert_eq!(
         send(&mut dispatcher, &warm_times_ms).len(),
         100,
         "the target reported that it is warm"
     );
-    let _ = dispatcher.learn_probe(&target_name(0), cold_report(3_000), at(120));
+    let _ = dispatcher.record_probe(&target_name(0), cold_report(3_000), at(120));
     let cold_times_ms: Vec<u64> = (120..620).collect();
     let sent = send(&mut dispatcher, &cold_times_ms);
     assert_eq!(sent.len(), 1, "one per 400 ms, counted from the last request before: {sent:?}");
--- a/crates/thymeshift_dispatch/tests/drained_halls.rs
+++ b/crates/thymeshift_dispatch/tests/drained_halls.rs
@@ -38,10 +38,10 @@
             dispatcher.release(grant, at(step));
         }
         assert!(
-            dispatcher.grant_at(&target_name(0), None, at(200)).is_none(),
+            dispatcher.grant_target(&target_name(0), None, at(200)).is_none(),
             "{view}: chosen by another process"
         );
-        assert!(dispatcher.grant_at(&target_name(2), None, at(200)).is_some(), "{view}");
+        assert!(dispatcher.grant_target(&target_name(2), None, at(200)).is_some(), "{view}");
         let probed: Vec<_> = dispatcher.probe_targets(at(200)).map(|(name, _)| name).collect();
         assert_eq!(probed, [target_name(2), target_name(3)], "{view}");
     }
@@ -104,7 +104,7 @@
     };
     assert!(expected(&dispatcher, 0, 5_001) > 3 * expected(&dispatcher, 2, 5_001), "cold");
     assert!(expected(&dispatcher, 0, 8_001) <= expected(&dispatcher, 2, 8_001), "ramp over");
-    let _ = dispatcher.learn_probe(&target_name(1), support::cold_report(0), at(5_002));
+    let _ = dispatcher.record_probe(&target_name(1), support::cold_report(0), at(5_002));
     assert!(
         expected(&dispatcher, 1, 5_003) <= expected(&dispatcher, 2, 5_003),
         "reported that it is warm"
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -51,7 +51,7 @@
     for grant in grants {
         let others = dispatcher.in_flight(grant.target()) - 1;
         let observation = Observation::Answered(Some(report(others, 0)));
-        let _ = dispatcher.learn(&grant, observation, now + taken);
+        let _ = dispatcher.record_attempt(&grant, observation, now + taken);
         dispatcher.release(grant, now + taken);
     }
 }
@@ -77,7 +77,7 @@
         let mut now = at(0);
         for _ in 0..40 {
             for count in 1..=3 {
-                if count > dispatcher.room(now) {
+                if count > dispatcher.spare_capacity(now) {
                     break;
                 }
                 round(&mut dispatcher, count, ms(taken_ms[count as usize - 1]), now, &mut rng);
@@ -134,7 +134,7 @@
         for (_, target, grant) in running.extract_if(.., |(end, ..)| *end <= now) {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now);
+            let _ = dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
             assert!(target < targets);
         }
@@ -236,7 +236,7 @@
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1 + foreign;
             let observation = Observation::Answered(Some(report(others, 0)));
-            let _ = dispatcher.learn(&grant, observation, now + ms(taken));
+            let _ = dispatcher.record_attempt(&grant, observation, now + ms(taken));
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -287,14 +287,14 @@
         // The mean of the reported paces (300%) is far above the usual pace (100%).
         for step in 0..200 {
             let pace = if step % 2 == 0 { 100 } else { 500 };
-            let _ = dispatcher.learn_probe(&target_name(0), paced(pace), at(step));
+            let _ = dispatcher.record_probe(&target_name(0), paced(pace), at(step));
         }
         let now = at(600 + seed);
         // Without this tick, the request below would treat the time since the previous call as a
         // pause of the process and discard the two reports.
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&target_name(1), paced(100), now);
-        let _ = dispatcher.learn_probe(&target_name(2), paced(500), now);
+        let _ = dispatcher.record_probe(&target_name(1), paced(100), now);
+        let _ = dispatcher.record_probe(&target_name(2), paced(500), now);
         let first = expect_grant(&mut dispatcher, request(1, now + ms(500)), now, &mut rng);
         assert_eq!(dispatcher.target_name(&first), target_name(1), "the target known to be fast");
         let later = now + ms(200);
@@ -354,12 +354,12 @@
             let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(taken_ms);
             let report = LoadReport { pace_percent: before_percent, ..report(0, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(Some(report)), now);
             dispatcher.release(grant, now);
             // The report is stale by the time of the next request.
             now = now + ms(200);
         }
-        let _ = dispatcher.learn_probe(&target_name(0), paced(pace_percent), now);
+        let _ = dispatcher.record_probe(&target_name(0), paced(pace_percent), now);
         now = now + ms(age_ms);
         let decision = dispatcher.request(request(1, now + ms(10_000)), now, &mut rng);
         match decision {
@@ -371,7 +371,7 @@
             continue;
         }
         assert!(dispatcher.next_wake(now + ms(20), &mut rng).is_none(), "{note}: still slow");
-        let _ = dispatcher.learn_probe(&target_name(0), paced(before_percent), now + ms(30));
+        let _ = dispatcher.record_probe(&target_name(0), paced(before_percent), now + ms(30));
         let woken = dispatcher.next_wake(now + ms(30), &mut rng);
         assert!(matches!(woken, Some(Wake::Send(..))), "{note}: fast again: {woken:?}");
     }
@@ -411,21 +411,21 @@
         for _ in 0..10 {
             let grant = expect_grant(&mut dispatcher, request(1, now + ms(10_000)), now, &mut rng);
             now = now + ms(200);
-            let _ = dispatcher.learn(&grant, Observation::Answered(None), now);
+            let _ = dispatcher.record_attempt(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
         }
         for _ in 0..20 {
             now = now + ms(200);
             let _ = dispatcher.tick(now);
             for (index, pace) in paces.into_iter().enumerate() {
-                let _ = dispatcher.learn_probe(&target_name(index), paced(pace), now);
+                let _ = dispatcher.record_probe(&target_name(index), paced(pace), now);
             }
         }
         // All targets except the first one are leaving.
         for index in 1..5 {
             dispatcher.mark_leaving(&target_name(index), Incarnation::new(1));
         }
-        let _ = dispatcher.learn_probe(&target_name(0), paced(pace_percent), now);
+        let _ = dispatcher.record_probe(&target_name(0), paced(pace_percent), now);
         match dispatcher.request(request(1, now + ms(10_000)), now, &mut rng) {
             Decision::Send(_) => assert!(is_sent, "{note}: sent"),
             Decision::Wait(_) => assert!(!is_sent, "{note}: waits"),
@@ -444,14 +444,18 @@
         // slow spell while they run.
         let (pace, count, taken) = if round % 2 == 0 { (100, 1, 50) } else { (200, 2, 100) };
         let _ = dispatcher.tick(now);
-        let _ = dispatcher.learn_probe(&target_name(0), paced(pace), now);
+        let _ = dispatcher.record_probe(&target_name(0), paced(pace), now);
         let grants: Vec<_> = (0..count)
             .map(|_| expect_grant(&mut dispatcher, at_once(now), now, &mut rng))
             .collect();
         for grant in grants {
             let others = dispatcher.in_flight(grant.target()) - 1;
             let report = LoadReport { pace_percent: pace, ..report(others, 0) };
-            let _ = dispatcher.learn(&grant, Observation::Answered(Some(report)), now + ms(taken));
+            let _ = dispatcher.record_attempt(
+                &grant,
+                Observation::Answered(Some(report)),
+                now + ms(taken),
+            );
             dispatcher.release(grant, now + ms(taken));
         }
     }
@@ -492,7 +496,7 @@
         // The target was used shortly before the probe.
         let grant = expect_grant(&mut dispatcher, at_once(at(0)), at(0), &mut rng);
         dispatcher.release(grant, at(10));
-        let _ = dispatcher.learn_probe(&target_name(2), report(running, queued), at(20));
+        let _ = dispatcher.record_probe(&target_name(2), report(running, queued), at(20));
         let now = at(20 + age_ms);
         let mut granted = 0;
         while let Decision::Send(_) = dispatcher.request(at_once(now), now, &mut rng) {
@@ -509,7 +513,7 @@
     let mut granted = 0;
     for step in 0..100 {
         let now = at(step * 50);
-        let _ = dispatcher.learn_probe(&target_name(0), report(3, 4), now);
+        let _ = dispatcher.record_probe(&target_name(0), report(3, 4), now);
         if let Decision::Send(grant) = dispatcher.request(at_once(now), now, &mut rng) {
             granted += 1;
             dispatcher.release(grant, now + ms(40));
@@ -540,16 +544,16 @@
 #[test]
 fn a_grant_at_a_named_target_is_refused_once_it_is_leaving() {
     let mut dispatcher = fleet_dispatcher(2, 2);
-    assert!(dispatcher.grant_at(&target_name(0), None, at(0)).is_some());
+    assert!(dispatcher.grant_target(&target_name(0), None, at(0)).is_some());
     assert!(dispatcher.mark_leaving(&target_name(0), Incarnation::new(1)));
-    assert!(dispatcher.grant_at(&target_name(0), None, at(0)).is_none());
-    assert!(dispatcher.grant_at(&target_name(9), None, at(0)).is_none(), "unknown here");
+    assert!(dispatcher.grant_target(&target_name(0), None, at(0)).is_none());
+    assert!(dispatcher.grant_target(&target_name(9), None, at(0)).is_none(), "unknown here");
 }
 
 #[test]
 fn only_targets_without_a_recent_report_are_to_be_probed() {
     let mut dispatcher = fleet_dispatcher(3, 3);
-    let _ = dispatcher.learn_probe(&target_name(1), paced(100), at(0));
+    let _ = dispatcher.record_probe(&target_name(1), paced(100), at(0));
     let stale = dispatcher.stale_targets(ms(50), usize::MAX, at(40));
     assert_eq!(stale.len(), 2, "{stale:?}");
     assert_eq!(dispatcher.stale_targets(ms(50), usize::MAX, at(60)).len(), 3);
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -29,7 +29,7 @@
 fn allocating(is_backed: bool) -> TestDispatcher {
     let mut dispatcher = dispatcher(&configuration(TARGETS, TARGETS, ""));
     dispatcher.set_view(View::Fleet);
-    dispatcher.set_backed(is_backed);
+    dispatcher.set_can_overflow(is_backed);
     dispatcher
 }
 
@@ -48,11 +48,11 @@
     for step in 0..REQUESTS {
         let now = at(step * 5);
         let at_once = Request { queue_max: 0, ..request(1, at(5_000)) };
-        if dispatcher.room(now) == 0 {
+        if dispatcher.spare_capacity(now) == 0 {
             played.redirected += 1;
         } else if let Decision::Send(grant) = dispatcher.request(at_once, now, rng) {
             *played.tried.entry(dispatcher.target_name(&grant)).or_default() += 1;
-            dispatcher.learn(&grant, observation, now);
+            dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
         }
     }
@@ -98,7 +98,7 @@
         let now = at(2_500 + step * 5);
         let at_once = Request { queue_max: 0, ..request(1, at(9_000)) };
         if let Decision::Send(grant) = dispatcher.request(at_once, now, &mut rng) {
-            dispatcher.learn(&grant, Observation::Answered(None), now);
+            dispatcher.record_attempt(&grant, Observation::Answered(None), now);
             dispatcher.release(grant, now);
             used += 1;
         }
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -46,7 +46,7 @@
         dispatcher.reconfigure(configuration, &configuration.services[0], &local_hall(), START);
     }
     for index in 100..TARGETS {
-        dispatcher.learn_probe(&target_name(index), report(0, 0), START);
+        dispatcher.record_probe(&target_name(index), report(0, 0), START);
     }
     let taken = begun.elapsed();
     assert!(taken < LIMIT, "{taken:?}");
--- a/crates/thymeshift_dispatch/tests/patience.rs
+++ b/crates/thymeshift_dispatch/tests/patience.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use thymeshift_dispatch::Patience;
+use thymeshift_dispatch::ElapsedTimeEstimator;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -17,9 +17,9 @@
     tried_ms: u64,
 }
 
-fn check(patience: &mut Patience, cases: &[Case]) {
+fn check(patience: &mut ElapsedTimeEstimator, cases: &[Case]) {
     for Case { note, stated_ms, tried_ms } in cases {
-        let tried = patience.clone().tried_for(ms(*stated_ms));
+        let tried = patience.clone().estimate(ms(*stated_ms));
         let expected = ms(*tried_ms);
         // A usual wait decays slightly between two callers that state it.
         assert!(tried.abs_diff(expected) <= ms(10), "{note}: {tried:?} and not {expected:?}");
@@ -28,8 +28,8 @@
 
 #[test]
 fn the_time_already_spent_is_the_usual_wait_minus_the_stated_wait() {
-    let mut patience = Patience::default();
-    assert_eq!(patience.tried_for(ms(4_000)), Duration::ZERO, "the first caller");
+    let mut patience = ElapsedTimeEstimator::default();
+    assert_eq!(patience.estimate(ms(4_000)), Duration::ZERO, "the first caller");
     check(
         &mut patience,
         &[
@@ -45,10 +45,10 @@
 
 #[test]
 fn callers_that_always_state_a_shorter_wait_count_as_first_attempts() {
-    let mut patience = Patience::default();
+    let mut patience = ElapsedTimeEstimator::default();
     for _ in 0..400 {
-        patience.tried_for(ms(1_000));
-        patience.tried_for(ms(4_000));
+        patience.estimate(ms(1_000));
+        patience.estimate(ms(4_000));
     }
     check(
         &mut patience,
@@ -63,11 +63,11 @@
 
 #[test]
 fn the_waits_of_retries_after_an_outage_do_not_become_usual() {
-    let mut patience = Patience::default();
+    let mut patience = ElapsedTimeEstimator::default();
     for step in 0..40 {
-        patience.tried_for(ms(3_310 + step % 5));
+        patience.estimate(ms(3_310 + step % 5));
         if step % 4 == 0 {
-            patience.tried_for(ms(4_000));
+            patience.estimate(ms(4_000));
         }
     }
     check(
@@ -78,10 +78,10 @@
 
 #[test]
 fn a_wait_that_no_caller_states_any_more_is_forgotten() {
-    let mut patience = Patience::default();
-    patience.tried_for(ms(60_000));
+    let mut patience = ElapsedTimeEstimator::default();
+    patience.estimate(ms(60_000));
     for _ in 0..20_000 {
-        patience.tried_for(ms(4_000));
+        patience.estimate(ms(4_000));
     }
     check(&mut patience, &[Case { note: "the usual wait", stated_ms: 4_000, tried_ms: 0 }]);
 }
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -62,10 +62,13 @@
 
 impl Fleet {
     fn probe(&mut self, target: usize, now_ms: u64) {
-        self.probing[target].ended(true);
+        self.probing[target].finish(true);
         self.probes += 1;
-        let _ =
-            self.dispatcher.learn_probe(&target_name(target), reported(target, now_ms), at(now_ms));
+        let _ = self.dispatcher.record_probe(
+            &target_name(target),
+            reported(target, now_ms),
+            at(now_ms),
+        );
     }
 
     /// Probes every target whose probe budget allows a probe now.
@@ -78,7 +81,7 @@
     }
 
     fn probe_before_grant(&mut self, request: &Request, now_ms: u64) {
-        let to_probe = self.dispatcher.worth_asking(request, ms(10), 5, at(now_ms));
+        let to_probe = self.dispatcher.likely_stale_targets(request, ms(10), 5, at(now_ms));
         for (probed, _) in to_probe {
             let target =
                 (0..TARGETS).find(|target| target_name(*target) == probed).expect("a target");
@@ -112,7 +115,7 @@
         let now: Timestamp = at(now_ms);
         for (_, target, grant) in running.extract_if(.., |(ends_ms, ..)| *ends_ms <= now_ms) {
             let answer = Observation::Answered(Some(reported(target, now_ms)));
-            let _ = fleet.dispatcher.learn(&grant, answer, now);
+            let _ = fleet.dispatcher.record_attempt(&grant, answer, now);
             fleet.dispatcher.release(grant, now);
         }
         if now_ms % 15 == 0 {
--- a/crates/thymeshift_dispatch/tests/rate_limits.rs
+++ b/crates/thymeshift_dispatch/tests/rate_limits.rs
@@ -56,8 +56,8 @@
     limit: Option<RequestRate>,
     time_ms: u64,
 ) {
-    let grant = dispatcher.grant_at(&target_name(index), None, at(time_ms)).expect("a grant");
-    dispatcher.learn_rate_limit(&grant, limit, at(time_ms + 1));
+    let grant = dispatcher.grant_target(&target_name(index), None, at(time_ms)).expect("a grant");
+    dispatcher.record_rate_limit(&grant, limit, at(time_ms + 1));
     dispatcher.release(grant, at(time_ms + 1));
 }
 
@@ -81,7 +81,7 @@
             let index =
                 (0..limits.len()).find(|index| target_name(*index) == target).expect("a target");
             sent.push((index, time_ms));
-            dispatcher.learn_rate_limit(&grant, limits[index], now + ms(5));
+            dispatcher.record_rate_limit(&grant, limits[index], now + ms(5));
             dispatcher.release(grant, now + ms(5));
         }
     }
@@ -140,7 +140,7 @@
     // A share of 1/100 of 3.4 requests per second is one send slot every 29.4 s.
     let limits = [Some(rate(3.4))];
     let mut dispatcher = fleet(1);
-    dispatcher.set_rate_share(RateShare::one_of(100));
+    dispatcher.set_rate_share(RateShare::equal(100));
     state_limit(&mut dispatcher, 0, limits[0], 0);
     assert!(
         send(&mut dispatcher, &limits, 10..29_000, &mut rng()).is_empty(),
@@ -171,7 +171,7 @@
         ];
         updates.shuffle(&mut SmallRng::seed_from_u64(seed));
         let mut dispatcher = fleet(1);
-        let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+        let grant = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
         for update in &updates {
             dispatcher.merge_rate_limit(&grant, update, at(2_000));
         }
@@ -186,29 +186,29 @@
 #[test]
 fn an_answer_ends_a_limit_only_if_its_request_was_sent_after_the_limit_was_stated() {
     let mut dispatcher = fleet(1);
-    let early = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+    let early = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
     state_limit(&mut dispatcher, 0, Some(rate(2.0)), 10);
     assert!(
-        !dispatcher.learn_rate_limit(&early, None, at(200)),
+        !dispatcher.record_rate_limit(&early, None, at(200)),
         "the target may have answered before it stated the limit"
     );
     assert_eq!(limit(&dispatcher, 200), Some(2.0));
-    let late = dispatcher.grant_at(&target_name(0), None, at(210)).expect("a grant");
-    assert!(dispatcher.learn_rate_limit(&late, None, at(300)));
+    let late = dispatcher.grant_target(&target_name(0), None, at(210)).expect("a grant");
+    assert!(dispatcher.record_rate_limit(&late, None, at(300)));
     assert_eq!(limit(&dispatcher, 300), None);
 }
 
 #[test]
 fn a_grant_made_without_the_limit_is_void() {
     let mut dispatcher = fleet(1);
-    let unaware = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+    let unaware = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
     assert!(dispatcher.may_send(&unaware, at(900), at(1)));
     state_limit(&mut dispatcher, 0, Some(rate(2.0)), 10);
     assert!(!dispatcher.may_send(&unaware, at(900), at(20)), "the limit is newer than the grant");
     let limit = RateLimitUpdate { per_1000_s: Some(2_000), age: Duration::ZERO };
-    let aware = dispatcher.grant_at(&target_name(0), Some(limit), at(30)).expect("a grant");
+    let aware = dispatcher.grant_target(&target_name(0), Some(limit), at(30)).expect("a grant");
     assert!(dispatcher.may_send(&aware, at(900), at(31)));
-    let unaware = dispatcher.grant_at(&target_name(0), None, at(40)).expect("a grant");
+    let unaware = dispatcher.grant_target(&target_name(0), None, at(40)).expect("a grant");
     assert!(!dispatcher.is_within_limit(&unaware), "the allocator did not know the limit");
 }
 
--- a/crates/thymeshift_dispatch/tests/restarted_targets.rs
+++ b/crates/thymeshift_dispatch/tests/restarted_targets.rs
@@ -58,8 +58,8 @@
         Case {
             state: "asked for a backoff",
             record: |dispatcher| {
-                let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
-                dispatcher.back_off(&grant, Duration::from_mins(1), at(0));
+                let grant = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
+                dispatcher.record_backoff(&grant, Duration::from_mins(1), at(0));
                 dispatcher.release(grant, at(0));
             },
         },
@@ -73,10 +73,11 @@
             state: "failed attempts",
             record: |dispatcher| {
                 for step in 0..20 {
-                    let Some(grant) = dispatcher.grant_at(&target_name(0), None, at(step)) else {
+                    let Some(grant) = dispatcher.grant_target(&target_name(0), None, at(step))
+                    else {
                         break;
                     };
-                    dispatcher.learn(&grant, Observation::Failed(None), at(step));
+                    dispatcher.record_attempt(&grant, Observation::Failed(None), at(step));
                     dispatcher.release(grant, at(step));
                 }
             },
@@ -84,21 +85,21 @@
         Case {
             state: "an unreachable address",
             record: |dispatcher| {
-                let grant = dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
-                dispatcher.learn(&grant, Observation::Unreachable, at(1));
+                let grant = dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
+                dispatcher.record_attempt(&grant, Observation::Unreachable, at(1));
                 dispatcher.release(grant, at(1));
             },
         },
         Case {
             state: "a high reported load",
             record: |dispatcher| {
-                dispatcher.learn_probe(&target_name(0), report(40, 40), at(1));
+                dispatcher.record_probe(&target_name(0), report(40, 40), at(1));
             },
         },
         Case {
             state: "cold for a minute",
             record: |dispatcher| {
-                dispatcher.learn_probe(&target_name(0), cold_report(60_000), at(1));
+                dispatcher.record_probe(&target_name(0), cold_report(60_000), at(1));
             },
         },
         Case {
@@ -107,7 +108,7 @@
                 // The grant is never released: the target ended, and so did the process that was
                 // granted the request.
                 let _unreleased =
-                    dispatcher.grant_at(&target_name(0), None, at(0)).expect("a grant");
+                    dispatcher.grant_target(&target_name(0), None, at(0)).expect("a grant");
             },
         },
     ];
@@ -135,8 +136,9 @@
 fn late_events_of_an_earlier_incarnation_do_not_change_the_next() {
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
-    let grants: Vec<_> =
-        (0..4).filter_map(|step| dispatcher.grant_at(&target_name(0), None, at(step))).collect();
+    let grants: Vec<_> = (0..4)
+        .filter_map(|step| dispatcher.grant_target(&target_name(0), None, at(step)))
+        .collect();
     assert!(!grants.is_empty());
     apply(&mut dispatcher, &restarted(&base, 2, None), 10);
     let before = first(&dispatcher, 11);
@@ -145,8 +147,8 @@
             !dispatcher.may_send(&grant, at(9_000), at(12)),
             "a grant of the earlier incarnation"
         );
-        dispatcher.learn(&grant, Observation::Broken, at(12));
-        dispatcher.learn(&grant, Observation::Unreachable, at(12));
+        dispatcher.record_attempt(&grant, Observation::Broken, at(12));
+        dispatcher.record_attempt(&grant, Observation::Unreachable, at(12));
         dispatcher.release(grant, at(13));
     }
     assert!(
@@ -185,7 +187,7 @@
     let base = configuration(TARGETS, TARGETS, "");
     let mut dispatcher = dispatcher(&base);
     for (step, incarnation) in [(100, 2), (400, 3), (900, 4)] {
-        let held = dispatcher.grant_at(&target_name(0), None, at(step)).expect("a grant");
+        let held = dispatcher.grant_target(&target_name(0), None, at(step)).expect("a grant");
         apply(&mut dispatcher, &restarted(&base, incarnation, None), step + 1);
         assert_eq!(first(&dispatcher, step + 2).incarnation, Incarnation::new(incarnation));
         dispatcher.release(held, at(step + 3));
--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -87,7 +87,7 @@
 impl<D: Dialect> Forward<D> {
     /// Forwards the request until there is an answer or nothing more may be tried.
     pub(crate) async fn run(&self, body: RequestBody) -> Result<Response<TargetBody>, Failure> {
-        self.service.received();
+        self.service.count_received();
         let mut tried = Tried::default();
         let mut attempts = 0;
         let mut given_up = 0;
@@ -125,7 +125,7 @@
             if failure.outcome != Outcome::NotRun {
                 begun = Some(Begun { failure, answer });
             }
-            self.kind.figures.retries.add_one();
+            self.kind.metrics.retries.add_one();
             body = again;
         }
     }
@@ -148,7 +148,7 @@
     /// One line for each attempt that brought no answer: whether there is another depends
     /// on it.
     fn log_attempt(&self, failure: &Failure, attempt: u64) {
-        if !self.shared.allows_request_line() {
+        if !self.shared.allows_request_log_line() {
             return;
         }
         let request_id = self.request_id.to_str().unwrap_or_default();
@@ -199,7 +199,7 @@
         let begun = BootClock.now();
         let obtained = self.service.obtain(&self.shared, self.request(tried)).await;
         if BootClock.now().since(begun) > WAITED_MIN {
-            self.kind.figures.waited.add_one();
+            self.kind.metrics.waited.add_one();
         }
         obtained.map_err(|refusal| match refusal {
             Some(refusal) => self.refused(refusal, Step::Choose),
@@ -219,7 +219,7 @@
             tried,
             excluded: Excluded::default(),
             origin: HallIndex::default(),
-            answer_kib: self.kind.figures.answer_kib(),
+            answer_kib: self.kind.metrics.answer_kib(),
         }
     }
 
@@ -250,7 +250,7 @@
             return first.await;
         };
         *attempts += 1;
-        self.kind.figures.retries.add_one();
+        self.kind.metrics.retries.add_one();
         let second = Box::pin(self.send(grant, copy, *attempts));
         // The first good answer counts; dropping the other attempt cancels it.
         let (failed, left) = match select(first, second).await {
--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use spdlog::info;
 use spdlog::warn;
-use thymeshift_fleet::Breadth;
+use thymeshift_fleet::GossipScope;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
 use thymeshift_wire::Document;
@@ -74,7 +74,7 @@
 /// compared with the source in the next call, long before this process counts as one that must
 /// know. Peers are asked a little earlier, because a call of the source has its price.
 async fn bootstrap_from_anybody<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
-    let mut in_force = shared.in_force.subscribe();
+    let mut in_force = shared.has_configuration.subscribe();
     tokio::select! {
         // An error would mean that this process is ending.
         _ = in_force.wait_for(|is_in_force| *is_in_force) => {}
@@ -110,7 +110,7 @@
     let now = BootClock.now();
     let mut is_probed = false;
     for service in &routing.services {
-        for group in service.divided_into() {
+        for group in service.target_groups() {
             let group = service.group(&group);
             if group.target_count() <= PROBED_ALONE_MAX {
                 group.expect_requests(now);
@@ -150,7 +150,7 @@
 
 /// Whether the first page of the source's list is not all of it.
 async fn is_list_long<E: Environment>(shared: &Shared, source: &SharedSource<E>) -> bool {
-    shared.figures.platform_calls.fetch_add(1, Ordering::Relaxed);
+    shared.metrics.platform_calls.fetch_add(1, Ordering::Relaxed);
     match source.lock().await.begin().await {
         Ok(beginning) => beginning == Beginning::Long,
         Err(error) => {
@@ -255,8 +255,8 @@
     let picked = {
         let members = &shared.fleet.lock().members;
         let rng = &mut rand::rng();
-        let mut picked = members.pick_informed(INFORMED_ASKED, rng);
-        let mut others = members.pick(PEERS_ASKED, now, rng);
+        let mut picked = members.pick_document_holders(INFORMED_ASKED, rng);
+        let mut others = members.pick_peers(PEERS_ASKED, now, rng);
         others.retain(|address| !picked.contains(address));
         picked.extend(others);
         picked.truncate(PEERS_ASKED);
@@ -264,7 +264,7 @@
     };
     let asked = picked.len();
     let exchanges =
-        picked.into_iter().map(|address| exchange_once(shared, address, Breadth::Regular));
+        picked.into_iter().map(|address| exchange_once(shared, address, GossipScope::Regular));
     let answered = join_all(exchanges).await.into_iter().flatten().count();
     Peers { asked, answered }
 }
--- a/crates/thymeshift_entry/src/target_client/probe.rs
+++ b/crates/thymeshift_entry/src/target_client/probe.rs
@@ -71,7 +71,7 @@
             if let Ok(Ended { subject, spent }) = ended
                 && let Some(share) = known.get_mut(&subject)
             {
-                share.share.settle(spent);
+                share.share.charge_overrun(spent);
             }
         }
         begin_due::<D>(&shared, &mut known, &mut probes);
@@ -147,9 +147,9 @@
     counter!(metric::PROBES, "service" => name.clone()).increment(1);
     counter!(metric::MEASURING_US, "service" => name).increment(counted_us);
     if let Ok(Some(report)) = answer
-        && let Some(mark) = service.learn_probe(&destination.name, report)
+        && let Some(mark) = service.record_probe(&destination.name, report)
     {
-        shared.note_leaving(&mark, "probe");
+        shared.record_leaving(&mark, "probe");
     }
     let subject = Subject { service: service.name().clone(), target: destination.name };
     Ended { subject, spent }
--- a/crates/thymeshift_fleet/src/lib.rs
+++ b/crates/thymeshift_fleet/src/lib.rs
@@ -3,12 +3,12 @@
 //!
 //! * [`Adoption`]: which published revision is in force; it never goes down.
 //! * [`History`] and [`Delta`]: what is sent to a process that runs an older revision.
-//! * [`WatchElection`]: who reads the platform, a few at a time, without an election.
+//! * [`WatcherSelection`]: who reads the platform, a few at a time, without an election.
 //! * [`LeavingRegister`]: targets that get no new work, sticky for each incarnation.
 //! * [`Members`]: who else is there, from direct evidence and passed-on heartbeats; all of the
 //!   own data hall, a few of every other.
 //! * [`Readers`]: who reads the source, a few at a time, by rank.
-//! * [`relay_place`]: how a document reaches all processes of a data hall.
+//! * [`relay_position`]: how a document reaches all processes of a data hall.
 //! * [`Quarantine`]: requests that crash the targets which run them.
 //! * [`Orders`]: operators' temporary orders, the same everywhere in any order of arrival.
 //!
@@ -20,13 +20,13 @@
 mod adoption;
 mod delta;
 mod digest;
+mod forwarding;
 mod history;
 mod leaving;
 mod member;
 mod members;
 mod orders;
 mod pace;
-mod passing_on;
 mod published;
 mod quarantine;
 mod rank;
@@ -36,12 +36,13 @@
 
 pub use adoption::Adoption;
 pub use adoption::Conflict;
-pub use adoption::Offer;
+pub use adoption::OfferOutcome;
 pub use adoption::Rejection;
 pub use delta::Delta;
 pub use delta::DeltaError;
 pub use digest::FleetDigest;
 pub use digest::MembersDigest;
+pub use forwarding::ForwardingFilter;
 pub use history::History;
 pub use history::Transfer;
 pub use leaving::LeavingRegister;
@@ -50,11 +51,11 @@
 pub use member::Member;
 pub use member::MemberDump;
 pub use member::Phase;
-pub use members::Asked;
-pub use members::Breadth;
+pub use members::GossipMember;
+pub use members::GossipScope;
 pub use members::Members;
-pub use members::Reach;
-pub use members::Told;
+pub use members::ReceivedSummary;
+pub use members::VisibleMembers;
 pub use orders::Order;
 pub use orders::OrderChange;
 pub use orders::OrderDraft;
@@ -62,7 +63,6 @@
 pub use orders::OrderSubject;
 pub use orders::Orders;
 pub use pace::ListPace;
-pub use passing_on::PassingOn;
 pub use published::Head;
 pub use published::Published;
 pub use quarantine::Crash;
@@ -72,14 +72,14 @@
 pub use quarantine::SuspectDump;
 pub use quarantine::SuspectReport;
 pub use quarantine::Verdict;
-pub use rank::Contender;
+pub use rank::Candidate;
 pub use rank::ranked;
-pub use readers::HallPlace;
+pub use readers::HallRank;
+pub use readers::ReadAction;
 pub use readers::Readers;
-pub use readers::Turn;
 pub use relay::FAN_OUT;
-pub use relay::RELAY_PATIENCE;
-pub use relay::RelayPlace;
-pub use relay::relay_place;
-pub use watch::WatchElection;
+pub use relay::RELAY_WAIT_LIMIT;
+pub use relay::RelayPosition;
+pub use relay::relay_position;
 pub use watch::Watcher;
+pub use watch::WatcherSelection;
--- a/crates/thymeshift_fleet/tests/readers.rs
+++ b/crates/thymeshift_fleet/tests/readers.rs
@@ -6,14 +6,14 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_fleet::Contender;
+use thymeshift_fleet::Candidate;
 use thymeshift_fleet::FAN_OUT;
-use thymeshift_fleet::HallPlace;
-use thymeshift_fleet::PassingOn;
+use thymeshift_fleet::ForwardingFilter;
+use thymeshift_fleet::HallRank;
+use thymeshift_fleet::ReadAction;
 use thymeshift_fleet::Readers;
-use thymeshift_fleet::Turn;
 use thymeshift_fleet::ranked;
-use thymeshift_fleet::relay_place;
+use thymeshift_fleet::relay_position;
 use thymeshift_types::Capacity;
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
@@ -34,13 +34,13 @@
     Timestamp::from_millis(1_000_000 + millis)
 }
 
-fn contender(vm: &VmName) -> Contender<'_> {
-    Contender { vm, capacity: Capacity::default() }
+fn contender(vm: &VmName) -> Candidate<'_> {
+    Candidate { vm, capacity: Capacity::default() }
 }
 
 /// Contacts of a data hall.
 const CONTACTS: usize = 8;
-const FIRST: HallPlace = HallPlace { before: 0, is_contact: true };
+const FIRST: HallRank = HallRank { rank: 0, is_contact: true };
 
 struct Process {
     readers: Readers,
@@ -63,7 +63,7 @@
 /// All processes in the order in which they are contacts of the only data hall.
 fn contact_order(count: usize) -> Vec<usize> {
     let members: Vec<VmName> = (0..count).map(vm).collect();
-    let before = |index: &usize| relay_place(&vm(*index), members.iter().map(contender)).before;
+    let before = |index: &usize| relay_position(&vm(*index), members.iter().map(contender)).rank;
     let mut order: Vec<usize> = (0..count).collect();
     order.sort_by_cached_key(before);
     order
@@ -105,7 +105,7 @@
                 for other in (0..count).filter(|other| *other != index && is_up(*other, now_ms)) {
                     // One heartbeat in twenty is lost.
                     if !rng.random_ratio(1, 20) {
-                        processes[other].readers.heard(&vm(index), is_good, at(now_ms));
+                        processes[other].readers.record_report(&vm(index), is_good, at(now_ms));
                     }
                 }
             }
@@ -115,14 +115,14 @@
             let alive: Vec<usize> =
                 order.iter().copied().filter(|other| is_up(*other, now_ms)).collect();
             let before = alive.iter().position(|other| *other == index).unwrap_or(0);
-            let place = HallPlace { before, is_contact: before < CONTACTS };
+            let place = HallRank { rank: before, is_contact: before < CONTACTS };
             let others = alive.iter().take(CONTACTS).filter(|other| **other != index);
             let others: Vec<VmName> = others.copied().map(vm).collect();
-            let contacts: Vec<Contender<'_>> = others.iter().map(contender).collect();
-            let hold_ms = match processes[index].readers.turn(&contacts, place, at(now_ms)) {
-                Turn::Watch => HOLD_MS,
-                Turn::Read => 4,
-                Turn::Rest(rest) => {
+            let contacts: Vec<Candidate<'_>> = others.iter().map(contender).collect();
+            let hold_ms = match processes[index].readers.next_action(&contacts, place, at(now_ms)) {
+                ReadAction::LongPoll => HOLD_MS,
+                ReadAction::Poll => 4,
+                ReadAction::Wait(rest) => {
                     let rest_ms = (rest.as_millis() as u64).clamp(STEP_MS, 250);
                     processes[index].next_look = now_ms + rest_ms;
                     continue;
@@ -220,12 +220,12 @@
 
 #[test]
 fn large_vms_go_first_and_equal_ones_share() {
-    let share = |processors| Capacity::of_processors(processors).expect("a capacity");
+    let share = |processors| Capacity::from_processors(processors).expect("a capacity");
     let members: Vec<(VmName, Capacity)> = (0..36)
         .map(|number| (vm(number), if number < 2 { share(0.5) } else { share(0.1) }))
         .collect();
     let first = |task: usize| {
-        let contenders = members.iter().map(|(vm, capacity)| Contender { vm, capacity: *capacity });
+        let contenders = members.iter().map(|(vm, capacity)| Candidate { vm, capacity: *capacity });
         ranked(&format!("service-{task}"), contenders)[0].clone()
     };
     let large = (0..200).filter(|task| [vm(0), vm(1)].contains(&first(*task))).count();
@@ -238,15 +238,15 @@
 fn a_document_reaches_everybody_in_a_hall_over_a_tree() {
     for count in [1, 2, 5, 36, 200] {
         let members: Vec<VmName> = (0..count).map(vm).collect();
-        let place = |own: &VmName| relay_place(own, members.iter().map(contender));
+        let place = |own: &VmName| relay_position(own, members.iter().map(contender));
         let mut reached: Vec<VmName> =
-            members.iter().filter(|vm| place(vm).before == 0).cloned().collect();
+            members.iter().filter(|vm| place(vm).rank == 0).cloned().collect();
         assert_eq!(reached.len(), 1, "one fetches from the reader");
         let mut next = 0;
         while let Some(vm) = reached.get(next).cloned() {
-            let below = place(&vm).below;
-            assert!(below.len() <= FAN_OUT, "{vm} tells {}", below.len());
-            reached.extend(below);
+            let children = place(&vm).children;
+            assert!(children.len() <= FAN_OUT, "{vm} tells {}", children.len());
+            reached.extend(children);
             next += 1;
         }
         reached.sort();
@@ -273,20 +273,20 @@
     for Case { note, silent_ms, paused_ms, is_back } in cases {
         for own in [true, false] {
             let mut readers = Readers::new(vm(0), Capacity::default(), at(0));
-            readers.heard(&vm(1), true, at(1_000));
+            readers.record_report(&vm(1), true, at(1_000));
             readers.paused(Duration::from_millis(paused_ms));
             let answered = at(1_000 + silent_ms);
             if own {
                 readers.succeeded(answered);
             } else {
-                readers.heard(&vm(1), true, answered);
+                readers.record_report(&vm(1), true, answered);
             }
-            assert_eq!(readers.is_just_back(answered), is_back, "{note}, own call: {own}");
+            assert_eq!(readers.has_just_recovered(answered), is_back, "{note}, own call: {own}");
             let later = at(1_000 + silent_ms + 1_000);
-            readers.heard(&vm(1), true, later);
-            assert_eq!(readers.is_just_back(later), is_back, "{note}: still after a second");
+            readers.record_report(&vm(1), true, later);
+            assert_eq!(readers.has_just_recovered(later), is_back, "{note}: still after a second");
             let too_late = at(1_000 + silent_ms + 2_500);
-            assert!(!readers.is_just_back(too_late), "{note}: that ends");
+            assert!(!readers.has_just_recovered(too_late), "{note}: that ends");
         }
     }
 }
@@ -298,7 +298,7 @@
     let mut now = at(0);
     for _ in 0..6 {
         readers.failed(18, 0.5, now);
-        let Turn::Rest(rest) = readers.turn(&[], FIRST, now) else {
+        let ReadAction::Wait(rest) = readers.next_action(&[], FIRST, now) else {
             panic!("no pause after a failure");
         };
         rests.push(rest);
@@ -307,7 +307,7 @@
     assert!(rests.is_sorted(), "{rests:?}");
     assert!(rests[5] <= Duration::from_millis(2_500), "{rests:?}");
     readers.succeeded(now);
-    assert_eq!(readers.turn(&[], FIRST, now), Turn::Watch);
+    assert_eq!(readers.next_action(&[], FIRST, now), ReadAction::LongPoll);
 }
 
 #[test]
@@ -328,7 +328,7 @@
         Case { note: "again after a while", at_ms: 901, is_answered: true, heads: 2, is_due: true },
         Case { note: "a later failure", at_ms: 951, is_answered: false, heads: 2, is_due: true },
     ];
-    let mut passing_on = PassingOn::default();
+    let mut passing_on = ForwardingFilter::default();
     for Case { note, at_ms, is_answered, heads, is_due } in cases {
         assert_eq!(passing_on.is_due(is_answered, heads, at(at_ms)), is_due, "{note}");
     }
@@ -337,9 +337,9 @@
 #[test]
 fn the_first_of_a_hall_do_not_wait_long_for_each_other() {
     let members: Vec<VmName> = (0..80).map(vm).collect();
-    let place = |own: &VmName| relay_place(own, members.iter().map(contender));
+    let place = |own: &VmName| relay_position(own, members.iter().map(contender));
     let mut waits: Vec<(usize, Duration)> =
-        members.iter().map(|vm| (place(vm).before, place(vm).patience())).collect();
+        members.iter().map(|vm| (place(vm).rank, place(vm).wait_limit())).collect();
     waits.sort();
     assert_eq!(waits[0].1, Duration::ZERO, "the first does not wait");
     assert!(waits.windows(2).all(|pair| pair[0].1 <= pair[1].1), "{waits:?}");
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use thymeshift_allocation::Allocation;
-use thymeshift_allocation::Granted;
+use thymeshift_allocation::LeaseGrant;
 use thymeshift_allocation::LeaseKey;
 use thymeshift_allocation::LeaseReport;
 use thymeshift_dispatch::Decision;
@@ -46,7 +46,7 @@
             // Its callers go to another one.
             place = self.processes.len() - 1;
         }
-        self.processes[place].own.received();
+        self.processes[place].own.record_request();
         self.attempt(place, Call::new(self.now_ms));
     }
 
@@ -54,7 +54,7 @@
     fn attempt(&mut self, place: usize, call: Call) {
         let request = request(self.now(), call, WAIT_MS, Excluded::default());
         let own = &self.processes[place].own;
-        if own.beyond_backoffs(&request, self.now(), &mut self.rng).is_some() {
+        if own.backoff_refusal(&request, self.now(), &mut self.rng).is_some() {
             return self.scenario.ended(self.now_ms, Outcome::Refused);
         }
         if self.scenario.asks_allocators() {
@@ -101,7 +101,7 @@
         }
         let now = self.now();
         let own = &mut self.processes[place].own;
-        let names = own.backing_off(None, now);
+        let names = own.backing_off_targets(None, now);
         names.iter().filter_map(|name| own.index_of(name)).collect()
     }
 
@@ -119,7 +119,7 @@
         let state = self.processes[to].state(&self.configuration, &hall, now);
         let GroupState { dispatcher, allocator } = state;
         dispatcher.set_rate_share(share);
-        allocator.keep_only(&from, held, dispatcher, now);
+        allocator.release_unlisted(&from, held, dispatcher, now);
         let allocation = allocator.acquire(key, request, dispatcher, now, &mut self.rng);
         self.send(to, from, || Event::Told { to: from, number, allocation: allocation.clone() });
         self.wake(to);
@@ -146,13 +146,13 @@
         self.processes[place].answered_by(allocator);
     }
 
-    fn granted(&mut self, place: usize, number: u64, granted: &Granted) {
+    fn granted(&mut self, place: usize, number: u64, granted: &LeaseGrant) {
         let now = self.now();
         let process = &mut self.processes[place];
         let Some(asking) = process.asking.remove(&number) else {
             return;
         };
-        let granted_here = process.own.grant_at(&granted.target, granted.rate_limit, now);
+        let granted_here = process.own.grant_target(&granted.target, granted.rate_limit, now);
         let mut report = LeaseReport::default();
         if let Some(grant) = granted_here {
             if process.own.is_within_limit(&grant) {
@@ -250,7 +250,7 @@
         }
         match observation {
             Observation::Answered(_) => self.scenario.ended(self.now_ms, Outcome::Served),
-            _ if call.has_attempt() && self.processes[place].own.try_retry() => {
+            _ if call.has_attempt() && self.processes[place].own.try_spend_retry() => {
                 self.attempt(place, call.next(target));
             }
             _ => self.scenario.ended(self.now_ms, Outcome::RefusedByTarget),
--- a/crates/thymeshift_organisations/src/key_ring.rs
+++ b/crates/thymeshift_organisations/src/key_ring.rs
@@ -24,12 +24,12 @@
     }
 
     /// Whether requests need no key: there are no organisations.
-    pub fn is_open(&self) -> bool {
+    pub fn allows_anonymous(&self) -> bool {
         self.organisations.is_empty()
     }
 
     /// The organisation that holds a key.
-    pub fn holder(&self, digest: &KeyDigest) -> Option<&Organisation> {
+    pub fn owner(&self, digest: &KeyDigest) -> Option<&Organisation> {
         self.organisations.get(*self.holders.get(digest)?)
     }
 
