--- a/crates/thymeshift_dispatch/tests/elapsed_time.rs
+++ b/crates/thymeshift_dispatch/tests/elapsed_time.rs
@@ -17,9 +17,9 @@
     tried_ms: u64,
 }
 
-fn check(patience: &mut ElapsedTimeEstimator, cases: &[Case]) {
+fn check(estimator: &mut ElapsedTimeEstimator, cases: &[Case]) {
     for Case { note, stated_ms, tried_ms } in cases {
-        let tried = patience.clone().estimate(ms(*stated_ms));
+        let tried = estimator.clone().estimate(ms(*stated_ms));
         let expected = ms(*tried_ms);
         // A usual wait decays slightly between two callers that state it.
         assert!(tried.abs_diff(expected) <= ms(10), "{note}: {tried:?} and not {expected:?}");
@@ -28,10 +28,10 @@
 
 #[test]
 fn the_time_already_spent_is_the_usual_wait_minus_the_stated_wait() {
-    let mut patience = ElapsedTimeEstimator::default();
-    assert_eq!(patience.estimate(ms(4_000)), Duration::ZERO, "the first caller");
+    let mut estimator = ElapsedTimeEstimator::default();
+    assert_eq!(estimator.estimate(ms(4_000)), Duration::ZERO, "the first caller");
     check(
-        &mut patience,
+        &mut estimator,
         &[
             Case { note: "a first attempt", stated_ms: 4_000, tried_ms: 0 },
             Case { note: "a first attempt with a slow connection", stated_ms: 3_982, tried_ms: 0 },
@@ -45,13 +45,13 @@
 
 #[test]
 fn callers_that_always_state_a_shorter_wait_count_as_first_attempts() {
-    let mut patience = ElapsedTimeEstimator::default();
+    let mut estimator = ElapsedTimeEstimator::default();
     for _ in 0..400 {
-        patience.estimate(ms(1_000));
-        patience.estimate(ms(4_000));
+        estimator.estimate(ms(1_000));
+        estimator.estimate(ms(4_000));
     }
     check(
-        &mut patience,
+        &mut estimator,
         &[
             Case { note: "a short wait", stated_ms: 1_000, tried_ms: 0 },
             Case { note: "a long wait", stated_ms: 4_000, tried_ms: 0 },
@@ -63,25 +63,25 @@
 
 #[test]
 fn the_waits_of_retries_after_an_outage_do_not_become_usual() {
-    let mut patience = ElapsedTimeEstimator::default();
+    let mut estimator = ElapsedTimeEstimator::default();
     for step in 0..40 {
-        patience.estimate(ms(3_310 + step % 5));
+        estimator.estimate(ms(3_310 + step % 5));
         if step % 4 == 0 {
-            patience.estimate(ms(4_000));
+            estimator.estimate(ms(4_000));
         }
     }
     check(
-        &mut patience,
+        &mut estimator,
         &[Case { note: "a retry after the outage", stated_ms: 3_312, tried_ms: 688 }],
     );
 }
 
 #[test]
 fn a_wait_that_no_caller_states_any_more_is_forgotten() {
-    let mut patience = ElapsedTimeEstimator::default();
-    patience.estimate(ms(60_000));
+    let mut estimator = ElapsedTimeEstimator::default();
+    estimator.estimate(ms(60_000));
     for _ in 0..20_000 {
-        patience.estimate(ms(4_000));
+        estimator.estimate(ms(4_000));
     }
-    check(&mut patience, &[Case { note: "the usual wait", stated_ms: 4_000, tried_ms: 0 }]);
+    check(&mut estimator, &[Case { note: "the usual wait", stated_ms: 4_000, tried_ms: 0 }]);
 }
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -24,12 +24,12 @@
 /// Number of requests in one second; they arrive 5 ms apart.
 const REQUESTS: u64 = 200;
 
-/// Dispatcher of the process that allocates the hall's targets to the fleet. `is_backed` states
+/// Dispatcher of the process that allocates the hall's targets to the fleet. `can_overflow` states
 /// whether other halls can take requests of the service.
-fn allocating(is_backed: bool) -> TestDispatcher {
+fn allocating(can_overflow: bool) -> TestDispatcher {
     let mut dispatcher = dispatcher(&configuration(TARGETS, TARGETS, ""));
     dispatcher.set_view(View::Fleet);
-    dispatcher.set_can_overflow(is_backed);
+    dispatcher.set_can_overflow(can_overflow);
     dispatcher
 }
 
