--- a/crates/thymeshift_lab/src/replay.rs
+++ b/crates/thymeshift_lab/src/replay.rs
@@ -5,7 +5,7 @@
 
 mod backoffs;
 mod crashes;
-mod events;
+mod event_queue;
 mod fleet;
 mod limits;
 mod quotas;
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -25,7 +25,7 @@
 use crate::replay::crashes::CrashPattern;
 use crate::replay::crashes::CrashPolicy;
 use crate::replay::crashes::CrashResult;
-use crate::replay::events::Events;
+use crate::replay::event_queue::Events;
 
 /// The deployment of the model: the roster look-ups.
 const PROCESSES: usize = 13;
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -27,7 +27,7 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 
-use crate::replay::events::Events;
+use crate::replay::event_queue::Events;
 use crate::replay::fleet::asking::request;
 use crate::replay::fleet::process::GroupState;
 use crate::replay::fleet::process::Process;
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -15,7 +15,7 @@
 use thymeshift_organisations::TokenRequest;
 use thymeshift_types::Timestamp;
 
-use crate::replay::events::Events;
+use crate::replay::event_queue::Events;
 use crate::replay::quotas::Cut;
 use crate::replay::quotas::QuotaPattern;
 use crate::replay::quotas::QuotaPolicy;
