--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -25,7 +25,7 @@
 use crate::replay::crashes::CrashPattern;
 use crate::replay::crashes::CrashPolicy;
 use crate::replay::crashes::CrashResult;
-use crate::replay::event_queue::Events;
+use crate::replay::event_queue::EventQueue;
 
 /// The deployment of the model: the roster look-ups.
 const PROCESSES: usize = 13;
@@ -119,7 +119,7 @@
     policy: CrashPolicy,
     rng: SmallRng,
     now: Timestamp,
-    events: Events<Event>,
+    events: EventQueue<Event>,
     targets: Vec<Target>,
     processes: Vec<Quarantine>,
     runs: BTreeMap<u64, Run>,
@@ -139,7 +139,7 @@
             policy,
             rng: SmallRng::seed_from_u64(seed),
             now: Timestamp::default(),
-            events: Events::default(),
+            events: EventQueue::default(),
             targets: (0..TARGETS).map(|_| Target::default()).collect(),
             processes: vec![Quarantine::with_rules(policy.rules); PROCESSES],
             runs: BTreeMap::new(),
--- a/crates/thymeshift_lab/src/replay/event_queue.rs
+++ b/crates/thymeshift_lab/src/replay/event_queue.rs
@@ -5,18 +5,18 @@
 use thymeshift_types::Timestamp;
 
 /// Events in the order of their moments; those of one moment in the order in which they were added.
-pub(super) struct Events<E> {
+pub(super) struct EventQueue<E> {
     pending: BTreeMap<(Timestamp, u64), E>,
     added: u64,
 }
 
-impl<E> Default for Events<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         Self { pending: BTreeMap::new(), added: 0 }
     }
 }
 
-impl<E> Events<E> {
+impl<E> EventQueue<E> {
     pub(super) fn add(&mut self, at: Timestamp, event: E) {
         self.added += 1;
         self.pending.insert((at, self.added), event);
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -27,7 +27,7 @@
 use thymeshift_types::TargetName;
 use thymeshift_types::Timestamp;
 
-use crate::replay::event_queue::Events;
+use crate::replay::event_queue::EventQueue;
 use crate::replay::fleet::asking::request;
 use crate::replay::fleet::process::GroupState;
 use crate::replay::fleet::process::Process;
@@ -110,7 +110,7 @@
     halls: Vec<DataHallName>,
     processes: Vec<Process>,
     is_cut: Vec<bool>,
-    events: Events<Event<S::Answer>>,
+    events: EventQueue<Event<S::Answer>>,
     rng: SmallRng,
     now_ms: u64,
     next_number: u64,
@@ -136,7 +136,7 @@
             halls,
             configuration,
             is_cut,
-            events: Events::default(),
+            events: EventQueue::default(),
             rng,
             now_ms: 0,
             next_number: 0,
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -15,7 +15,7 @@
 use thymeshift_organisations::TokenRequest;
 use thymeshift_types::Timestamp;
 
-use crate::replay::event_queue::Events;
+use crate::replay::event_queue::EventQueue;
 use crate::replay::quotas::Cut;
 use crate::replay::quotas::QuotaPattern;
 use crate::replay::quotas::QuotaPolicy;
@@ -74,7 +74,7 @@
     /// The process of each caller.
     places: Vec<usize>,
     is_cut: Vec<bool>,
-    events: Events<Event>,
+    events: EventQueue<Event>,
     rng: SmallRng,
     next_number: u64,
     now_ms: u64,
@@ -101,7 +101,7 @@
             processes,
             places,
             is_cut,
-            events: Events::default(),
+            events: EventQueue::default(),
             rng,
             next_number: 0,
             now_ms: 0,
