--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -151,20 +151,20 @@
     }
 
     pub(super) fn play(mut self) -> CrashResult {
-        self.events.add(Timestamp::default(), Event::Innocent);
+        self.events.schedule(Timestamp::default(), Event::Innocent);
         if self.pattern.guilty_every.is_some() {
-            self.events.add(Timestamp::from_millis(5_000), Event::Guilty);
+            self.events.schedule(Timestamp::from_millis(5_000), Event::Guilty);
         }
         if self.pattern.rack_ends {
-            self.events.add(Timestamp::from_millis(10_000), Event::RackEnds);
+            self.events.schedule(Timestamp::from_millis(10_000), Event::RackEnds);
         }
         if self.pattern.all_killed {
-            self.events.add(Timestamp::from_millis(25_000), Event::AllKilled);
+            self.events.schedule(Timestamp::from_millis(25_000), Event::AllKilled);
         }
         for target in 0..TARGETS {
             self.plan_end(target);
         }
-        while let Some((at, event)) = self.events.next()
+        while let Some((at, event)) = self.events.pop()
             && at < DAY
         {
             self.now = at;
@@ -187,7 +187,7 @@
                 for target in 0..=TARGETS / 2 {
                     self.target_ends(target);
                 }
-                self.events.add(self.now + Duration::from_secs(10), Event::RackEnds);
+                self.events.schedule(self.now + Duration::from_secs(10), Event::RackEnds);
             }
             Event::AllKilled => {
                 self.killed_at = Some(self.now);
@@ -208,13 +208,13 @@
     fn plan_end(&mut self, target: usize) {
         if self.pattern.ends_per_s > 0.0 {
             let at = self.after(Duration::from_secs_f64(1.0 / self.pattern.ends_per_s));
-            self.events.add(at, Event::TargetEnds(target));
+            self.events.schedule(at, Event::TargetEnds(target));
         }
     }
 
     fn innocent(&mut self) {
         let next = self.after(Duration::from_secs_f64(1.0 / LOOKUPS_PER_S));
-        self.events.add(next, Event::Innocent);
+        self.events.schedule(next, Event::Innocent);
         self.counted += 1;
         let is_hot = self.rng.random_bool(HOT_SHARE);
         let number = if is_hot {
@@ -232,7 +232,7 @@
         let every = self.pattern.guilty_every.unwrap_or(Duration::from_secs(1));
         let next = self.after(every);
         if next < Timestamp::from_millis(50_000) {
-            self.events.add(next, Event::Guilty);
+            self.events.schedule(next, Event::Guilty);
         }
         self.send_in(GUILTY, true);
     }
@@ -251,7 +251,7 @@
         };
         let process = self.rng.random_range(0..PROCESSES);
         let again = Try { process, retries_left, attempts_left: ATTEMPTS_MAX, ..tried };
-        self.events.add(self.now + Duration::from_millis(CALLER_BACK_MS), Event::Arrives(again));
+        self.events.schedule(self.now + Duration::from_millis(CALLER_BACK_MS), Event::Arrives(again));
     }
 
     fn arrives(&mut self, tried: Try) {
@@ -276,7 +276,7 @@
         let run = Run { tried: Try { attempts_left, ..tried }, target, began_at: self.now };
         self.runs.insert(self.counted, run);
         self.targets[target].runs.push(self.counted);
-        self.events.add(self.now + work, Event::Ends(self.counted));
+        self.events.schedule(self.now + work, Event::Ends(self.counted));
         let third = self.guilty_crashes.get(CRASHES_ALLOWED - 1);
         let is_late = third.is_some_and(|at| self.now.since(*at) > KNOWN_AFTER)
             && self.killed_at.is_none_or(|at| self.now.since(at) > KNOWN_AFTER);
@@ -321,7 +321,7 @@
         let seen_at = self.now + Duration::from_millis(LOOK_MS);
         for number in std::mem::take(&mut target.runs) {
             if let Some(run) = self.runs.remove(&number) {
-                self.events.add(seen_at, Event::Lost(run, self.now));
+                self.events.schedule(seen_at, Event::Lost(run, self.now));
             }
         }
     }
@@ -357,7 +357,7 @@
         };
         let at = self.now + Duration::from_millis(MESSAGE_MS);
         for other in (0..PROCESSES).filter(|other| *other != process) {
-            self.events.add(at, Event::Told(other, told.clone()));
+            self.events.schedule(at, Event::Told(other, told.clone()));
         }
     }
 }
--- a/crates/thymeshift_lab/src/replay/event_queue.rs
+++ b/crates/thymeshift_lab/src/replay/event_queue.rs
@@ -17,12 +17,12 @@
 }
 
 impl<E> EventQueue<E> {
-    pub(super) fn add(&mut self, at: Timestamp, event: E) {
+    pub(super) fn schedule(&mut self, at: Timestamp, event: E) {
         self.added += 1;
         self.pending.insert((at, self.added), event);
     }
 
-    pub(super) fn next(&mut self) -> Option<(Timestamp, E)> {
+    pub(super) fn pop(&mut self) -> Option<(Timestamp, E)> {
         self.pending.pop_first().map(|((at, _), event)| (at, event))
     }
 }
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -154,7 +154,7 @@
 
     /// Plays the day. Returns the scenario, and how many messages processes sent to each other.
     pub(super) fn play(mut self) -> (S, usize) {
-        while let Some((at, event)) = self.events.next() {
+        while let Some((at, event)) = self.events.pop() {
             self.now_ms = at.as_micros() / 1_000;
             if self.now_ms >= DAY_MS {
                 break;
@@ -170,7 +170,7 @@
     }
 
     fn add(&mut self, after_ms: u64, event: Event<S::Answer>) {
-        self.events.add(self.now() + Duration::from_millis(after_ms), event);
+        self.events.schedule(self.now() + Duration::from_millis(after_ms), event);
     }
 
     fn next_call(&mut self) {
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -117,14 +117,14 @@
         if policy == QuotaPolicy::PartsByDemand {
             for from in 0..count {
                 let at = day.rng.random_range(0..TELL_EVERY_MS);
-                day.events.add(Timestamp::from_millis(at), Event::Tells { from });
+                day.events.schedule(Timestamp::from_millis(at), Event::Tells { from });
             }
         }
         day
     }
 
     pub(super) fn play(mut self) -> QuotaResult {
-        while let Some((at, event)) = self.events.next() {
+        while let Some((at, event)) = self.events.pop() {
             self.now_ms = at.as_micros() / 1_000;
             if self.now_ms >= DAY_MS {
                 break;
@@ -173,7 +173,7 @@
         let Ok(gaps) = Exp::new(per_s) else { return };
         let gap_ms = (gaps.sample(&mut self.rng) * 1_000.0).round() as u64;
         let at = Timestamp::from_millis(self.now_ms + gap_ms.clamp(1, DAY_MS));
-        self.events.add(at, Event::Arrives { caller });
+        self.events.schedule(at, Event::Arrives { caller });
     }
 
     /// Whether a message from one process to another gets there.
@@ -199,7 +199,7 @@
         let copies = if self.rng.random_bool(DOUBLED) { 2 } else { 1 };
         for _ in 0..copies {
             let late = self.rng.random_range(MESSAGE_MS);
-            self.events.add(self.now() + Duration::from_millis(late), event());
+            self.events.schedule(self.now() + Duration::from_millis(late), event());
         }
     }
 
@@ -296,10 +296,10 @@
         self.send_question(place);
         for again in ASKED_AGAIN_MS {
             let at = self.now() + Duration::from_millis(again);
-            self.events.add(at, Event::AsksAgain { at: place, number });
+            self.events.schedule(at, Event::AsksAgain { at: place, number });
         }
         let limit = Duration::from_millis(ANSWER_LIMIT_MS);
-        self.events.add(self.now() + limit, Event::TimedOut { at: place, number });
+        self.events.schedule(self.now() + limit, Event::TimedOut { at: place, number });
     }
 
     fn send_question(&mut self, from: usize) {
@@ -381,7 +381,7 @@
             }
         }
         let next = self.now() + Duration::from_millis(TELL_EVERY_MS);
-        self.events.add(next, Event::Tells { from });
+        self.events.schedule(next, Event::Tells { from });
     }
 
     fn part_by_demand(&mut self, place: usize) -> f64 {
