--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -12,7 +12,7 @@
 
 use crate::replay::backoffs::day::BackoffDay;
 use crate::replay::fleet::Trouble;
-use crate::replay::fleet::VirtualFleet;
+use crate::replay::fleet::SimulatedFleet;
 
 pub use policy::BackoffPolicy;
 
@@ -105,7 +105,7 @@
     let mut result = BackoffResult::default();
     for seed in 0..days {
         let day = BackoffDay::new(*pattern, policy);
-        let (day, messages) = VirtualFleet::new(day, processes, seed)?.play();
+        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.play();
         result.add(&day.result(messages));
     }
     Ok(result)
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -23,7 +23,7 @@
 use crate::replay::fleet::Outcome;
 use crate::replay::fleet::Scenario;
 use crate::replay::fleet::TARGETS;
-use crate::replay::fleet::VirtualFleet;
+use crate::replay::fleet::SimulatedFleet;
 use crate::replay::fleet::process::Asking;
 use crate::replay::fleet::process::GroupState;
 use crate::replay::fleet::process::Running;
@@ -38,7 +38,7 @@
 const WAIT_MS: u64 = 200;
 const DEADLINE_MS: u64 = 800;
 
-impl<S: Scenario> VirtualFleet<S> {
+impl<S: Scenario> SimulatedFleet<S> {
     pub(super) fn call(&mut self) {
         self.next_call();
         let mut place = self.rng.random_range(0..self.processes.len());
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -104,7 +104,7 @@
     Tick,
 }
 
-pub(super) struct VirtualFleet<S: Scenario> {
+pub(super) struct SimulatedFleet<S: Scenario> {
     scenario: S,
     configuration: Configuration,
     halls: Vec<DataHallName>,
@@ -118,7 +118,7 @@
     messages: usize,
 }
 
-impl<S: Scenario> VirtualFleet<S> {
+impl<S: Scenario> SimulatedFleet<S> {
     pub(super) fn new(scenario: S, count: usize, seed: u64) -> Result<Self, Mistakes> {
         let configuration = Configuration::parse(&configuration_text(count))?;
         let halls = configuration.data_halls.clone();
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -11,7 +11,7 @@
 use thymeshift_config::Mistakes;
 
 use crate::replay::fleet::Trouble;
-use crate::replay::fleet::VirtualFleet;
+use crate::replay::fleet::SimulatedFleet;
 use crate::replay::limits::day::LimitDay;
 
 pub use policy::LimitPolicy;
@@ -90,7 +90,7 @@
     let mut result = LimitResult::default();
     for seed in 0..days {
         let day = LimitDay::new(*pattern, policy);
-        let (day, messages) = VirtualFleet::new(day, processes, seed)?.play();
+        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.play();
         result.add(&day.result(messages));
     }
     Ok(result)
