--- a/crates/thymeshift_lab/src/replay.rs
+++ b/crates/thymeshift_lab/src/replay.rs
@@ -20,7 +20,7 @@
 pub use crashes::CrashResult;
 pub use crashes::crash_table;
 pub use crashes::replay_crashes;
-pub use fleet::Trouble;
+pub use fleet::FleetFault;
 pub use limits::LimitPattern;
 pub use limits::LimitPolicy;
 pub use limits::LimitResult;
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -18,7 +18,7 @@
 use crate::replay::fleet::Arrival;
 use crate::replay::fleet::Outcome;
 use crate::replay::fleet::Scenario;
-use crate::replay::fleet::Trouble;
+use crate::replay::fleet::FleetFault;
 use crate::replay::fleet::WORK_MS;
 
 /// Until a refusal is back at the process.
@@ -62,7 +62,7 @@
         self.pattern.calls_per_s
     }
 
-    fn trouble(&self) -> Trouble {
+    fn trouble(&self) -> FleetFault {
         self.pattern.trouble
     }
 
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -36,7 +36,7 @@
 pub(super) use scenario::Call;
 pub(super) use scenario::Outcome;
 pub(super) use scenario::Scenario;
-pub use scenario::Trouble;
+pub use scenario::FleetFault;
 
 pub(super) const TARGETS: usize = 7;
 /// Length of a day, in milliseconds.
@@ -181,7 +181,7 @@
 
     fn kill_or_start_first(&mut self) {
         let is_killed =
-            self.scenario.trouble() == Trouble::FirstKilled && KILLED_MS.contains(&self.now_ms);
+            self.scenario.trouble() == FleetFault::FirstKilled && KILLED_MS.contains(&self.now_ms);
         if is_killed && !self.is_killed {
             let hall = &self.halls[0];
             self.processes[0] = Process::new(&self.configuration, hall, View::Fallback, self.now());
@@ -192,7 +192,7 @@
 
     fn is_frozen(&self, place: usize) -> bool {
         place == 0
-            && self.scenario.trouble() == Trouble::FirstFrozen
+            && self.scenario.trouble() == FleetFault::FirstFrozen
             && FROZEN_MS.contains(&self.now_ms)
     }
 
@@ -202,8 +202,8 @@
         }
         let is_in_trouble = TROUBLE_MS.contains(&self.now_ms);
         match self.scenario.trouble() {
-            Trouble::CutOff if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
-            Trouble::TwoHallsCut if is_in_trouble => {
+            FleetFault::CutOff if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
+            FleetFault::TwoHallsCut if is_in_trouble => {
                 from % HALLS + to % HALLS != 1 || from % HALLS == to % HALLS
             }
             _ => true,
@@ -214,12 +214,12 @@
     fn hears_of(&self, at: usize, other: usize) -> bool {
         let patience = 1 + (self.processes.len().min(CONTENDERS_MAX) / MEMBERS_PER_PATIENCE) as u64;
         let is_silent = match self.scenario.trouble() {
-            Trouble::FirstKilled => self.is_killed && other == 0,
-            Trouble::CutOff => {
+            FleetFault::FirstKilled => self.is_killed && other == 0,
+            FleetFault::CutOff => {
                 let is_apart = self.is_cut[at] || self.is_cut[other];
                 is_apart && TROUBLE_MS.contains(&self.now_ms)
             }
-            Trouble::None | Trouble::FirstFrozen | Trouble::TwoHallsCut => false,
+            FleetFault::None | FleetFault::FirstFrozen | FleetFault::TwoHallsCut => false,
         };
         !is_silent || self.now_ms < TROUBLE_MS.start + SUSPECTED_MS * patience
     }
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -17,7 +17,7 @@
 
 /// What strikes the processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum FleetFault {
     /// Nothing but lost and doubled messages.
     None,
     /// The first allocator is killed, and starts again a second later.
@@ -77,7 +77,7 @@
 
     fn calls_per_s(&self) -> f64;
 
-    fn trouble(&self) -> Trouble;
+    fn trouble(&self) -> FleetFault;
 
     /// How processes decide by themselves.
     fn lone_view(&self) -> View {
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -15,7 +15,7 @@
 use crate::replay::fleet::Arrival;
 use crate::replay::fleet::Outcome;
 use crate::replay::fleet::Scenario;
-use crate::replay::fleet::Trouble;
+use crate::replay::fleet::FleetFault;
 use crate::replay::fleet::WORK_MS;
 use crate::replay::limits::LimitPattern;
 use crate::replay::limits::LimitPolicy;
@@ -50,7 +50,7 @@
         self.pattern.calls_per_s
     }
 
-    fn trouble(&self) -> Trouble {
+    fn trouble(&self) -> FleetFault {
         self.pattern.trouble
     }
 
