--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -32,7 +32,7 @@
     /// Calls a second at all processes together.
     pub calls_per_s: f64,
     /// What strikes in seconds 10 to 16.
-    pub trouble: FleetFault,
+    pub fault: FleetFault,
 }
 
 /// What came of a pattern, over all days.
@@ -136,7 +136,7 @@
         backoff_ms: 3_000,
         is_partial: false,
         calls_per_s: 72.0,
-        trouble: FleetFault::None,
+        fault: FleetFault::None,
     };
     /// The same at two thirds of what all targets can do.
     pub const BUSY: Self =
@@ -152,8 +152,8 @@
         Self { name: "two, some processes", is_partial: true, ..Self::TWO },
         Self { name: "four", refusing: 4, ..Self::TWO },
         Self { name: "all", refusing: 7, ..Self::TWO },
-        Self { name: "two, first killed", trouble: FleetFault::FirstKilled, ..Self::TWO },
-        Self { name: "two, third cut off", trouble: FleetFault::CutOff, ..Self::TWO },
+        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO },
+        Self { name: "two, third cut off", fault: FleetFault::CutOff, ..Self::TWO },
         Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO },
         Self::BUSY,
         Self { name: "busy, for a moment", refusing_ms: 50, ..Self::BUSY },
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -62,8 +62,8 @@
         self.pattern.calls_per_s
     }
 
-    fn trouble(&self) -> FleetFault {
-        self.pattern.trouble
+    fn fault(&self) -> FleetFault {
+        self.pattern.fault
     }
 
     fn names_excluded(&self) -> bool {
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -181,7 +181,7 @@
 
     fn kill_or_start_first(&mut self) {
         let is_killed =
-            self.scenario.trouble() == FleetFault::FirstKilled && KILLED_MS.contains(&self.now_ms);
+            self.scenario.fault() == FleetFault::FirstKilled && KILLED_MS.contains(&self.now_ms);
         if is_killed && !self.is_killed {
             let hall = &self.halls[0];
             self.processes[0] = Process::new(&self.configuration, hall, View::Fallback, self.now());
@@ -192,7 +192,7 @@
 
     fn is_frozen(&self, place: usize) -> bool {
         place == 0
-            && self.scenario.trouble() == FleetFault::FirstFrozen
+            && self.scenario.fault() == FleetFault::FirstFrozen
             && FROZEN_MS.contains(&self.now_ms)
     }
 
@@ -201,7 +201,7 @@
             return false;
         }
         let is_in_trouble = TROUBLE_MS.contains(&self.now_ms);
-        match self.scenario.trouble() {
+        match self.scenario.fault() {
             FleetFault::CutOff if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
             FleetFault::TwoHallsCut if is_in_trouble => {
                 from % HALLS + to % HALLS != 1 || from % HALLS == to % HALLS
@@ -213,7 +213,7 @@
     /// Whether heartbeats of `other` reach `at`, directly or not.
     fn hears_of(&self, at: usize, other: usize) -> bool {
         let patience = 1 + (self.processes.len().min(CONTENDERS_MAX) / MEMBERS_PER_PATIENCE) as u64;
-        let is_silent = match self.scenario.trouble() {
+        let is_silent = match self.scenario.fault() {
             FleetFault::FirstKilled => self.is_killed && other == 0,
             FleetFault::CutOff => {
                 let is_apart = self.is_cut[at] || self.is_cut[other];
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -77,7 +77,7 @@
 
     fn calls_per_s(&self) -> f64;
 
-    fn trouble(&self) -> FleetFault;
+    fn fault(&self) -> FleetFault;
 
     /// How processes decide by themselves.
     fn lone_view(&self) -> View {
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -28,7 +28,7 @@
     /// Calls a second at all processes together.
     pub calls_per_s: f64,
     /// What strikes in seconds 10 to 16.
-    pub trouble: FleetFault,
+    pub fault: FleetFault,
     /// By what the limits are multiplied from second 12 on; 0 ends the need.
     pub changed_by: f64,
 }
@@ -119,7 +119,7 @@
         needy: 2,
         limit_per_s: 3.4,
         calls_per_s: 72.0,
-        trouble: FleetFault::None,
+        fault: FleetFault::None,
         changed_by: 1.0,
     };
     /// All in need, with more calls than they take.
@@ -131,16 +131,16 @@
         Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO },
         Self { name: "two, 1.5 a second", limit_per_s: 1.5, ..Self::TWO },
         Self { name: "two, 50 a second", limit_per_s: 50.0, calls_per_s: 400.0, ..Self::TWO },
-        Self { name: "two, first killed", trouble: FleetFault::FirstKilled, ..Self::TWO },
-        Self { name: "two, first frozen", trouble: FleetFault::FirstFrozen, ..Self::TWO },
-        Self { name: "two, third cut off", trouble: FleetFault::CutOff, ..Self::TWO },
-        Self { name: "two, two halls cut", trouble: FleetFault::TwoHallsCut, ..Self::TWO },
+        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO },
+        Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO },
+        Self { name: "two, third cut off", fault: FleetFault::CutOff, ..Self::TWO },
+        Self { name: "two, two halls cut", fault: FleetFault::TwoHallsCut, ..Self::TWO },
         Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO },
         Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO },
         Self::ALL_NEEDY,
-        Self { name: "all, first killed", trouble: FleetFault::FirstKilled, ..Self::ALL_NEEDY },
-        Self { name: "all, third cut off", trouble: FleetFault::CutOff, ..Self::ALL_NEEDY },
-        Self { name: "all, two halls cut", trouble: FleetFault::TwoHallsCut, ..Self::ALL_NEEDY },
+        Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_NEEDY },
+        Self { name: "all, third cut off", fault: FleetFault::CutOff, ..Self::ALL_NEEDY },
+        Self { name: "all, two halls cut", fault: FleetFault::TwoHallsCut, ..Self::ALL_NEEDY },
         Self { name: "all, lowered to a third", changed_by: 1.0 / 3.0, ..Self::ALL_NEEDY },
     ];
 }
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -50,8 +50,8 @@
         self.pattern.calls_per_s
     }
 
-    fn trouble(&self) -> FleetFault {
-        self.pattern.trouble
+    fn fault(&self) -> FleetFault {
+        self.pattern.fault
     }
 
     fn lone_view(&self) -> View {
