--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -153,7 +153,7 @@
         Self { name: "four", refusing: 4, ..Self::TWO },
         Self { name: "all", refusing: 7, ..Self::TWO },
         Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO },
-        Self { name: "two, third cut off", fault: FleetFault::CutOff, ..Self::TWO },
+        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO },
         Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO },
         Self::BUSY,
         Self { name: "busy, for a moment", refusing_ms: 50, ..Self::BUSY },
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -202,7 +202,7 @@
         }
         let is_in_trouble = TROUBLE_MS.contains(&self.now_ms);
         match self.scenario.fault() {
-            FleetFault::CutOff if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
+            FleetFault::Isolated if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
             FleetFault::TwoHallsCut if is_in_trouble => {
                 from % HALLS + to % HALLS != 1 || from % HALLS == to % HALLS
             }
@@ -215,7 +215,7 @@
         let patience = 1 + (self.processes.len().min(CONTENDERS_MAX) / MEMBERS_PER_PATIENCE) as u64;
         let is_silent = match self.scenario.fault() {
             FleetFault::FirstKilled => self.is_killed && other == 0,
-            FleetFault::CutOff => {
+            FleetFault::Isolated => {
                 let is_apart = self.is_cut[at] || self.is_cut[other];
                 is_apart && TROUBLE_MS.contains(&self.now_ms)
             }
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -25,7 +25,7 @@
     /// The first allocator stands still for three seconds.
     FirstFrozen,
     /// A third of the processes, the first two allocators not among them, reach no other one.
-    CutOff,
+    Isolated,
     /// Two data halls cannot reach each other; a third one reaches both.
     TwoHallsCut,
 }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -155,7 +155,7 @@
             assert!(!callers_wait || result.used_share() >= USED_MIN, "{note}");
         }
     }
-    let cut = LimitPattern { fault: FleetFault::CutOff, ..LimitPattern::ALL_NEEDY };
+    let cut = LimitPattern { fault: FleetFault::Isolated, ..LimitPattern::ALL_NEEDY };
     let result = play_limits(&cut, LimitPolicy::Allocated, 1_000);
     assert!(result.worst_window <= 1.0, "1,000 processes: {result}");
 }
