--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -203,7 +203,7 @@
         let is_in_trouble = TROUBLE_MS.contains(&self.now_ms);
         match self.scenario.fault() {
             FleetFault::Isolated if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
-            FleetFault::TwoHallsCut if is_in_trouble => {
+            FleetFault::TwoHallsPartitioned if is_in_trouble => {
                 from % HALLS + to % HALLS != 1 || from % HALLS == to % HALLS
             }
             _ => true,
@@ -219,7 +219,7 @@
                 let is_apart = self.is_cut[at] || self.is_cut[other];
                 is_apart && TROUBLE_MS.contains(&self.now_ms)
             }
-            FleetFault::None | FleetFault::FirstFrozen | FleetFault::TwoHallsCut => false,
+            FleetFault::None | FleetFault::FirstFrozen | FleetFault::TwoHallsPartitioned => false,
         };
         !is_silent || self.now_ms < TROUBLE_MS.start + SUSPECTED_MS * patience
     }
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -27,7 +27,7 @@
     /// A third of the processes, the first two allocators not among them, reach no other one.
     Isolated,
     /// Two data halls cannot reach each other; a third one reaches both.
-    TwoHallsCut,
+    TwoHallsPartitioned,
 }
 
 /// A request that arrives at a target.
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -134,13 +134,13 @@
         Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO },
         Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO },
         Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO },
-        Self { name: "two, two halls cut", fault: FleetFault::TwoHallsCut, ..Self::TWO },
+        Self { name: "two, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::TWO },
         Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO },
         Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO },
         Self::ALL_NEEDY,
         Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_NEEDY },
         Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_NEEDY },
-        Self { name: "all, two halls cut", fault: FleetFault::TwoHallsCut, ..Self::ALL_NEEDY },
+        Self { name: "all, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::ALL_NEEDY },
         Self { name: "all, lowered to a third", changed_by: 1.0 / 3.0, ..Self::ALL_NEEDY },
     ];
 }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -166,7 +166,7 @@
 fn other_policies_exceed_the_limits_or_leave_them_unused() {
     let unread = play_limits(&LimitPattern::TWO, LimitPolicy::Unread, 13);
     assert!(unread.worst_window > 2.0, "{unread}");
-    let cut = LimitPattern { fault: FleetFault::TwoHallsCut, ..LimitPattern::ALL_NEEDY };
+    let cut = LimitPattern { fault: FleetFault::TwoHallsPartitioned, ..LimitPattern::ALL_NEEDY };
     let whole = play_limits(&cut, LimitPolicy::EachWhole, 13);
     assert!(whole.worst_window > 1.0, "{whole}");
     let equal = play_limits(&LimitPattern::ALL_NEEDY, LimitPolicy::EqualParts, 117);
