--- a/crates/thymeshift_lab/src/replay.rs
+++ b/crates/thymeshift_lab/src/replay.rs
@@ -26,7 +26,7 @@
 pub use limits::LimitResult;
 pub use limits::limit_table;
 pub use limits::replay_limits;
-pub use quotas::Cut;
+pub use quotas::Partition;
 pub use quotas::QuotaPattern;
 pub use quotas::QuotaPolicy;
 pub use quotas::QuotaResult;
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -16,7 +16,7 @@
 use thymeshift_types::Timestamp;
 
 use crate::replay::event_queue::EventQueue;
-use crate::replay::quotas::Cut;
+use crate::replay::quotas::Partition;
 use crate::replay::quotas::QuotaPattern;
 use crate::replay::quotas::QuotaPolicy;
 use crate::replay::quotas::QuotaResult;
@@ -92,7 +92,7 @@
         let processes = (0..count).map(|_| Process::new(count, start)).collect();
         let places = (0..CALLERS).map(|_| rng.random_range(0..count)).collect();
         // The first two rank first as counters; the cut leaves them together.
-        let cut_off = if let Cut::Processes(part) = pattern.cut { part } else { 0.0 };
+        let cut_off = if let Partition::Processes(part) = pattern.cut { part } else { 0.0 };
         let is_cut = (0..count).map(|place| place > 1 && rng.random_bool(cut_off));
         let is_cut = is_cut.collect();
         let mut day = Self {
@@ -183,11 +183,11 @@
         }
         let is_between = from % HALLS != to % HALLS && from % HALLS + to % HALLS == 1;
         match self.pattern.cut {
-            Cut::Processes(_) if CUT_MS.contains(&self.now_ms) => {
+            Partition::Processes(_) if CUT_MS.contains(&self.now_ms) => {
                 !self.is_cut[from] && !self.is_cut[to]
             }
-            Cut::TwoHalls if CUT_MS.contains(&self.now_ms) => !is_between,
-            Cut::None | Cut::Processes(_) | Cut::TwoHalls => true,
+            Partition::TwoHalls if CUT_MS.contains(&self.now_ms) => !is_between,
+            Partition::None | Partition::Processes(_) | Partition::TwoHalls => true,
         }
     }
 
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -7,7 +7,7 @@
 use thymeshift_lab::replay::CrashPattern;
 use thymeshift_lab::replay::CrashPolicy;
 use thymeshift_lab::replay::CrashResult;
-use thymeshift_lab::replay::Cut;
+use thymeshift_lab::replay::Partition;
 use thymeshift_lab::replay::LimitPattern;
 use thymeshift_lab::replay::LimitPolicy;
 use thymeshift_lab::replay::LimitResult;
@@ -132,7 +132,7 @@
 /// exceeds it.
 #[test]
 fn two_counters_that_each_hand_out_all_exceed_the_limit() {
-    let cut = QuotaPattern { cut: Cut::TwoHalls, ..QuotaPattern::HOT };
+    let cut = QuotaPattern { cut: Partition::TwoHalls, ..QuotaPattern::HOT };
     let result = play_quota(&cut, QuotaPolicy::EachWhole, 117);
     assert!(result.worst_window > 1.25, "{result}");
 }
