--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -20,7 +20,7 @@
     /// By how much demand exceeds the usual in seconds 8 to 20.
     pub hot: f64,
     /// Who cannot reach whom in seconds 10 to 16, while callers reach all.
-    pub cut: Partition,
+    pub partition: Partition,
     /// Whether the counting process is killed at second 10, and is back a second later.
     pub counter_killed: bool,
     /// Whether the limit is a third from second 12 on.
@@ -130,7 +130,7 @@
     pub const CALM: Self = Self {
         name: "calm",
         hot: 1.0,
-        cut: Partition::None,
+        partition: Partition::None,
         counter_killed: false,
         lowered: false,
         moves: false,
@@ -140,13 +140,13 @@
     /// All patterns.
     pub const ALL: [Self; 10] = [
         Self::CALM,
-        Self { name: "calm, cut off", cut: Partition::Processes(0.35), ..Self::CALM },
+        Self { name: "calm, cut off", partition: Partition::Processes(0.35), ..Self::CALM },
         Self { name: "calm, counter killed", counter_killed: true, ..Self::CALM },
         Self { name: "calm, callers move", moves: true, ..Self::CALM },
-        Self { name: "calm, halls cut", cut: Partition::TwoHalls, ..Self::CALM },
+        Self { name: "calm, halls cut", partition: Partition::TwoHalls, ..Self::CALM },
         Self::HOT,
-        Self { name: "hot, halls cut", cut: Partition::TwoHalls, ..Self::HOT },
-        Self { name: "hot, cut off", cut: Partition::Processes(0.35), ..Self::HOT },
+        Self { name: "hot, halls cut", partition: Partition::TwoHalls, ..Self::HOT },
+        Self { name: "hot, cut off", partition: Partition::Processes(0.35), ..Self::HOT },
         Self { name: "hot, counter killed", counter_killed: true, ..Self::HOT },
         Self { name: "hot, limit lowered", lowered: true, moves: true, ..Self::HOT },
     ];
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -92,7 +92,7 @@
         let processes = (0..count).map(|_| Process::new(count, start)).collect();
         let places = (0..CALLERS).map(|_| rng.random_range(0..count)).collect();
         // The first two rank first as counters; the cut leaves them together.
-        let cut_off = if let Partition::Processes(part) = pattern.cut { part } else { 0.0 };
+        let cut_off = if let Partition::Processes(part) = pattern.partition { part } else { 0.0 };
         let is_cut = (0..count).map(|place| place > 1 && rng.random_bool(cut_off));
         let is_cut = is_cut.collect();
         let mut day = Self {
@@ -182,7 +182,7 @@
             return false;
         }
         let is_between = from % HALLS != to % HALLS && from % HALLS + to % HALLS == 1;
-        match self.pattern.cut {
+        match self.pattern.partition {
             Partition::Processes(_) if CUT_MS.contains(&self.now_ms) => {
                 !self.is_cut[from] && !self.is_cut[to]
             }
