--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -132,7 +132,7 @@
 /// exceeds it.
 #[test]
 fn two_counters_that_each_hand_out_all_exceed_the_limit() {
-    let cut = QuotaPattern { cut: Partition::TwoHalls, ..QuotaPattern::HOT };
+    let cut = QuotaPattern { partition: Partition::TwoHalls, ..QuotaPattern::HOT };
     let result = play_quota(&cut, QuotaPolicy::EachWhole, 117);
     assert!(result.worst_window > 1.25, "{result}");
 }
