--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -18,7 +18,7 @@
     /// What it is called in tables.
     pub name: &'static str,
     /// By how much demand exceeds the usual in seconds 8 to 20.
-    pub hot: f64,
+    pub demand_factor: f64,
     /// Who cannot reach whom in seconds 10 to 16, while callers reach all.
     pub partition: Partition,
     /// Whether the counting process is killed at second 10, and is back a second later.
@@ -129,14 +129,14 @@
     /// Demand below the limit, no trouble.
     pub const CALM: Self = Self {
         name: "calm",
-        hot: 1.0,
+        demand_factor: 1.0,
         partition: Partition::None,
         counter_killed: false,
         lowered: false,
         moves: false,
     };
     /// Demand far beyond the limit.
-    pub const HOT: Self = Self { name: "hot", hot: 7.5, ..Self::CALM };
+    pub const HOT: Self = Self { name: "hot", demand_factor: 7.5, ..Self::CALM };
     /// All patterns.
     pub const ALL: [Self; 10] = [
         Self::CALM,
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -169,7 +169,7 @@
 
     fn next_arrival(&mut self, caller: usize) {
         let is_hot = HOT_MS.contains(&self.now_ms);
-        let per_s = USUAL_PER_S / CALLERS as f64 * if is_hot { self.pattern.hot } else { 1.0 };
+        let per_s = USUAL_PER_S / CALLERS as f64 * if is_hot { self.pattern.demand_factor } else { 1.0 };
         let Ok(gaps) = Exp::new(per_s) else { return };
         let gap_ms = (gaps.sample(&mut self.rng) * 1_000.0).round() as u64;
         let at = Timestamp::from_millis(self.now_ms + gap_ms.clamp(1, DAY_MS));
@@ -254,7 +254,7 @@
         if is_admitted {
             self.admitted_ms.push(self.now_ms);
         }
-        let is_within = self.pattern.hot <= 1.0 && !self.pattern.lowered;
+        let is_within = self.pattern.demand_factor <= 1.0 && !self.pattern.lowered;
         self.result.within += usize::from(is_within);
         self.result.wrongly_refused += usize::from(is_within && !is_admitted);
     }
