--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -24,7 +24,7 @@
     /// Whether the counting process is killed at second 10, and is back a second later.
     pub counter_killed: bool,
     /// Whether the limit is a third from second 12 on.
-    pub lowered: bool,
+    pub limit_lowered: bool,
     /// Whether half of the callers move to other processes at second 14.
     pub moves: bool,
 }
@@ -132,7 +132,7 @@
         demand_factor: 1.0,
         partition: Partition::None,
         counter_killed: false,
-        lowered: false,
+        limit_lowered: false,
         moves: false,
     };
     /// Demand far beyond the limit.
@@ -148,6 +148,6 @@
         Self { name: "hot, halls cut", partition: Partition::TwoHalls, ..Self::HOT },
         Self { name: "hot, cut off", partition: Partition::Processes(0.35), ..Self::HOT },
         Self { name: "hot, counter killed", counter_killed: true, ..Self::HOT },
-        Self { name: "hot, limit lowered", lowered: true, moves: true, ..Self::HOT },
+        Self { name: "hot, limit lowered", limit_lowered: true, moves: true, ..Self::HOT },
     ];
 }
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -158,7 +158,7 @@
     }
 
     fn limit(&self) -> QuotaLimit {
-        if self.pattern.lowered && self.now_ms >= LOWERED_AT_MS {
+        if self.pattern.limit_lowered && self.now_ms >= LOWERED_AT_MS {
             return QuotaLimit {
                 rate_per_s: LIMIT.rate_per_s * LOWERED,
                 burst: LIMIT.burst * LOWERED,
@@ -254,7 +254,7 @@
         if is_admitted {
             self.admitted_ms.push(self.now_ms);
         }
-        let is_within = self.pattern.demand_factor <= 1.0 && !self.pattern.lowered;
+        let is_within = self.pattern.demand_factor <= 1.0 && !self.pattern.limit_lowered;
         self.result.within += usize::from(is_within);
         self.result.wrongly_refused += usize::from(is_within && !is_admitted);
     }
@@ -413,7 +413,7 @@
             let window = start..start + WINDOW_MS;
             let changes = LOWERED_AT_MS..LOWERED_AT_MS + IN_FORCE_MS;
             let is_mixed =
-                self.pattern.lowered && window.start < changes.end && changes.start < window.end;
+                self.pattern.limit_lowered && window.start < changes.end && changes.start < window.end;
             if is_mixed {
                 continue;
             }
@@ -430,7 +430,7 @@
     }
 
     fn limit_at(&self, at_ms: u64) -> QuotaLimit {
-        let is_lowered = self.pattern.lowered && at_ms >= LOWERED_AT_MS;
+        let is_lowered = self.pattern.limit_lowered && at_ms >= LOWERED_AT_MS;
         let part = if is_lowered { LOWERED } else { 1.0 };
         QuotaLimit { rate_per_s: LIMIT.rate_per_s * part, burst: LIMIT.burst * part }
     }
