--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -26,7 +26,7 @@
     /// Whether the limit is a third from second 12 on.
     pub limit_lowered: bool,
     /// Whether half of the callers move to other processes at second 14.
-    pub moves: bool,
+    pub callers_move: bool,
 }
 
 /// Which processes cannot reach each other.
@@ -133,7 +133,7 @@
         partition: Partition::None,
         counter_killed: false,
         limit_lowered: false,
-        moves: false,
+        callers_move: false,
     };
     /// Demand far beyond the limit.
     pub const HOT: Self = Self { name: "hot", demand_factor: 7.5, ..Self::CALM };
@@ -142,12 +142,12 @@
         Self::CALM,
         Self { name: "calm, cut off", partition: Partition::Processes(0.35), ..Self::CALM },
         Self { name: "calm, counter killed", counter_killed: true, ..Self::CALM },
-        Self { name: "calm, callers move", moves: true, ..Self::CALM },
+        Self { name: "calm, callers move", callers_move: true, ..Self::CALM },
         Self { name: "calm, halls cut", partition: Partition::TwoHalls, ..Self::CALM },
         Self::HOT,
         Self { name: "hot, halls cut", partition: Partition::TwoHalls, ..Self::HOT },
         Self { name: "hot, cut off", partition: Partition::Processes(0.35), ..Self::HOT },
         Self { name: "hot, counter killed", counter_killed: true, ..Self::HOT },
-        Self { name: "hot, limit lowered", limit_lowered: true, moves: true, ..Self::HOT },
+        Self { name: "hot, limit lowered", limit_lowered: true, callers_move: true, ..Self::HOT },
     ];
 }
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -142,7 +142,7 @@
 
     /// What strikes at this moment.
     fn trouble(&mut self) {
-        if self.pattern.moves && !self.has_moved && self.now_ms >= MOVE_AT_MS {
+        if self.pattern.callers_move && !self.has_moved && self.now_ms >= MOVE_AT_MS {
             self.has_moved = true;
             for place in self.places.iter_mut().step_by(2) {
                 *place = self.rng.random_range(0..self.processes.len());
