--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -50,7 +50,7 @@
     /// its burst included; on the worst day.
     pub worst_window: f64,
     /// Requests within the limit: all of days that stay below it.
-    pub within: usize,
+    pub requests_within_limit: usize,
     /// Of these, refused.
     pub wrongly_refused: usize,
     /// Requests admitted, and what the limit allowed while there was more demand than that.
@@ -66,7 +66,7 @@
 impl QuotaResult {
     /// Share of the requests within the limit that were refused.
     pub fn wrongly_refused_share(&self) -> f64 {
-        self.wrongly_refused as f64 / self.within.max(1) as f64
+        self.wrongly_refused as f64 / self.requests_within_limit.max(1) as f64
     }
 
     /// Part of the limit that was used while there was more demand.
@@ -77,7 +77,7 @@
     fn add(&mut self, day: &Self) {
         self.days += 1;
         self.worst_window = self.worst_window.max(day.worst_window);
-        self.within += day.within;
+        self.requests_within_limit += day.requests_within_limit;
         self.wrongly_refused += day.wrongly_refused;
         self.admitted_hot += day.admitted_hot;
         self.allowed_hot += day.allowed_hot;
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -255,7 +255,7 @@
             self.admitted_ms.push(self.now_ms);
         }
         let is_within = self.pattern.demand_factor <= 1.0 && !self.pattern.limit_lowered;
-        self.result.within += usize::from(is_within);
+        self.result.requests_within_limit += usize::from(is_within);
         self.result.wrongly_refused += usize::from(is_within && !is_admitted);
     }
 
