--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -54,7 +54,7 @@
     /// Of these, refused.
     pub wrongly_refused: usize,
     /// Requests admitted, and what the limit allowed while there was more demand than that.
-    pub admitted_hot: f64,
+    pub admitted_in_overload: f64,
     /// As above.
     pub allowed_hot: f64,
     /// Requests of all days.
@@ -71,7 +71,7 @@
 
     /// Part of the limit that was used while there was more demand.
     pub fn used_share(&self) -> f64 {
-        if self.allowed_hot > 0.0 { self.admitted_hot / self.allowed_hot } else { 1.0 }
+        if self.allowed_hot > 0.0 { self.admitted_in_overload / self.allowed_hot } else { 1.0 }
     }
 
     fn add(&mut self, day: &Self) {
@@ -79,7 +79,7 @@
         self.worst_window = self.worst_window.max(day.worst_window);
         self.requests_within_limit += day.requests_within_limit;
         self.wrongly_refused += day.wrongly_refused;
-        self.admitted_hot += day.admitted_hot;
+        self.admitted_in_overload += day.admitted_in_overload;
         self.allowed_hot += day.allowed_hot;
         self.requests += day.requests;
         self.messages += day.messages;
