--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -56,7 +56,7 @@
     /// Requests admitted, and what the limit allowed while there was more demand than that.
     pub admitted_in_overload: f64,
     /// As above.
-    pub allowed_hot: f64,
+    pub allowed_in_overload: f64,
     /// Requests of all days.
     pub requests: usize,
     /// Messages between processes.
@@ -71,7 +71,7 @@
 
     /// Part of the limit that was used while there was more demand.
     pub fn used_share(&self) -> f64 {
-        if self.allowed_hot > 0.0 { self.admitted_in_overload / self.allowed_hot } else { 1.0 }
+        if self.allowed_in_overload > 0.0 { self.admitted_in_overload / self.allowed_in_overload } else { 1.0 }
     }
 
     fn add(&mut self, day: &Self) {
@@ -80,7 +80,7 @@
         self.requests_within_limit += day.requests_within_limit;
         self.wrongly_refused += day.wrongly_refused;
         self.admitted_in_overload += day.admitted_in_overload;
-        self.allowed_hot += day.allowed_hot;
+        self.allowed_in_overload += day.allowed_in_overload;
         self.requests += day.requests;
         self.messages += day.messages;
     }
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -424,7 +424,7 @@
             let rate_alone = limit.rate_per_s * WINDOW_MS as f64 / 1_000.0;
             if count_in(&self.arrived_ms, &window) as f64 > allowed * 1.5 {
                 self.result.admitted_in_overload += admitted.min(rate_alone);
-                self.result.allowed_hot += rate_alone;
+                self.result.allowed_in_overload += rate_alone;
             }
         }
     }
