--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -20,7 +20,7 @@
     pub name: &'static str,
     /// Time between two arrivals of the guilty request in the mean, from second 5 to 50; none: there
     /// is no such request.
-    pub guilty_every: Option<Duration>,
+    pub guilty_interval: Option<Duration>,
     /// How often a target ends by itself, each second and target.
     pub ends_per_s: f64,
     /// Whether four of the seven targets end at one moment, each ten seconds.
@@ -117,20 +117,20 @@
     /// No trouble.
     pub const CALM: Self = Self {
         name: "calm",
-        guilty_every: None,
+        guilty_interval: None,
         ends_per_s: 0.0,
         rack_ends: false,
         all_killed: false,
     };
     /// A guilty request alone.
     pub const GUILTY: Self =
-        Self { name: "guilty", guilty_every: Some(Duration::from_millis(400)), ..Self::CALM };
+        Self { name: "guilty", guilty_interval: Some(Duration::from_millis(400)), ..Self::CALM };
     /// All patterns.
     pub const ALL: [Self; 6] = [
         Self::GUILTY,
         Self {
             name: "guilty, ten a second",
-            guilty_every: Some(Duration::from_millis(100)),
+            guilty_interval: Some(Duration::from_millis(100)),
             ..Self::CALM
         },
         Self { name: "guilty, all killed", all_killed: true, ..Self::GUILTY },
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -152,7 +152,7 @@
 
     pub(super) fn play(mut self) -> CrashResult {
         self.events.schedule(Timestamp::default(), Event::Innocent);
-        if self.pattern.guilty_every.is_some() {
+        if self.pattern.guilty_interval.is_some() {
             self.events.schedule(Timestamp::from_millis(5_000), Event::Guilty);
         }
         if self.pattern.rack_ends {
@@ -229,7 +229,7 @@
     }
 
     fn guilty(&mut self) {
-        let every = self.pattern.guilty_every.unwrap_or(Duration::from_secs(1));
+        let every = self.pattern.guilty_interval.unwrap_or(Duration::from_secs(1));
         let next = self.after(every);
         if next < Timestamp::from_millis(50_000) {
             self.events.schedule(next, Event::Guilty);
