--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -22,7 +22,7 @@
     /// is no such request.
     pub guilty_interval: Option<Duration>,
     /// How often a target ends by itself, each second and target.
-    pub ends_per_s: f64,
+    pub target_exits_per_s: f64,
     /// Whether four of the seven targets end at one moment, each ten seconds.
     pub rack_ends: bool,
     /// Whether all processes are killed in second 25, and know nothing afterwards.
@@ -118,7 +118,7 @@
     pub const CALM: Self = Self {
         name: "calm",
         guilty_interval: None,
-        ends_per_s: 0.0,
+        target_exits_per_s: 0.0,
         rack_ends: false,
         all_killed: false,
     };
@@ -134,9 +134,9 @@
             ..Self::CALM
         },
         Self { name: "guilty, all killed", all_killed: true, ..Self::GUILTY },
-        Self { name: "targets end by themselves", ends_per_s: 0.05, ..Self::CALM },
+        Self { name: "targets end by themselves", target_exits_per_s: 0.05, ..Self::CALM },
         Self { name: "racks end", rack_ends: true, ..Self::CALM },
-        Self { name: "all of these", ends_per_s: 0.05, rack_ends: true, ..Self::GUILTY },
+        Self { name: "all of these", target_exits_per_s: 0.05, rack_ends: true, ..Self::GUILTY },
     ];
 }
 
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -206,8 +206,8 @@
     }
 
     fn plan_end(&mut self, target: usize) {
-        if self.pattern.ends_per_s > 0.0 {
-            let at = self.after(Duration::from_secs_f64(1.0 / self.pattern.ends_per_s));
+        if self.pattern.target_exits_per_s > 0.0 {
+            let at = self.after(Duration::from_secs_f64(1.0 / self.pattern.target_exits_per_s));
             self.events.schedule(at, Event::TargetEnds(target));
         }
     }
