--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -24,7 +24,7 @@
     /// How often a target ends by itself, each second and target.
     pub target_exits_per_s: f64,
     /// Whether four of the seven targets end at one moment, each ten seconds.
-    pub rack_ends: bool,
+    pub racks_fail: bool,
     /// Whether all processes are killed in second 25, and know nothing afterwards.
     pub all_killed: bool,
 }
@@ -119,7 +119,7 @@
         name: "calm",
         guilty_interval: None,
         target_exits_per_s: 0.0,
-        rack_ends: false,
+        racks_fail: false,
         all_killed: false,
     };
     /// A guilty request alone.
@@ -135,8 +135,8 @@
         },
         Self { name: "guilty, all killed", all_killed: true, ..Self::GUILTY },
         Self { name: "targets end by themselves", target_exits_per_s: 0.05, ..Self::CALM },
-        Self { name: "racks end", rack_ends: true, ..Self::CALM },
-        Self { name: "all of these", target_exits_per_s: 0.05, rack_ends: true, ..Self::GUILTY },
+        Self { name: "racks end", racks_fail: true, ..Self::CALM },
+        Self { name: "all of these", target_exits_per_s: 0.05, racks_fail: true, ..Self::GUILTY },
     ];
 }
 
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -155,7 +155,7 @@
         if self.pattern.guilty_interval.is_some() {
             self.events.schedule(Timestamp::from_millis(5_000), Event::Guilty);
         }
-        if self.pattern.rack_ends {
+        if self.pattern.racks_fail {
             self.events.schedule(Timestamp::from_millis(10_000), Event::RackEnds);
         }
         if self.pattern.all_killed {
