--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -26,7 +26,7 @@
     /// Whether four of the seven targets end at one moment, each ten seconds.
     pub racks_fail: bool,
     /// Whether all processes are killed in second 25, and know nothing afterwards.
-    pub all_killed: bool,
+    pub processes_killed: bool,
 }
 
 /// How is decided.
@@ -120,7 +120,7 @@
         guilty_interval: None,
         target_exits_per_s: 0.0,
         racks_fail: false,
-        all_killed: false,
+        processes_killed: false,
     };
     /// A guilty request alone.
     pub const GUILTY: Self =
@@ -133,7 +133,7 @@
             guilty_interval: Some(Duration::from_millis(100)),
             ..Self::CALM
         },
-        Self { name: "guilty, all killed", all_killed: true, ..Self::GUILTY },
+        Self { name: "guilty, all killed", processes_killed: true, ..Self::GUILTY },
         Self { name: "targets end by themselves", target_exits_per_s: 0.05, ..Self::CALM },
         Self { name: "racks end", racks_fail: true, ..Self::CALM },
         Self { name: "all of these", target_exits_per_s: 0.05, racks_fail: true, ..Self::GUILTY },
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -158,7 +158,7 @@
         if self.pattern.racks_fail {
             self.events.schedule(Timestamp::from_millis(10_000), Event::RackEnds);
         }
-        if self.pattern.all_killed {
+        if self.pattern.processes_killed {
             self.events.schedule(Timestamp::from_millis(25_000), Event::AllKilled);
         }
         for target in 0..TARGETS {
