--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -48,7 +48,7 @@
     /// Days played.
     pub days: usize,
     /// Targets that the guilty request crashed.
-    pub crashed: usize,
+    pub crashed_targets: usize,
     /// Sends of it that reached a target later than allowed after the third crash, on the worst
     /// day.
     pub sent_late_worst: usize,
@@ -68,7 +68,7 @@
 
     fn add(&mut self, day: &Self) {
         self.days += 1;
-        self.crashed += day.crashed;
+        self.crashed_targets += day.crashed_targets;
         self.sent_late_worst = self.sent_late_worst.max(day.sent_late_worst);
         self.innocent += day.innocent;
         self.served += day.served;
@@ -78,10 +78,10 @@
 
 impl fmt::Display for CrashResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let crashed = self.crashed as f64 / self.days.max(1) as f64;
+        let crashed_targets = self.crashed_targets as f64 / self.days.max(1) as f64;
         let refused = self.innocent_refused as f64 / self.days.max(1) as f64;
         let served = self.served_share();
-        write!(f, "{crashed:>7.1} {:>9} {served:>8.4} {refused:>8.2}", self.sent_late_worst)
+        write!(f, "{crashed_targets:>7.1} {:>9} {served:>8.4} {refused:>8.2}", self.sent_late_worst)
     }
 }
 
