--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -299,7 +299,7 @@
             return;
         };
         if run.tried.is_guilty {
-            self.result.crashed += 1;
+            self.result.crashed_targets += 1;
             self.guilty_crashes.push(self.now);
             self.target_ends(run.target);
             return;
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -53,7 +53,7 @@
         assert_eq!(case.pattern, pattern.name);
         let result = play(pattern, &CrashPolicy::usual());
         let note = format!("{}: {result}", pattern.name);
-        assert!(result.crashed as f64 <= case.crashed_a_day_max * DAYS as f64, "{note}");
+        assert!(result.crashed_targets as f64 <= case.crashed_a_day_max * DAYS as f64, "{note}");
         assert!(result.sent_late_worst <= SENT_LATE_MAX, "{note}");
         assert!(result.served_share() >= case.served_min, "{note}");
         let refused = result.innocent_refused as f64 / result.innocent as f64;
@@ -66,7 +66,7 @@
 fn with_nothing_remembered_the_same_days_are_lost() {
     let forgetful = CrashPolicy { refuses: false, ..CrashPolicy::usual() };
     let result = play(&CrashPattern::GUILTY, &forgetful);
-    assert!(result.crashed as u64 > 30 * DAYS, "{result}");
+    assert!(result.crashed_targets as u64 > 30 * DAYS, "{result}");
     assert!(result.served_share() < 0.7, "{result}");
 }
 
