--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -53,7 +53,7 @@
     /// day.
     pub sent_late_worst: usize,
     /// Innocent requests.
-    pub innocent: usize,
+    pub innocent_requests: usize,
     /// Of these, served.
     pub served: usize,
     /// Of these, refused because they were taken for guilty.
@@ -63,14 +63,14 @@
 impl CrashResult {
     /// Share of innocent requests that were served.
     pub fn served_share(&self) -> f64 {
-        self.served as f64 / self.innocent.max(1) as f64
+        self.served as f64 / self.innocent_requests.max(1) as f64
     }
 
     fn add(&mut self, day: &Self) {
         self.days += 1;
         self.crashed_targets += day.crashed_targets;
         self.sent_late_worst = self.sent_late_worst.max(day.sent_late_worst);
-        self.innocent += day.innocent;
+        self.innocent_requests += day.innocent_requests;
         self.served += day.served;
         self.innocent_refused += day.innocent_refused;
     }
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -224,7 +224,7 @@
         };
         let mut bytes = [0; 16];
         bytes[8..].copy_from_slice(&number.to_be_bytes());
-        self.result.innocent += 1;
+        self.result.innocent_requests += 1;
         self.send_in(Fingerprint::from_bytes(bytes), false);
     }
 
