--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -55,7 +55,7 @@
     /// Innocent requests.
     pub innocent_requests: usize,
     /// Of these, served.
-    pub served: usize,
+    pub innocent_served: usize,
     /// Of these, refused because they were taken for guilty.
     pub innocent_refused: usize,
 }
@@ -63,7 +63,7 @@
 impl CrashResult {
     /// Share of innocent requests that were served.
     pub fn served_share(&self) -> f64 {
-        self.served as f64 / self.innocent_requests.max(1) as f64
+        self.innocent_served as f64 / self.innocent_requests.max(1) as f64
     }
 
     fn add(&mut self, day: &Self) {
@@ -71,7 +71,7 @@
         self.crashed_targets += day.crashed_targets;
         self.sent_late_worst = self.sent_late_worst.max(day.sent_late_worst);
         self.innocent_requests += day.innocent_requests;
-        self.served += day.served;
+        self.innocent_served += day.innocent_served;
         self.innocent_refused += day.innocent_refused;
     }
 }
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -306,7 +306,7 @@
         }
         self.runs.remove(&number);
         self.targets[run.target].runs.retain(|known| *known != number);
-        self.result.served += 1;
+        self.result.innocent_served += 1;
         let Try { fingerprint, process, .. } = run.tried;
         if self.processes[process].record_answer(fingerprint, self.now) {
             self.tell(process, fingerprint);
