--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -51,7 +51,7 @@
     pub crashed_targets: usize,
     /// Sends of it that reached a target later than allowed after the third crash, on the worst
     /// day.
-    pub sent_late_worst: usize,
+    pub late_sends_worst: usize,
     /// Innocent requests.
     pub innocent_requests: usize,
     /// Of these, served.
@@ -69,7 +69,7 @@
     fn add(&mut self, day: &Self) {
         self.days += 1;
         self.crashed_targets += day.crashed_targets;
-        self.sent_late_worst = self.sent_late_worst.max(day.sent_late_worst);
+        self.late_sends_worst = self.late_sends_worst.max(day.late_sends_worst);
         self.innocent_requests += day.innocent_requests;
         self.innocent_served += day.innocent_served;
         self.innocent_refused += day.innocent_refused;
@@ -81,7 +81,7 @@
         let crashed_targets = self.crashed_targets as f64 / self.days.max(1) as f64;
         let refused = self.innocent_refused as f64 / self.days.max(1) as f64;
         let served = self.served_share();
-        write!(f, "{crashed_targets:>7.1} {:>9} {served:>8.4} {refused:>8.2}", self.sent_late_worst)
+        write!(f, "{crashed_targets:>7.1} {:>9} {served:>8.4} {refused:>8.2}", self.late_sends_worst)
     }
 }
 
--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -280,7 +280,7 @@
         let third = self.guilty_crashes.get(CRASHES_ALLOWED - 1);
         let is_late = third.is_some_and(|at| self.now.since(*at) > KNOWN_AFTER)
             && self.killed_at.is_none_or(|at| self.now.since(at) > KNOWN_AFTER);
-        self.result.sent_late_worst += usize::from(tried.is_guilty && is_late);
+        self.result.late_sends_worst += usize::from(tried.is_guilty && is_late);
     }
 
     fn is_refused(&self, tried: &Try) -> bool {
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -54,7 +54,7 @@
         let result = play(pattern, &CrashPolicy::usual());
         let note = format!("{}: {result}", pattern.name);
         assert!(result.crashed_targets as f64 <= case.crashed_a_day_max * DAYS as f64, "{note}");
-        assert!(result.sent_late_worst <= SENT_LATE_MAX, "{note}");
+        assert!(result.late_sends_worst <= SENT_LATE_MAX, "{note}");
         assert!(result.served_share() >= case.served_min, "{note}");
         let refused = result.innocent_refused as f64 / result.innocent_requests as f64;
         assert!(refused <= REFUSED_MAX, "{note}");
