--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -142,25 +142,25 @@
 
 impl CrashPolicy {
     /// What the product does.
-    pub fn usual() -> Self {
+    pub fn production() -> Self {
         let rules = QuarantineRules::default();
         Self { name: "two, retried", refuses: true, rules, retries: true }
     }
 
     /// The ways that are compared.
     pub fn all() -> [Self; 8] {
-        let usual = Self::usual();
-        let from = |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..usual.rules };
-        let bar = |first_refusal| QuarantineRules { first_refusal, ..usual.rules };
+        let production = Self::production();
+        let from = |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..production.rules };
+        let bar = |first_refusal| QuarantineRules { first_refusal, ..production.rules };
         [
-            Self { name: "nothing remembered", refuses: false, ..usual },
-            usual,
-            Self { name: "two, not retried", retries: false, ..usual },
-            Self { name: "two, 1 s at first", rules: bar(Duration::from_secs(1)), ..usual },
-            Self { name: "two, 10 s at first", rules: bar(Duration::from_secs(10)), ..usual },
-            Self { name: "two, 5 min at first", rules: bar(Duration::from_mins(5)), ..usual },
-            Self { name: "three, retried", rules: from(3), ..usual },
-            Self { name: "three, not retried", rules: from(3), retries: false, ..usual },
+            Self { name: "nothing remembered", refuses: false, ..production },
+            production,
+            Self { name: "two, not retried", retries: false, ..production },
+            Self { name: "two, 1 s at first", rules: bar(Duration::from_secs(1)), ..production },
+            Self { name: "two, 10 s at first", rules: bar(Duration::from_secs(10)), ..production },
+            Self { name: "two, 5 min at first", rules: bar(Duration::from_mins(5)), ..production },
+            Self { name: "three, retried", rules: from(3), ..production },
+            Self { name: "three, not retried", rules: from(3), retries: false, ..production },
         ]
     }
 }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -51,7 +51,7 @@
     assert_eq!(cases.len(), CrashPattern::ALL.len());
     for (case, pattern) in cases.iter().zip(&CrashPattern::ALL) {
         assert_eq!(case.pattern, pattern.name);
-        let result = play(pattern, &CrashPolicy::usual());
+        let result = play(pattern, &CrashPolicy::production());
         let note = format!("{}: {result}", pattern.name);
         assert!(result.crashed_targets as f64 <= case.crashed_a_day_max * DAYS as f64, "{note}");
         assert!(result.late_sends_worst <= SENT_LATE_MAX, "{note}");
@@ -64,7 +64,7 @@
 /// The model shows the trouble: with nothing remembered, the same days end most targets.
 #[test]
 fn with_nothing_remembered_the_same_days_are_lost() {
-    let forgetful = CrashPolicy { refuses: false, ..CrashPolicy::usual() };
+    let forgetful = CrashPolicy { refuses: false, ..CrashPolicy::production() };
     let result = play(&CrashPattern::GUILTY, &forgetful);
     assert!(result.crashed_targets as u64 > 30 * DAYS, "{result}");
     assert!(result.served_share() < 0.7, "{result}");
@@ -72,7 +72,7 @@
 
 #[test]
 fn the_same_seeds_give_the_same_days() {
-    let policy = CrashPolicy::usual();
+    let policy = CrashPolicy::production();
     let pattern = &CrashPattern::ALL[5];
     assert_eq!(play(pattern, &policy), play(pattern, &policy));
 }
