--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -175,7 +175,7 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Innocent => self.innocent(),
+            Event::Innocent => self.send_innocent(),
             Event::Guilty => self.guilty(),
             Event::Arrives(tried) => self.arrives(tried),
             Event::Ends(number) => self.ends(number),
@@ -212,7 +212,7 @@
         }
     }
 
-    fn innocent(&mut self) {
+    fn send_innocent(&mut self) {
         let next = self.after(Duration::from_secs_f64(1.0 / LOOKUPS_PER_S));
         self.events.schedule(next, Event::Innocent);
         self.counted += 1;
