--- a/crates/thymeshift_lab/src/replay/crashes/day.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/day.rs
@@ -176,7 +176,7 @@
     fn take(&mut self, event: Event) {
         match event {
             Event::Innocent => self.send_innocent(),
-            Event::Guilty => self.guilty(),
+            Event::Guilty => self.send_guilty(),
             Event::Arrives(tried) => self.arrives(tried),
             Event::Ends(number) => self.ends(number),
             Event::TargetEnds(target) => {
@@ -228,7 +228,7 @@
         self.send_in(Fingerprint::from_bytes(bytes), false);
     }
 
-    fn guilty(&mut self) {
+    fn send_guilty(&mut self) {
         let every = self.pattern.guilty_interval.unwrap_or(Duration::from_secs(1));
         let next = self.after(every);
         if next < Timestamp::from_millis(50_000) {
