--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -22,7 +22,7 @@
     /// What it is called in tables.
     pub name: &'static str,
     /// Targets in need, of seven.
-    pub needy: usize,
+    pub limited_targets: usize,
     /// Requests a second that each of them names.
     pub limit_per_s: f64,
     /// Calls a second at all processes together.
@@ -116,7 +116,7 @@
     /// Two targets of seven in need.
     pub const TWO: Self = Self {
         name: "two in need",
-        needy: 2,
+        limited_targets: 2,
         limit_per_s: 3.4,
         calls_per_s: 72.0,
         fault: FleetFault::None,
@@ -124,7 +124,7 @@
     };
     /// All in need, with more calls than they take.
     pub const ALL_NEEDY: Self =
-        Self { name: "all in need", needy: 7, calls_per_s: 40.0, ..Self::TWO };
+        Self { name: "all in need", limited_targets: 7, calls_per_s: 40.0, ..Self::TWO };
     /// All patterns.
     pub const ALL: [Self; 15] = [
         Self::TWO,
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -32,7 +32,7 @@
 
 impl LimitDay {
     pub(super) fn new(pattern: LimitPattern, policy: LimitPolicy) -> Self {
-        let arrived_ms = vec![Vec::new(); pattern.needy];
+        let arrived_ms = vec![Vec::new(); pattern.limited_targets];
         Self { pattern, policy, arrived_ms, result: LimitResult::default() }
     }
 
@@ -72,7 +72,7 @@
             arrived.push(at_ms);
         }
         let work_ms = rng.random_range(WORK_MS);
-        let names_limit = target < self.pattern.needy && self.policy != LimitPolicy::Unread;
+        let names_limit = target < self.pattern.limited_targets && self.policy != LimitPolicy::Unread;
         let limit = limit_at(&self.pattern, at_ms + work_ms).filter(|_| names_limit);
         (work_ms, limit)
     }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -151,7 +151,7 @@
             let result = play_limits(pattern, LimitPolicy::Allocated, processes);
             let note = format!("{}, {processes} processes: {result}", pattern.name);
             assert!(result.worst_window <= 1.0, "{note}");
-            let callers_wait = pattern.needy == LimitPattern::ALL_NEEDY.needy;
+            let callers_wait = pattern.limited_targets == LimitPattern::ALL_NEEDY.limited_targets;
             assert!(!callers_wait || result.used_share() >= USED_MIN, "{note}");
         }
     }
