--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -123,7 +123,7 @@
         changed_by: 1.0,
     };
     /// All in need, with more calls than they take.
-    pub const ALL_NEEDY: Self =
+    pub const ALL_LIMITED: Self =
         Self { name: "all in need", limited_targets: 7, calls_per_s: 40.0, ..Self::TWO };
     /// All patterns.
     pub const ALL: [Self; 15] = [
@@ -137,10 +137,10 @@
         Self { name: "two, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::TWO },
         Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO },
         Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO },
-        Self::ALL_NEEDY,
-        Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_NEEDY },
-        Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_NEEDY },
-        Self { name: "all, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::ALL_NEEDY },
-        Self { name: "all, lowered to a third", changed_by: 1.0 / 3.0, ..Self::ALL_NEEDY },
+        Self::ALL_LIMITED,
+        Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_LIMITED },
+        Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_LIMITED },
+        Self { name: "all, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::ALL_LIMITED },
+        Self { name: "all, lowered to a third", changed_by: 1.0 / 3.0, ..Self::ALL_LIMITED },
     ];
 }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -151,11 +151,11 @@
             let result = play_limits(pattern, LimitPolicy::Allocated, processes);
             let note = format!("{}, {processes} processes: {result}", pattern.name);
             assert!(result.worst_window <= 1.0, "{note}");
-            let callers_wait = pattern.limited_targets == LimitPattern::ALL_NEEDY.limited_targets;
+            let callers_wait = pattern.limited_targets == LimitPattern::ALL_LIMITED.limited_targets;
             assert!(!callers_wait || result.used_share() >= USED_MIN, "{note}");
         }
     }
-    let cut = LimitPattern { fault: FleetFault::Isolated, ..LimitPattern::ALL_NEEDY };
+    let cut = LimitPattern { fault: FleetFault::Isolated, ..LimitPattern::ALL_LIMITED };
     let result = play_limits(&cut, LimitPolicy::Allocated, 1_000);
     assert!(result.worst_window <= 1.0, "1,000 processes: {result}");
 }
@@ -166,10 +166,10 @@
 fn other_policies_exceed_the_limits_or_leave_them_unused() {
     let unread = play_limits(&LimitPattern::TWO, LimitPolicy::Unread, 13);
     assert!(unread.worst_window > 2.0, "{unread}");
-    let cut = LimitPattern { fault: FleetFault::TwoHallsPartitioned, ..LimitPattern::ALL_NEEDY };
+    let cut = LimitPattern { fault: FleetFault::TwoHallsPartitioned, ..LimitPattern::ALL_LIMITED };
     let whole = play_limits(&cut, LimitPolicy::EachWhole, 13);
     assert!(whole.worst_window > 1.0, "{whole}");
-    let equal = play_limits(&LimitPattern::ALL_NEEDY, LimitPolicy::EqualParts, 117);
+    let equal = play_limits(&LimitPattern::ALL_LIMITED, LimitPolicy::EqualParts, 117);
     assert!(equal.used_share() < 0.5, "{equal}");
 }
 
