--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -114,7 +114,7 @@
 
 impl LimitPattern {
     /// Two targets of seven in need.
-    pub const TWO: Self = Self {
+    pub const TWO_LIMITED: Self = Self {
         name: "two in need",
         limited_targets: 2,
         limit_per_s: 3.4,
@@ -124,19 +124,19 @@
     };
     /// All in need, with more calls than they take.
     pub const ALL_LIMITED: Self =
-        Self { name: "all in need", limited_targets: 7, calls_per_s: 40.0, ..Self::TWO };
+        Self { name: "all in need", limited_targets: 7, calls_per_s: 40.0, ..Self::TWO_LIMITED };
     /// All patterns.
     pub const ALL: [Self; 15] = [
-        Self::TWO,
-        Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO },
-        Self { name: "two, 1.5 a second", limit_per_s: 1.5, ..Self::TWO },
-        Self { name: "two, 50 a second", limit_per_s: 50.0, calls_per_s: 400.0, ..Self::TWO },
-        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO },
-        Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO },
-        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO },
-        Self { name: "two, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::TWO },
-        Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO },
-        Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO },
+        Self::TWO_LIMITED,
+        Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO_LIMITED },
+        Self { name: "two, 1.5 a second", limit_per_s: 1.5, ..Self::TWO_LIMITED },
+        Self { name: "two, 50 a second", limit_per_s: 50.0, calls_per_s: 400.0, ..Self::TWO_LIMITED },
+        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO_LIMITED },
+        Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO_LIMITED },
+        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_LIMITED },
+        Self { name: "two, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::TWO_LIMITED },
+        Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO_LIMITED },
+        Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO_LIMITED },
         Self::ALL_LIMITED,
         Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_LIMITED },
         Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_LIMITED },
