--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -164,7 +164,7 @@
 /// that is asked grants all, a cut between two halls exceeds them; equal parts leave them unused.
 #[test]
 fn other_policies_exceed_the_limits_or_leave_them_unused() {
-    let unread = play_limits(&LimitPattern::TWO, LimitPolicy::Unread, 13);
+    let unread = play_limits(&LimitPattern::TWO_LIMITED, LimitPolicy::Unread, 13);
     assert!(unread.worst_window > 2.0, "{unread}");
     let cut = LimitPattern { fault: FleetFault::TwoHallsPartitioned, ..LimitPattern::ALL_LIMITED };
     let whole = play_limits(&cut, LimitPolicy::EachWhole, 13);
@@ -193,7 +193,7 @@
             assert!(result.worst_backoff <= IN_BACKOFF_MAX, "{note}");
         }
     }
-    let result = play_backoffs(&BackoffPattern::TWO, BackoffPolicy::NamedAndSpaced, 1_000);
+    let result = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::NamedAndSpaced, 1_000);
     assert!(result.worst_backoff <= IN_BACKOFF_MAX, "1,000 processes: {result}");
 }
 
@@ -203,14 +203,14 @@
 fn other_policies_of_backoffs_send_too_much_or_serve_fewer() {
     let built =
         |pattern, processes| play_backoffs(pattern, BackoffPolicy::NamedAndSpaced, processes);
-    let unread = play_backoffs(&BackoffPattern::TWO, BackoffPolicy::Unread, 13);
+    let unread = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::Unread, 13);
     assert!(unread.worst_backoff > IN_BACKOFF_MAX, "{unread}");
     assert!(
-        unread.failed_share() > 4.0 * built(&BackoffPattern::TWO, 13).failed_share(),
+        unread.failed_share() > 4.0 * built(&BackoffPattern::TWO_REFUSING, 13).failed_share(),
         "{unread}"
     );
-    let named = play_backoffs(&BackoffPattern::TWO, BackoffPolicy::Named, 1_000);
-    let spaced = built(&BackoffPattern::TWO, 1_000);
+    let named = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::Named, 1_000);
+    let spaced = built(&BackoffPattern::TWO_REFUSING, 1_000);
     assert!(2 * spaced.refusals < named.refusals, "{spaced}; {named}");
     let moment = BackoffPattern { refusing_ms: 50, ..BackoffPattern::BUSY };
     let for_all = play_backoffs(&moment, BackoffPolicy::ForAll, 117);
