--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -129,7 +129,7 @@
 
 impl BackoffPattern {
     /// Two targets of seven refuse each request for nine seconds.
-    pub const TWO: Self = Self {
+    pub const TWO_REFUSING: Self = Self {
         name: "two",
         refusing: 2,
         refusing_ms: 9_000,
@@ -140,21 +140,21 @@
     };
     /// The same at two thirds of what all targets can do.
     pub const BUSY: Self =
-        Self { name: "busy", refusing: 4, refusing_ms: 500, calls_per_s: 600.0, ..Self::TWO };
+        Self { name: "busy", refusing: 4, refusing_ms: 500, calls_per_s: 600.0, ..Self::TWO_REFUSING };
     /// All patterns.
     pub const ALL: [Self; 15] = [
-        Self { name: "one", refusing: 1, ..Self::TWO },
-        Self::TWO,
-        Self { name: "two, 0.2 s", backoff_ms: 200, ..Self::TWO },
-        Self { name: "two, 1 s", backoff_ms: 1_000, ..Self::TWO },
-        Self { name: "two, 30 s", backoff_ms: 30_000, ..Self::TWO },
-        Self { name: "two for a moment", refusing_ms: 100, ..Self::TWO },
-        Self { name: "two, some processes", is_partial: true, ..Self::TWO },
-        Self { name: "four", refusing: 4, ..Self::TWO },
-        Self { name: "all", refusing: 7, ..Self::TWO },
-        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO },
-        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO },
-        Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO },
+        Self { name: "one", refusing: 1, ..Self::TWO_REFUSING },
+        Self::TWO_REFUSING,
+        Self { name: "two, 0.2 s", backoff_ms: 200, ..Self::TWO_REFUSING },
+        Self { name: "two, 1 s", backoff_ms: 1_000, ..Self::TWO_REFUSING },
+        Self { name: "two, 30 s", backoff_ms: 30_000, ..Self::TWO_REFUSING },
+        Self { name: "two for a moment", refusing_ms: 100, ..Self::TWO_REFUSING },
+        Self { name: "two, some processes", is_partial: true, ..Self::TWO_REFUSING },
+        Self { name: "four", refusing: 4, ..Self::TWO_REFUSING },
+        Self { name: "all", refusing: 7, ..Self::TWO_REFUSING },
+        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO_REFUSING },
+        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_REFUSING },
+        Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO_REFUSING },
         Self::BUSY,
         Self { name: "busy, for a moment", refusing_ms: 50, ..Self::BUSY },
         Self { name: "busy, some processes", is_partial: true, ..Self::BUSY },
