--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -30,7 +30,7 @@
     /// What strikes in seconds 10 to 16.
     pub fault: FleetFault,
     /// By what the limits are multiplied from second 12 on; 0 ends the need.
-    pub changed_by: f64,
+    pub limit_factor: f64,
 }
 
 /// What came of a pattern, over all days.
@@ -120,7 +120,7 @@
         limit_per_s: 3.4,
         calls_per_s: 72.0,
         fault: FleetFault::None,
-        changed_by: 1.0,
+        limit_factor: 1.0,
     };
     /// All in need, with more calls than they take.
     pub const ALL_LIMITED: Self =
@@ -135,12 +135,12 @@
         Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO_LIMITED },
         Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_LIMITED },
         Self { name: "two, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::TWO_LIMITED },
-        Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO_LIMITED },
-        Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO_LIMITED },
+        Self { name: "two, lowered to a third", limit_factor: 1.0 / 3.0, ..Self::TWO_LIMITED },
+        Self { name: "two, raised threefold", limit_factor: 3.0, ..Self::TWO_LIMITED },
         Self::ALL_LIMITED,
         Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_LIMITED },
         Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_LIMITED },
         Self { name: "all, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::ALL_LIMITED },
-        Self { name: "all, lowered to a third", changed_by: 1.0 / 3.0, ..Self::ALL_LIMITED },
+        Self { name: "all, lowered to a third", limit_factor: 1.0 / 3.0, ..Self::ALL_LIMITED },
     ];
 }
--- a/crates/thymeshift_lab/src/replay/limits/judge.rs
+++ b/crates/thymeshift_lab/src/replay/limits/judge.rs
@@ -19,7 +19,7 @@
     if now_ms < NAMED_AT_MS {
         return None;
     }
-    let factor = if now_ms < CHANGED_AT_MS { 1.0 } else { pattern.changed_by };
+    let factor = if now_ms < CHANGED_AT_MS { 1.0 } else { pattern.limit_factor };
     (factor > 0.0).then_some(pattern.limit_per_s * factor)
 }
 
