--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -40,7 +40,7 @@
     /// and a half times its limit, and five.
     pub worst_window: f64,
     /// Requests that targets in need got, and what their limits allow in the same time.
-    pub used: f64,
+    pub requests_received: f64,
     /// As above.
     pub allowed: f64,
     /// Calls, and those that were refused.
@@ -54,7 +54,7 @@
 impl LimitResult {
     /// Part of the limits that was used.
     pub fn used_share(&self) -> f64 {
-        self.used / self.allowed.max(f64::MIN_POSITIVE)
+        self.requests_received / self.allowed.max(f64::MIN_POSITIVE)
     }
 
     /// Part of the calls that was refused.
@@ -64,7 +64,7 @@
 
     fn add(&mut self, day: &Self) {
         self.worst_window = self.worst_window.max(day.worst_window);
-        self.used += day.used;
+        self.requests_received += day.requests_received;
         self.allowed += day.allowed;
         self.calls += day.calls;
         self.refused += day.refused;
