--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -42,7 +42,7 @@
     /// Requests that targets in need got, and what their limits allow in the same time.
     pub requests_received: f64,
     /// As above.
-    pub allowed: f64,
+    pub requests_allowed: f64,
     /// Calls, and those that were refused.
     pub calls: usize,
     /// As above.
@@ -54,7 +54,7 @@
 impl LimitResult {
     /// Part of the limits that was used.
     pub fn used_share(&self) -> f64 {
-        self.requests_received / self.allowed.max(f64::MIN_POSITIVE)
+        self.requests_received / self.requests_allowed.max(f64::MIN_POSITIVE)
     }
 
     /// Part of the calls that was refused.
@@ -65,7 +65,7 @@
     fn add(&mut self, day: &Self) {
         self.worst_window = self.worst_window.max(day.worst_window);
         self.requests_received += day.requests_received;
-        self.allowed += day.allowed;
+        self.requests_allowed += day.requests_allowed;
         self.calls += day.calls;
         self.refused += day.refused;
         self.messages += day.messages;
--- a/crates/thymeshift_lab/src/replay/limits/judge.rs
+++ b/crates/thymeshift_lab/src/replay/limits/judge.rs
@@ -29,7 +29,7 @@
     for arrived in arrived_ms {
         let late: Vec<u64> = arrived.iter().copied().filter(|at| *at >= from).collect();
         result.requests_received += late.len() as f64;
-        result.allowed += allowed_between(pattern, from, DAY_MS);
+        result.requests_allowed += allowed_between(pattern, from, DAY_MS);
         for first in &late {
             let most = late.iter().filter(|at| (*first..first + WINDOW_MS).contains(at)).count();
             result.worst_window =
