--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -22,7 +22,7 @@
     /// What it is called in tables.
     pub name: &'static str,
     /// Targets that refuse, of seven.
-    pub refusing: usize,
+    pub refusing_targets: usize,
     /// For how long they refuse, in milliseconds.
     pub refusing_ms: u64,
     /// The backoff that they ask for, in milliseconds.
@@ -131,7 +131,7 @@
     /// Two targets of seven refuse each request for nine seconds.
     pub const TWO_REFUSING: Self = Self {
         name: "two",
-        refusing: 2,
+        refusing_targets: 2,
         refusing_ms: 9_000,
         backoff_ms: 3_000,
         is_partial: false,
@@ -140,18 +140,18 @@
     };
     /// The same at two thirds of what all targets can do.
     pub const BUSY: Self =
-        Self { name: "busy", refusing: 4, refusing_ms: 500, calls_per_s: 600.0, ..Self::TWO_REFUSING };
+        Self { name: "busy", refusing_targets: 4, refusing_ms: 500, calls_per_s: 600.0, ..Self::TWO_REFUSING };
     /// All patterns.
     pub const ALL: [Self; 15] = [
-        Self { name: "one", refusing: 1, ..Self::TWO_REFUSING },
+        Self { name: "one", refusing_targets: 1, ..Self::TWO_REFUSING },
         Self::TWO_REFUSING,
         Self { name: "two, 0.2 s", backoff_ms: 200, ..Self::TWO_REFUSING },
         Self { name: "two, 1 s", backoff_ms: 1_000, ..Self::TWO_REFUSING },
         Self { name: "two, 30 s", backoff_ms: 30_000, ..Self::TWO_REFUSING },
         Self { name: "two for a moment", refusing_ms: 100, ..Self::TWO_REFUSING },
         Self { name: "two, some processes", is_partial: true, ..Self::TWO_REFUSING },
-        Self { name: "four", refusing: 4, ..Self::TWO_REFUSING },
-        Self { name: "all", refusing: 7, ..Self::TWO_REFUSING },
+        Self { name: "four", refusing_targets: 4, ..Self::TWO_REFUSING },
+        Self { name: "all", refusing_targets: 7, ..Self::TWO_REFUSING },
         Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO_REFUSING },
         Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_REFUSING },
         Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO_REFUSING },
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -47,7 +47,7 @@
 
     fn is_refused(&self, arrival: Arrival) -> bool {
         let Arrival { process, target, at_ms } = arrival;
-        let is_refusing = target < self.pattern.refusing
+        let is_refusing = target < self.pattern.refusing_targets
             && (REFUSING_FROM_MS..REFUSING_FROM_MS + self.pattern.refusing_ms).contains(&at_ms);
         let is_meant = !self.pattern.is_partial || process % (SERVED_PER_REFUSED + 1) == 0;
         is_refusing && is_meant
--- a/crates/thymeshift_lab/src/replay/backoffs/judge.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/judge.rs
@@ -20,7 +20,7 @@
 pub(super) struct Ledger {
     backoff_ms: u64,
     returned_at_ms: u64,
-    refusing: usize,
+    refusing_targets: usize,
     even_per_s: f64,
     asked_ms: HashMap<Pair, Vec<u64>>,
     worst_backoff: usize,
@@ -34,18 +34,18 @@
         Self {
             backoff_ms: pattern.backoff_ms,
             returned_at_ms: REFUSING_FROM_MS + pattern.refusing_ms.max(pattern.backoff_ms),
-            refusing: pattern.refusing,
+            refusing_targets: pattern.refusing_targets,
             even_per_s: pattern.calls_per_s / TARGETS as f64,
             asked_ms: HashMap::new(),
             worst_backoff: 0,
             within: HashMap::new(),
-            after_ms: vec![Vec::new(); pattern.refusing],
+            after_ms: vec![Vec::new(); pattern.refusing_targets],
         }
     }
 
     pub(super) fn note(&mut self, arrival: Arrival, is_refused: bool) {
         let Arrival { process, target, at_ms } = arrival;
-        if target >= self.refusing {
+        if target >= self.refusing_targets {
             return;
         }
         let pair = (process, target);
@@ -88,7 +88,7 @@
             let most = starts.map(from).max().unwrap_or(0) as f64;
             result.rush = result.rush.max(most / self.even_per_s);
             let second = from(&(self.returned_at_ms + SECOND_MS)) as f64;
-            result.back += second / self.even_per_s / self.refusing as f64;
+            result.back += second / self.even_per_s / self.refusing_targets as f64;
         }
     }
 }
