--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -40,7 +40,7 @@
 pub struct BackoffResult {
     /// Most requests of one process that reached a target between half a second after it had asked
     /// that process for a backoff and its end.
-    pub worst_backoff: usize,
+    pub requests_in_backoff_max: usize,
     /// Requests that were refused by targets.
     pub refusals: usize,
     /// Calls.
@@ -68,7 +68,7 @@
     fn add(&mut self, day: &Self) {
         let days = self.days as f64;
         self.back = (self.back * days + day.back) / (days + 1.0);
-        self.worst_backoff = self.worst_backoff.max(day.worst_backoff);
+        self.requests_in_backoff_max = self.requests_in_backoff_max.max(day.requests_in_backoff_max);
         self.rush = self.rush.max(day.rush);
         self.refusals += day.refusals;
         self.calls += day.calls;
@@ -86,7 +86,7 @@
         write!(
             f,
             "{:>7} {per_day:>9.0} {:>8.4} {:>9} {:>6.2} {:>6.2} {messages:>9.2}",
-            self.worst_backoff,
+            self.requests_in_backoff_max,
             self.failed_share(),
             self.failed_at_target,
             self.rush,
--- a/crates/thymeshift_lab/src/replay/backoffs/judge.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/judge.rs
@@ -23,7 +23,7 @@
     refusing_targets: usize,
     even_per_s: f64,
     asked_ms: HashMap<Pair, Vec<u64>>,
-    worst_backoff: usize,
+    requests_in_backoff_max: usize,
     within: HashMap<Pair, Vec<u64>>,
     /// Moments of arrivals after the targets have stopped refusing, by target.
     after_ms: Vec<Vec<u64>>,
@@ -37,7 +37,7 @@
             refusing_targets: pattern.refusing_targets,
             even_per_s: pattern.calls_per_s / TARGETS as f64,
             asked_ms: HashMap::new(),
-            worst_backoff: 0,
+            requests_in_backoff_max: 0,
             within: HashMap::new(),
             after_ms: vec![Vec::new(); pattern.refusing_targets],
         }
@@ -70,14 +70,14 @@
             for asked in asked_ms {
                 let span = asked + SETTLED_AFTER_MS..asked + self.backoff_ms;
                 let count = arrived.iter().filter(|at| span.contains(at)).count();
-                self.worst_backoff = self.worst_backoff.max(count);
+                self.requests_in_backoff_max = self.requests_in_backoff_max.max(count);
             }
         }
     }
 
     pub(super) fn judge(mut self, result: &mut BackoffResult) {
         self.settle();
-        result.worst_backoff = self.worst_backoff;
+        result.requests_in_backoff_max = self.requests_in_backoff_max;
         for arrived in &self.after_ms {
             let from = |first: &u64| {
                 let span = *first..first + SECOND_MS;
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -190,11 +190,11 @@
         for processes in [3, 13, 117] {
             let result = play_backoffs(pattern, BackoffPolicy::NamedAndSpaced, processes);
             let note = format!("{}, {processes} processes: {result}", pattern.name);
-            assert!(result.worst_backoff <= IN_BACKOFF_MAX, "{note}");
+            assert!(result.requests_in_backoff_max <= IN_BACKOFF_MAX, "{note}");
         }
     }
     let result = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::NamedAndSpaced, 1_000);
-    assert!(result.worst_backoff <= IN_BACKOFF_MAX, "1,000 processes: {result}");
+    assert!(result.requests_in_backoff_max <= IN_BACKOFF_MAX, "1,000 processes: {result}");
 }
 
 /// Unread, a target that refuses attracts requests; without spacing out, refusals grow with the number
@@ -204,7 +204,7 @@
     let built =
         |pattern, processes| play_backoffs(pattern, BackoffPolicy::NamedAndSpaced, processes);
     let unread = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::Unread, 13);
-    assert!(unread.worst_backoff > IN_BACKOFF_MAX, "{unread}");
+    assert!(unread.requests_in_backoff_max > IN_BACKOFF_MAX, "{unread}");
     assert!(
         unread.failed_share() > 4.0 * built(&BackoffPattern::TWO_REFUSING, 13).failed_share(),
         "{unread}"
