--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -50,7 +50,7 @@
     /// Those among them that a target had refused last.
     pub failed_at_target: usize,
     /// Most requests in a second at a target that has just stopped refusing, in even shares.
-    pub rush: f64,
+    pub recovery_peak: f64,
     /// Requests at targets in the second second after they have stopped refusing, in even shares; in
     /// the mean.
     pub back: f64,
@@ -69,7 +69,7 @@
         let days = self.days as f64;
         self.back = (self.back * days + day.back) / (days + 1.0);
         self.requests_in_backoff_max = self.requests_in_backoff_max.max(day.requests_in_backoff_max);
-        self.rush = self.rush.max(day.rush);
+        self.recovery_peak = self.recovery_peak.max(day.recovery_peak);
         self.refusals += day.refusals;
         self.calls += day.calls;
         self.failed += day.failed;
@@ -89,7 +89,7 @@
             self.requests_in_backoff_max,
             self.failed_share(),
             self.failed_at_target,
-            self.rush,
+            self.recovery_peak,
             self.back
         )
     }
