--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -53,7 +53,7 @@
     pub recovery_peak: f64,
     /// Requests at targets in the second second after they have stopped refusing, in even shares; in
     /// the mean.
-    pub back: f64,
+    pub recovery_load: f64,
     /// Messages between processes.
     pub messages: usize,
     days: usize,
@@ -67,7 +67,7 @@
 
     fn add(&mut self, day: &Self) {
         let days = self.days as f64;
-        self.back = (self.back * days + day.back) / (days + 1.0);
+        self.recovery_load = (self.recovery_load * days + day.recovery_load) / (days + 1.0);
         self.requests_in_backoff_max = self.requests_in_backoff_max.max(day.requests_in_backoff_max);
         self.recovery_peak = self.recovery_peak.max(day.recovery_peak);
         self.refusals += day.refusals;
@@ -90,7 +90,7 @@
             self.failed_share(),
             self.failed_at_target,
             self.recovery_peak,
-            self.back
+            self.recovery_load
         )
     }
 }
--- a/crates/thymeshift_lab/src/replay/backoffs/judge.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/judge.rs
@@ -88,7 +88,7 @@
             let most = starts.map(from).max().unwrap_or(0) as f64;
             result.recovery_peak = result.recovery_peak.max(most / self.even_per_s);
             let second = from(&(self.returned_at_ms + SECOND_MS)) as f64;
-            result.back += second / self.even_per_s / self.refusing_targets as f64;
+            result.recovery_load += second / self.even_per_s / self.refusing_targets as f64;
         }
     }
 }
