--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -48,7 +48,7 @@
     /// Those that were not served.
     pub failed: usize,
     /// Those among them that a target had refused last.
-    pub failed_at_target: usize,
+    pub refused_by_target: usize,
     /// Most requests in a second at a target that has just stopped refusing, in even shares.
     pub recovery_peak: f64,
     /// Requests at targets in the second second after they have stopped refusing, in even shares; in
@@ -73,7 +73,7 @@
         self.refusals += day.refusals;
         self.calls += day.calls;
         self.failed += day.failed;
-        self.failed_at_target += day.failed_at_target;
+        self.refused_by_target += day.refused_by_target;
         self.messages += day.messages;
         self.days += 1;
     }
@@ -88,7 +88,7 @@
             "{:>7} {per_day:>9.0} {:>8.4} {:>9} {:>6.2} {:>6.2} {messages:>9.2}",
             self.requests_in_backoff_max,
             self.failed_share(),
-            self.failed_at_target,
+            self.refused_by_target,
             self.recovery_peak,
             self.recovery_load
         )
--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -105,7 +105,7 @@
     fn ended(&mut self, _at_ms: u64, outcome: Outcome) {
         self.result.calls += 1;
         self.result.failed += usize::from(outcome != Outcome::Served);
-        self.result.failed_at_target += usize::from(outcome == Outcome::RefusedByTarget);
+        self.result.refused_by_target += usize::from(outcome == Outcome::RefusedByTarget);
     }
 
     fn restarted(&mut self, process: usize) {
