--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -67,7 +67,7 @@
     }
 
     fn names_excluded(&self) -> bool {
-        self.policy != BackoffPolicy::HolderAlone
+        self.policy != BackoffPolicy::HolderOnly
     }
 
     fn answer(&mut self, arrival: Arrival, rng: &mut SmallRng) -> (u64, Option<Duration>) {
--- a/crates/thymeshift_lab/src/replay/backoffs/policy.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/policy.rs
@@ -14,7 +14,7 @@
     Named,
     /// Nobody but the process that was asked knows: it gives grants back.
     #[display("holder alone")]
-    HolderAlone,
+    HolderOnly,
     /// The allocator keeps a backoff that one process was asked for on behalf of all.
     #[display("for all")]
     ForAll,
@@ -26,5 +26,5 @@
 impl BackoffPolicy {
     /// The policies that are compared.
     pub const ALL: [Self; 5] =
-        [Self::NamedAndSpaced, Self::Named, Self::HolderAlone, Self::ForAll, Self::Unread];
+        [Self::NamedAndSpaced, Self::Named, Self::HolderOnly, Self::ForAll, Self::Unread];
 }
