--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -99,7 +99,7 @@
             _ => Observation::Shed(None),
         };
         let _ = own.record_attempt(grant, observation, now);
-        (observation, (self.policy == BackoffPolicy::ForAll).then_some(backoff))
+        (observation, (self.policy == BackoffPolicy::FleetWide).then_some(backoff))
     }
 
     fn ended(&mut self, _at_ms: u64, outcome: Outcome) {
--- a/crates/thymeshift_lab/src/replay/backoffs/policy.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/policy.rs
@@ -17,7 +17,7 @@
     HolderOnly,
     /// The allocator keeps a backoff that one process was asked for on behalf of all.
     #[display("for all")]
-    ForAll,
+    FleetWide,
     /// Nobody reads it.
     #[display("unread")]
     Unread,
@@ -26,5 +26,5 @@
 impl BackoffPolicy {
     /// The policies that are compared.
     pub const ALL: [Self; 5] =
-        [Self::NamedAndSpaced, Self::Named, Self::HolderOnly, Self::ForAll, Self::Unread];
+        [Self::NamedAndSpaced, Self::Named, Self::HolderOnly, Self::FleetWide, Self::Unread];
 }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -213,6 +213,6 @@
     let spaced = built(&BackoffPattern::TWO_REFUSING, 1_000);
     assert!(2 * spaced.refusals < named.refusals, "{spaced}; {named}");
     let moment = BackoffPattern { refusing_ms: 50, ..BackoffPattern::BUSY };
-    let for_all = play_backoffs(&moment, BackoffPolicy::ForAll, 117);
+    let for_all = play_backoffs(&moment, BackoffPolicy::FleetWide, 117);
     assert!(for_all.failed_share() > 4.0 * built(&moment, 117).failed_share(), "{for_all}");
 }
