--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -91,7 +91,7 @@
             let _ = own.record_attempt(grant, Observation::Answered(None), now);
             return (Observation::Answered(None), None);
         };
-        if self.policy != BackoffPolicy::Unread {
+        if self.policy != BackoffPolicy::Ignored {
             own.record_backoff(grant, backoff, now);
         }
         let observation = match self.policy {
--- a/crates/thymeshift_lab/src/replay/backoffs/policy.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/policy.rs
@@ -20,11 +20,11 @@
     FleetWide,
     /// Nobody reads it.
     #[display("unread")]
-    Unread,
+    Ignored,
 }
 
 impl BackoffPolicy {
     /// The policies that are compared.
     pub const ALL: [Self; 5] =
-        [Self::NamedAndSpaced, Self::Named, Self::HolderOnly, Self::FleetWide, Self::Unread];
+        [Self::NamedAndSpaced, Self::Named, Self::HolderOnly, Self::FleetWide, Self::Ignored];
 }
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -72,7 +72,7 @@
             arrived.push(at_ms);
         }
         let work_ms = rng.random_range(WORK_MS);
-        let names_limit = target < self.pattern.limited_targets && self.policy != LimitPolicy::Unread;
+        let names_limit = target < self.pattern.limited_targets && self.policy != LimitPolicy::Ignored;
         let limit = limit_at(&self.pattern, at_ms + work_ms).filter(|_| names_limit);
         (work_ms, limit)
     }
--- a/crates/thymeshift_lab/src/replay/limits/policy.rs
+++ b/crates/thymeshift_lab/src/replay/limits/policy.rs
@@ -18,10 +18,10 @@
     EqualParts,
     /// Nobody reads the limit.
     #[display("unread")]
-    Unread,
+    Ignored,
 }
 
 impl LimitPolicy {
     /// The policies that are compared.
-    pub const ALL: [Self; 4] = [Self::Allocated, Self::EachWhole, Self::EqualParts, Self::Unread];
+    pub const ALL: [Self; 4] = [Self::Allocated, Self::EachWhole, Self::EqualParts, Self::Ignored];
 }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -164,7 +164,7 @@
 /// that is asked grants all, a cut between two halls exceeds them; equal parts leave them unused.
 #[test]
 fn other_policies_exceed_the_limits_or_leave_them_unused() {
-    let unread = play_limits(&LimitPattern::TWO_LIMITED, LimitPolicy::Unread, 13);
+    let unread = play_limits(&LimitPattern::TWO_LIMITED, LimitPolicy::Ignored, 13);
     assert!(unread.worst_window > 2.0, "{unread}");
     let cut = LimitPattern { fault: FleetFault::TwoHallsPartitioned, ..LimitPattern::ALL_LIMITED };
     let whole = play_limits(&cut, LimitPolicy::EachWhole, 13);
@@ -203,7 +203,7 @@
 fn other_policies_of_backoffs_send_too_much_or_serve_fewer() {
     let built =
         |pattern, processes| play_backoffs(pattern, BackoffPolicy::NamedAndSpaced, processes);
-    let unread = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::Unread, 13);
+    let unread = play_backoffs(&BackoffPattern::TWO_REFUSING, BackoffPolicy::Ignored, 13);
     assert!(unread.requests_in_backoff_max > IN_BACKOFF_MAX, "{unread}");
     assert!(
         unread.failed_share() > 4.0 * built(&BackoffPattern::TWO_REFUSING, 13).failed_share(),
