--- a/crates/thymeshift_lab/src/replay/limits/policy.rs
+++ b/crates/thymeshift_lab/src/replay/limits/policy.rs
@@ -12,7 +12,7 @@
     /// The allocator counts, and grants the whole limit; so does each process that is asked in its
     /// place.
     #[display("each allocator whole")]
-    EachWhole,
+    EachFullLimit,
     /// Each process keeps an equal part by itself.
     #[display("equal parts")]
     EqualParts,
@@ -23,5 +23,5 @@
 
 impl LimitPolicy {
     /// The policies that are compared.
-    pub const ALL: [Self; 4] = [Self::Allocated, Self::EachWhole, Self::EqualParts, Self::Ignored];
+    pub const ALL: [Self; 4] = [Self::Allocated, Self::EachFullLimit, Self::EqualParts, Self::Ignored];
 }
--- a/crates/thymeshift_lab/src/replay/quotas/day.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/day.rs
@@ -230,7 +230,7 @@
         self.arrived_ms.push(self.now_ms);
         let now = self.now();
         let is_admitted = match self.policy {
-            QuotaPolicy::Counted | QuotaPolicy::EachWhole => {
+            QuotaPolicy::Counted | QuotaPolicy::EachFullLimit => {
                 let limit = self.limit();
                 let process = &mut self.processes[place];
                 process.holder.set_limit(limit, now);
@@ -334,7 +334,7 @@
     /// The part of the limit that a counter may hand out. The first one is heard of through the
     /// third hall, and is not silent for long enough otherwise to be forgotten.
     fn share(&self, place: usize) -> f64 {
-        if self.policy == QuotaPolicy::EachWhole {
+        if self.policy == QuotaPolicy::EachFullLimit {
             return 1.0;
         }
         let known = self.processes.len();
--- a/crates/thymeshift_lab/src/replay/quotas/policy.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/policy.rs
@@ -10,7 +10,7 @@
     Counted,
     /// The same, where each process that is asked in the counter's place hands out the whole limit.
     #[display("each counter whole")]
-    EachWhole,
+    EachFullLimit,
     /// Each process admits an equal part.
     #[display("equal parts")]
     EqualParts,
@@ -23,13 +23,13 @@
 impl QuotaPolicy {
     /// The policies that are compared.
     pub const ALL: [Self; 4] =
-        [Self::Counted, Self::EachWhole, Self::EqualParts, Self::PartsByDemand];
+        [Self::Counted, Self::EachFullLimit, Self::EqualParts, Self::PartsByDemand];
 
     /// Numbers of processes that it is played with. Where all tell all, a day of 300 is four
     /// million messages, and one of 1,000 is not worth its time.
     pub(super) fn sizes(self) -> &'static [usize] {
         match self {
-            Self::Counted | Self::EachWhole | Self::EqualParts => &[3, 30, 117, 300, 1_000],
+            Self::Counted | Self::EachFullLimit | Self::EqualParts => &[3, 30, 117, 300, 1_000],
             Self::PartsByDemand => &[3, 30, 117],
         }
     }
--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -133,7 +133,7 @@
 #[test]
 fn two_counters_that_each_hand_out_all_exceed_the_limit() {
     let cut = QuotaPattern { partition: Partition::TwoHalls, ..QuotaPattern::HOT };
-    let result = play_quota(&cut, QuotaPolicy::EachWhole, 117);
+    let result = play_quota(&cut, QuotaPolicy::EachFullLimit, 117);
     assert!(result.worst_window > 1.25, "{result}");
 }
 
@@ -167,7 +167,7 @@
     let unread = play_limits(&LimitPattern::TWO_LIMITED, LimitPolicy::Ignored, 13);
     assert!(unread.worst_window > 2.0, "{unread}");
     let cut = LimitPattern { fault: FleetFault::TwoHallsPartitioned, ..LimitPattern::ALL_LIMITED };
-    let whole = play_limits(&cut, LimitPolicy::EachWhole, 13);
+    let whole = play_limits(&cut, LimitPolicy::EachFullLimit, 13);
     assert!(whole.worst_window > 1.0, "{whole}");
     let equal = play_limits(&LimitPattern::ALL_LIMITED, LimitPolicy::EqualParts, 117);
     assert!(equal.used_share() < 0.5, "{equal}");
