--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -124,7 +124,7 @@
         let halls = configuration.data_halls.clone();
         let mut rng = SmallRng::seed_from_u64(seed);
         let start = Timestamp::from_millis(0);
-        let view = scenario.lone_view();
+        let view = scenario.standalone_view();
         let process =
             |place: usize| Process::new(&configuration, &halls[place % HALLS], view, start);
         let processes: Vec<_> = (0..count).map(process).collect();
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -80,7 +80,7 @@
     fn fault(&self) -> FleetFault;
 
     /// How processes decide by themselves.
-    fn lone_view(&self) -> View {
+    fn standalone_view(&self) -> View {
         View::Fallback
     }
 
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -54,7 +54,7 @@
         self.pattern.fault
     }
 
-    fn lone_view(&self) -> View {
+    fn standalone_view(&self) -> View {
         if self.asks_allocators() { View::Fallback } else { View::Own }
     }
 
