--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -80,7 +80,7 @@
         (rng.random_range(WORK_MS), None)
     }
 
-    fn learn(
+    fn apply_answer(
         &self,
         answer: &Option<Duration>,
         own: &mut Dispatcher<AnyStrategy>,
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -103,7 +103,7 @@
 
     /// A process takes an answer in. Returns what it reports to its allocator, and a backoff that the
     /// allocator is to keep for all processes.
-    fn learn(
+    fn apply_answer(
         &self,
         answer: &Self::Answer,
         own: &mut Dispatcher<AnyStrategy>,
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -77,7 +77,7 @@
         (work_ms, limit)
     }
 
-    fn learn(
+    fn apply_answer(
         &self,
         answer: &Option<f64>,
         own: &mut Dispatcher<AnyStrategy>,
