--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -233,7 +233,7 @@
         let Some(Running { grant, allocator, call }) = process.running.remove(&number) else {
             return;
         };
-        let (observation, backoff) = self.scenario.learn(answer, &mut process.own, &grant, now);
+        let (observation, backoff) = self.scenario.apply_answer(answer, &mut process.own, &grant, now);
         let rate_limit = process.own.rate_limit_update(&grant, now);
         let (target, name) = (grant.target(), process.own.target_name(&grant));
         process.own.release(grant, now);
