--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -296,8 +296,8 @@
         let now = self.now();
         let (known, of_other) =
             (self.processes[at].own.rate_limits(now), self.processes[other].own.rate_limits(now));
-        self.processes[other].learn(&known, now);
-        self.processes[at].learn(&of_other, now);
+        self.processes[other].merge_rate_limits(&known, now);
+        self.processes[at].merge_rate_limits(&of_other, now);
     }
 
     fn tick(&mut self) {
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -90,7 +90,7 @@
     }
 
     /// Learns what another process knows of targets' limits.
-    pub(super) fn learn(
+    pub(super) fn merge_rate_limits(
         &mut self,
         known: &[(TargetName, Incarnation, RateLimitUpdate)],
         now: Timestamp,
