--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -102,7 +102,7 @@
         (observation, (self.policy == BackoffPolicy::FleetWide).then_some(backoff))
     }
 
-    fn ended(&mut self, _at_ms: u64, outcome: Outcome) {
+    fn record_outcome(&mut self, _at_ms: u64, outcome: Outcome) {
         self.result.calls += 1;
         self.result.failed += usize::from(outcome != Outcome::Served);
         self.result.refused_by_target += usize::from(outcome == Outcome::RefusedByTarget);
--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -55,7 +55,7 @@
         let request = request(self.now(), call, WAIT_MS, Excluded::default());
         let own = &self.processes[place].own;
         if own.backoff_refusal(&request, self.now(), &mut self.rng).is_some() {
-            return self.scenario.ended(self.now_ms, Outcome::Refused);
+            return self.scenario.record_outcome(self.now_ms, Outcome::Refused);
         }
         if self.scenario.asks_allocators() {
             self.ask(place, 0, 0, call);
@@ -139,7 +139,7 @@
             }
             Allocation::Refused(_) => {
                 self.processes[place].asking.remove(&number);
-                self.scenario.ended(self.now_ms, Outcome::Refused);
+                self.scenario.record_outcome(self.now_ms, Outcome::Refused);
             }
             Allocation::Granted(granted) => self.granted(place, number, &granted),
         }
@@ -205,9 +205,9 @@
             }
             Decision::Wait(ticket) => {
                 self.processes[place].own.cancel(ticket);
-                self.scenario.ended(self.now_ms, Outcome::Refused);
+                self.scenario.record_outcome(self.now_ms, Outcome::Refused);
             }
-            Decision::Refuse(_) => self.scenario.ended(self.now_ms, Outcome::Refused),
+            Decision::Refuse(_) => self.scenario.record_outcome(self.now_ms, Outcome::Refused),
         }
     }
 
@@ -249,11 +249,11 @@
             );
         }
         match observation {
-            Observation::Answered(_) => self.scenario.ended(self.now_ms, Outcome::Served),
+            Observation::Answered(_) => self.scenario.record_outcome(self.now_ms, Outcome::Served),
             _ if call.has_attempt() && self.processes[place].own.try_spend_retry() => {
                 self.attempt(place, call.next(target));
             }
-            _ => self.scenario.ended(self.now_ms, Outcome::RefusedByTarget),
+            _ => self.scenario.record_outcome(self.now_ms, Outcome::RefusedByTarget),
         }
     }
 }
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -112,7 +112,7 @@
     ) -> (Observation, Option<Duration>);
 
     /// A call ended.
-    fn ended(&mut self, at_ms: u64, outcome: Outcome);
+    fn record_outcome(&mut self, at_ms: u64, outcome: Outcome);
 
     /// A process started again.
     fn restarted(&mut self, process: usize);
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -91,7 +91,7 @@
         (observation, None)
     }
 
-    fn ended(&mut self, _at_ms: u64, outcome: Outcome) {
+    fn record_outcome(&mut self, _at_ms: u64, outcome: Outcome) {
         self.result.calls += 1;
         self.result.refused += usize::from(outcome != Outcome::Served);
     }
