--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -108,7 +108,7 @@
         self.result.refused_by_target += usize::from(outcome == Outcome::RefusedByTarget);
     }
 
-    fn restarted(&mut self, process: usize) {
+    fn record_restart(&mut self, process: usize) {
         self.ledger.forgive(process);
     }
 }
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -185,7 +185,7 @@
         if is_killed && !self.is_killed {
             let hall = &self.halls[0];
             self.processes[0] = Process::new(&self.configuration, hall, View::Fallback, self.now());
-            self.scenario.restarted(0);
+            self.scenario.record_restart(0);
         }
         self.is_killed = is_killed;
     }
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -115,5 +115,5 @@
     fn record_outcome(&mut self, at_ms: u64, outcome: Outcome);
 
     /// A process started again.
-    fn restarted(&mut self, process: usize);
+    fn record_restart(&mut self, process: usize);
 }
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -96,5 +96,5 @@
         self.result.refused += usize::from(outcome != Outcome::Served);
     }
 
-    fn restarted(&mut self, _process: usize) {}
+    fn record_restart(&mut self, _process: usize) {}
 }
