--- a/crates/thymeshift_lab/src/replay/backoffs/day.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/day.rs
@@ -19,7 +19,7 @@
 use crate::replay::fleet::Outcome;
 use crate::replay::fleet::Scenario;
 use crate::replay::fleet::FleetFault;
-use crate::replay::fleet::WORK_MS;
+use crate::replay::fleet::SERVICE_TIME_MS;
 
 /// Until a refusal is back at the process.
 const REFUSAL_MS: u64 = 3;
@@ -77,7 +77,7 @@
             self.result.refusals += 1;
             return (REFUSAL_MS, Some(Duration::from_millis(self.pattern.backoff_ms)));
         }
-        (rng.random_range(WORK_MS), None)
+        (rng.random_range(SERVICE_TIME_MS), None)
     }
 
     fn apply_answer(
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -58,7 +58,7 @@
 const LOST: f64 = 0.02;
 const DOUBLED: f64 = 0.02;
 /// Work of a target, in milliseconds.
-pub(super) const WORK_MS: std::ops::Range<u64> = 40..80;
+pub(super) const SERVICE_TIME_MS: std::ops::Range<u64> = 40..80;
 /// Time between two exchanges of a process with others.
 const EXCHANGE_MS: u64 = 1_250;
 /// Time between two looks at waiting calls.
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/day.rs
@@ -16,7 +16,7 @@
 use crate::replay::fleet::Outcome;
 use crate::replay::fleet::Scenario;
 use crate::replay::fleet::FleetFault;
-use crate::replay::fleet::WORK_MS;
+use crate::replay::fleet::SERVICE_TIME_MS;
 use crate::replay::limits::LimitPattern;
 use crate::replay::limits::LimitPolicy;
 use crate::replay::limits::LimitResult;
@@ -71,7 +71,7 @@
         if let Some(arrived) = self.arrived_ms.get_mut(target) {
             arrived.push(at_ms);
         }
-        let work_ms = rng.random_range(WORK_MS);
+        let work_ms = rng.random_range(SERVICE_TIME_MS);
         let names_limit = target < self.pattern.limited_targets && self.policy != LimitPolicy::Ignored;
         let limit = limit_at(&self.pattern, at_ms + work_ms).filter(|_| names_limit);
         (work_ms, limit)
