--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -26,7 +26,7 @@
 use crate::replay::fleet::SimulatedFleet;
 use crate::replay::fleet::process::Asking;
 use crate::replay::fleet::process::GroupState;
-use crate::replay::fleet::process::Running;
+use crate::replay::fleet::process::RunningCall;
 
 /// Wait for an allocator's first word, and beyond the end of a call's wait for its last.
 const FIRST_WORD_MS: u64 = 25;
@@ -223,14 +223,14 @@
         let target = name.as_str().trim_start_matches('t').parse().unwrap_or(TARGETS);
         let arrival = Arrival { process: place, target, at_ms: self.now_ms };
         let (after_ms, answer) = self.scenario.answer(arrival, &mut self.rng);
-        self.processes[place].running.insert(number, Running { grant, allocator, call });
+        self.processes[place].running.insert(number, RunningCall { grant, allocator, call });
         self.add(after_ms, Event::Answer { at: place, number, answer });
     }
 
     pub(super) fn answer(&mut self, place: usize, number: u64, answer: &S::Answer) {
         let now = self.now();
         let process = &mut self.processes[place];
-        let Some(Running { grant, allocator, call }) = process.running.remove(&number) else {
+        let Some(RunningCall { grant, allocator, call }) = process.running.remove(&number) else {
             return;
         };
         let (observation, backoff) = self.scenario.apply_answer(answer, &mut process.own, &grant, now);
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -39,7 +39,7 @@
 }
 
 /// A call that a target runs.
-pub(super) struct Running {
+pub(super) struct RunningCall {
     pub(super) grant: Grant,
     /// The allocator whose lease it holds.
     pub(super) allocator: Option<usize>,
@@ -51,7 +51,7 @@
     pub(super) state: Option<GroupState>,
     /// By the number of the lease.
     pub(super) asking: BTreeMap<u64, Asking>,
-    pub(super) running: BTreeMap<u64, Running>,
+    pub(super) running: BTreeMap<u64, RunningCall>,
     passed_over: BTreeMap<usize, (u64, u32)>,
 }
 
