--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -24,7 +24,7 @@
 use crate::replay::fleet::Scenario;
 use crate::replay::fleet::TARGETS;
 use crate::replay::fleet::SimulatedFleet;
-use crate::replay::fleet::process::Asking;
+use crate::replay::fleet::process::PendingCall;
 use crate::replay::fleet::process::GroupState;
 use crate::replay::fleet::process::RunningCall;
 
@@ -77,7 +77,7 @@
         self.next_number += 1;
         let number = self.next_number;
         let until_ms = self.now_ms + FIRST_WORD_MS;
-        let asking = Asking { allocator, asked, given_back, call, until_ms };
+        let asking = PendingCall { allocator, asked, given_back, call, until_ms };
         self.processes[place].asking.insert(number, asking);
         let wait_ms = (call.began_ms + WAIT_MS).saturating_sub(self.now_ms);
         let held = self.processes[place].held(allocator);
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -28,7 +28,7 @@
 }
 
 /// A call that waits for a target.
-pub(super) struct Asking {
+pub(super) struct PendingCall {
     pub(super) allocator: usize,
     /// Allocators asked so far, and grants given back.
     pub(super) asked: usize,
@@ -50,7 +50,7 @@
     pub(super) own: Dispatcher<AnyStrategy>,
     pub(super) state: Option<GroupState>,
     /// By the number of the lease.
-    pub(super) asking: BTreeMap<u64, Asking>,
+    pub(super) asking: BTreeMap<u64, PendingCall>,
     pub(super) running: BTreeMap<u64, RunningCall>,
     passed_over: BTreeMap<usize, (u64, u32)>,
 }
