--- a/crates/thymeshift_lab/src/replay/fleet/asking.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/asking.rs
@@ -77,8 +77,8 @@
         self.next_number += 1;
         let number = self.next_number;
         let until_ms = self.now_ms + FIRST_WORD_MS;
-        let asking = PendingCall { allocator, asked, given_back, call, until_ms };
-        self.processes[place].asking.insert(number, asking);
+        let pending = PendingCall { allocator, asked, given_back, call, until_ms };
+        self.processes[place].pending.insert(number, pending);
         let wait_ms = (call.began_ms + WAIT_MS).saturating_sub(self.now_ms);
         let held = self.processes[place].held(allocator);
         let excluded = self.excluded(place);
@@ -126,19 +126,19 @@
     }
 
     pub(super) fn told(&mut self, place: usize, number: u64, allocation: Allocation) {
-        let Some(asking) = self.processes[place].asking.get_mut(&number) else {
+        let Some(pending) = self.processes[place].pending.get_mut(&number) else {
             return;
         };
-        let allocator = asking.allocator;
+        let allocator = pending.allocator;
         match allocation {
             Allocation::Waiting => {
-                let until_ms = asking.call.began_ms + WAIT_MS + LAST_WORD_SLACK_MS;
-                asking.until_ms = until_ms;
+                let until_ms = pending.call.began_ms + WAIT_MS + LAST_WORD_SLACK_MS;
+                pending.until_ms = until_ms;
                 let after_ms = until_ms.saturating_sub(self.now_ms);
                 self.add(after_ms, Event::Unheard { at: place, number });
             }
             Allocation::Refused(_) => {
-                self.processes[place].asking.remove(&number);
+                self.processes[place].pending.remove(&number);
                 self.scenario.record_outcome(self.now_ms, Outcome::Refused);
             }
             Allocation::Granted(granted) => self.granted(place, number, &granted),
@@ -149,23 +149,23 @@
     fn granted(&mut self, place: usize, number: u64, granted: &LeaseGrant) {
         let now = self.now();
         let process = &mut self.processes[place];
-        let Some(asking) = process.asking.remove(&number) else {
+        let Some(pending) = process.pending.remove(&number) else {
             return;
         };
         let granted_here = process.own.grant_target(&granted.target, granted.rate_limit, now);
         let mut report = LeaseReport::default();
         if let Some(grant) = granted_here {
             if process.own.is_within_limit(&grant) {
-                return self.begin(place, number, grant, Some(asking.allocator), asking.call);
+                return self.begin(place, number, grant, Some(pending.allocator), pending.call);
             }
             report.rate_limit = process.own.rate_limit_update(&grant, now);
             process.own.release(grant, now);
         }
-        self.release(place, asking.allocator, number, report, None);
-        if asking.given_back + 1 < GIVEN_BACK_MAX {
-            self.ask(place, asking.asked, asking.given_back + 1, asking.call);
+        self.release(place, pending.allocator, number, report, None);
+        if pending.given_back + 1 < GIVEN_BACK_MAX {
+            self.ask(place, pending.asked, pending.given_back + 1, pending.call);
         } else {
-            self.decide_alone(place, asking.call);
+            self.decide_alone(place, pending.call);
         }
     }
 
@@ -184,14 +184,14 @@
     pub(super) fn unheard(&mut self, place: usize, number: u64) {
         let now_ms = self.now_ms;
         let process = &mut self.processes[place];
-        let is_over = process.asking.get(&number).is_some_and(|asking| now_ms >= asking.until_ms);
+        let is_over = process.pending.get(&number).is_some_and(|pending| now_ms >= pending.until_ms);
         if !is_over {
             return;
         }
-        if let Some(asking) = process.asking.remove(&number) {
-            process.pass_over(asking.allocator, now_ms);
-            self.release(place, asking.allocator, number, LeaseReport::default(), None);
-            self.ask(place, asking.asked + 1, asking.given_back, asking.call);
+        if let Some(pending) = process.pending.remove(&number) {
+            process.pass_over(pending.allocator, now_ms);
+            self.release(place, pending.allocator, number, LeaseReport::default(), None);
+            self.ask(place, pending.asked + 1, pending.given_back, pending.call);
         }
     }
 
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -50,7 +50,7 @@
     pub(super) own: Dispatcher<AnyStrategy>,
     pub(super) state: Option<GroupState>,
     /// By the number of the lease.
-    pub(super) asking: BTreeMap<u64, PendingCall>,
+    pub(super) pending: BTreeMap<u64, PendingCall>,
     pub(super) running: BTreeMap<u64, RunningCall>,
     passed_over: BTreeMap<usize, (u64, u32)>,
 }
@@ -68,7 +68,7 @@
         Self {
             own,
             state: None,
-            asking: BTreeMap::new(),
+            pending: BTreeMap::new(),
             running: BTreeMap::new(),
             passed_over: BTreeMap::new(),
         }
@@ -119,8 +119,8 @@
 
     /// Leases that this process holds or asks of an allocator.
     pub(super) fn held(&self, allocator: usize) -> Vec<u64> {
-        let asking = self.asking.iter().filter(|(_, asking)| asking.allocator == allocator);
+        let pending = self.pending.iter().filter(|(_, pending)| pending.allocator == allocator);
         let running = self.running.iter().filter(|(_, held)| held.allocator == Some(allocator));
-        asking.map(|(number, _)| *number).chain(running.map(|(number, _)| *number)).collect()
+        pending.map(|(number, _)| *number).chain(running.map(|(number, _)| *number)).collect()
     }
 }
