--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -1,7 +1,7 @@
 //! A request that crashes targets, and targets that end for other reasons: who is refused, and
 //! what the others get.
 
-mod day;
+mod simulation;
 
 use std::fmt;
 use std::fmt::Write;
@@ -10,8 +10,8 @@
 use thymeshift_fleet::QuarantineRules;
 use thymeshift_types::NameError;
 
-use crate::replay::crashes::day::Day;
-use crate::replay::crashes::day::Names;
+use crate::replay::crashes::simulation::Day;
+use crate::replay::crashes::simulation::Names;
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -1,14 +1,14 @@
 //! The limit of one organisation over many processes: how far it is exceeded, and who is refused
 //! although it holds.
 
-mod day;
+mod simulation;
 mod policy;
 mod process;
 
 use std::fmt;
 use std::fmt::Write;
 
-use crate::replay::quotas::day::Day;
+use crate::replay::quotas::simulation::Day;
 
 pub use policy::QuotaPolicy;
 
--- a/crates/thymeshift_lab/src/replay/quotas/process.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/process.rs
@@ -4,7 +4,7 @@
 use thymeshift_organisations::QuotaHolder;
 use thymeshift_types::Timestamp;
 
-use crate::replay::quotas::day::LIMIT;
+use crate::replay::quotas::simulation::LIMIT;
 
 /// Memory of a process's demand where parts follow demand, in milliseconds.
 const DEMAND_MEMORY_MS: f64 = 1_000.0;
