--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -1,8 +1,8 @@
 //! Targets that refuse and ask for backoffs, over many processes: how many requests reach them all the
 //! same, and what callers get.
 
-mod day;
-mod judge;
+mod scenario;
+mod evaluation;
 mod policy;
 
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use thymeshift_config::Mistakes;
 
-use crate::replay::backoffs::day::BackoffDay;
+use crate::replay::backoffs::scenario::BackoffDay;
 use crate::replay::fleet::FleetFault;
 use crate::replay::fleet::SimulatedFleet;
 
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -1,8 +1,8 @@
 //! The limits that targets in need name, over many processes: how far they are exceeded, how much
 //! of them is used, and who is refused.
 
-mod day;
-mod judge;
+mod scenario;
+mod evaluation;
 mod policy;
 
 use std::fmt;
@@ -12,7 +12,7 @@
 
 use crate::replay::fleet::FleetFault;
 use crate::replay::fleet::SimulatedFleet;
-use crate::replay::limits::day::LimitDay;
+use crate::replay::limits::scenario::LimitDay;
 
 pub use policy::LimitPolicy;
 
--- a/crates/thymeshift_lab/src/replay/limits/day.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -20,8 +20,8 @@
 use crate::replay::limits::LimitPattern;
 use crate::replay::limits::LimitPolicy;
 use crate::replay::limits::LimitResult;
-use crate::replay::limits::judge::judge;
-use crate::replay::limits::judge::limit_at;
+use crate::replay::limits::evaluation::judge;
+use crate::replay::limits::evaluation::limit_at;
 
 pub(super) struct LimitDay {
     pattern: LimitPattern,
