--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -10,7 +10,7 @@
 use thymeshift_fleet::QuarantineRules;
 use thymeshift_types::NameError;
 
-use crate::replay::crashes::simulation::Day;
+use crate::replay::crashes::simulation::CrashSimulation;
 use crate::replay::crashes::simulation::Names;
 
 /// What goes wrong.
@@ -94,7 +94,7 @@
     let names = Names::new()?;
     let mut result = CrashResult::default();
     for seed in 0..days {
-        result.add(&Day::new(names.clone(), *pattern, *policy, seed).play());
+        result.add(&CrashSimulation::new(names.clone(), *pattern, *policy, seed).play());
     }
     Ok(result)
 }
--- a/crates/thymeshift_lab/src/replay/crashes/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/simulation.rs
@@ -113,7 +113,7 @@
     }
 }
 
-pub(super) struct Day {
+pub(super) struct CrashSimulation {
     names: Names,
     pattern: CrashPattern,
     policy: CrashPolicy,
@@ -131,7 +131,7 @@
     result: CrashResult,
 }
 
-impl Day {
+impl CrashSimulation {
     pub(super) fn new(names: Names, pattern: CrashPattern, policy: CrashPolicy, seed: u64) -> Self {
         Self {
             names,
