--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::fmt::Write;
 
-use crate::replay::quotas::simulation::Day;
+use crate::replay::quotas::simulation::QuotaSimulation;
 
 pub use policy::QuotaPolicy;
 
@@ -103,7 +103,7 @@
 ) -> QuotaResult {
     let mut result = QuotaResult::default();
     for seed in 0..days {
-        result.add(&Day::new(*pattern, policy, processes, seed).play());
+        result.add(&QuotaSimulation::new(*pattern, policy, processes, seed).play());
     }
     result
 }
--- a/crates/thymeshift_lab/src/replay/quotas/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/simulation.rs
@@ -67,7 +67,7 @@
     Tells { from: usize },
 }
 
-pub(super) struct Day {
+pub(super) struct QuotaSimulation {
     pattern: QuotaPattern,
     policy: QuotaPolicy,
     processes: Vec<Process>,
@@ -85,7 +85,7 @@
     result: QuotaResult,
 }
 
-impl Day {
+impl QuotaSimulation {
     pub(super) fn new(pattern: QuotaPattern, policy: QuotaPolicy, count: usize, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let start = Timestamp::from_millis(0);
