--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -12,7 +12,7 @@
 
 use crate::replay::fleet::FleetFault;
 use crate::replay::fleet::SimulatedFleet;
-use crate::replay::limits::scenario::LimitDay;
+use crate::replay::limits::scenario::LimitScenario;
 
 pub use policy::LimitPolicy;
 
@@ -89,7 +89,7 @@
 ) -> Result<LimitResult, Mistakes> {
     let mut result = LimitResult::default();
     for seed in 0..days {
-        let day = LimitDay::new(*pattern, policy);
+        let day = LimitScenario::new(*pattern, policy);
         let (day, messages) = SimulatedFleet::new(day, processes, seed)?.play();
         result.add(&day.result(messages));
     }
--- a/crates/thymeshift_lab/src/replay/limits/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -23,14 +23,14 @@
 use crate::replay::limits::evaluation::judge;
 use crate::replay::limits::evaluation::limit_at;
 
-pub(super) struct LimitDay {
+pub(super) struct LimitScenario {
     pattern: LimitPattern,
     policy: LimitPolicy,
     arrived_ms: Vec<Vec<u64>>,
     result: LimitResult,
 }
 
-impl LimitDay {
+impl LimitScenario {
     pub(super) fn new(pattern: LimitPattern, policy: LimitPolicy) -> Self {
         let arrived_ms = vec![Vec::new(); pattern.limited_targets];
         Self { pattern, policy, arrived_ms, result: LimitResult::default() }
@@ -42,7 +42,7 @@
     }
 }
 
-impl Scenario for LimitDay {
+impl Scenario for LimitScenario {
     /// The limit that it names, in requests a second.
     type Answer = Option<f64>;
 
