--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -10,7 +10,7 @@
 
 use thymeshift_config::Mistakes;
 
-use crate::replay::backoffs::scenario::BackoffDay;
+use crate::replay::backoffs::scenario::BackoffScenario;
 use crate::replay::fleet::FleetFault;
 use crate::replay::fleet::SimulatedFleet;
 
@@ -104,7 +104,7 @@
 ) -> Result<BackoffResult, Mistakes> {
     let mut result = BackoffResult::default();
     for seed in 0..days {
-        let day = BackoffDay::new(*pattern, policy);
+        let day = BackoffScenario::new(*pattern, policy);
         let (day, messages) = SimulatedFleet::new(day, processes, seed)?.play();
         result.add(&day.result(messages));
     }
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -26,14 +26,14 @@
 /// Processes that a target with partial refusals serves, for each one that it refuses.
 const SERVED_PER_REFUSED: usize = 3;
 
-pub(super) struct BackoffDay {
+pub(super) struct BackoffScenario {
     pattern: BackoffPattern,
     policy: BackoffPolicy,
     ledger: Ledger,
     result: BackoffResult,
 }
 
-impl BackoffDay {
+impl BackoffScenario {
     pub(super) fn new(pattern: BackoffPattern, policy: BackoffPolicy) -> Self {
         let ledger = Ledger::new(&pattern);
         Self { pattern, policy, ledger, result: BackoffResult::default() }
@@ -54,7 +54,7 @@
     }
 }
 
-impl Scenario for BackoffDay {
+impl Scenario for BackoffScenario {
     /// The backoff that it asks for, if it refuses.
     type Answer = Option<Duration>;
 
