--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -17,7 +17,7 @@
 type Pair = (usize, usize);
 
 /// What arrived at the targets that refuse.
-pub(super) struct Ledger {
+pub(super) struct ArrivalLog {
     backoff_ms: u64,
     returned_at_ms: u64,
     refusing_targets: usize,
@@ -29,7 +29,7 @@
     after_ms: Vec<Vec<u64>>,
 }
 
-impl Ledger {
+impl ArrivalLog {
     pub(super) fn new(pattern: &BackoffPattern) -> Self {
         Self {
             backoff_ms: pattern.backoff_ms,
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -13,7 +13,7 @@
 use crate::replay::backoffs::BackoffPattern;
 use crate::replay::backoffs::BackoffPolicy;
 use crate::replay::backoffs::BackoffResult;
-use crate::replay::backoffs::evaluation::Ledger;
+use crate::replay::backoffs::evaluation::ArrivalLog;
 use crate::replay::backoffs::evaluation::REFUSING_FROM_MS;
 use crate::replay::fleet::Arrival;
 use crate::replay::fleet::Outcome;
@@ -29,13 +29,13 @@
 pub(super) struct BackoffScenario {
     pattern: BackoffPattern,
     policy: BackoffPolicy,
-    ledger: Ledger,
+    ledger: ArrivalLog,
     result: BackoffResult,
 }
 
 impl BackoffScenario {
     pub(super) fn new(pattern: BackoffPattern, policy: BackoffPolicy) -> Self {
-        let ledger = Ledger::new(&pattern);
+        let ledger = ArrivalLog::new(&pattern);
         Self { pattern, policy, ledger, result: BackoffResult::default() }
     }
 
