--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -29,19 +29,19 @@
 pub(super) struct BackoffScenario {
     pattern: BackoffPattern,
     policy: BackoffPolicy,
-    ledger: ArrivalLog,
+    arrivals: ArrivalLog,
     result: BackoffResult,
 }
 
 impl BackoffScenario {
     pub(super) fn new(pattern: BackoffPattern, policy: BackoffPolicy) -> Self {
-        let ledger = ArrivalLog::new(&pattern);
-        Self { pattern, policy, ledger, result: BackoffResult::default() }
+        let arrivals = ArrivalLog::new(&pattern);
+        Self { pattern, policy, arrivals, result: BackoffResult::default() }
     }
 
     pub(super) fn result(mut self, messages: usize) -> BackoffResult {
         self.result.messages = messages;
-        self.ledger.judge(&mut self.result);
+        self.arrivals.judge(&mut self.result);
         self.result
     }
 
@@ -72,7 +72,7 @@
 
     fn answer(&mut self, arrival: Arrival, rng: &mut SmallRng) -> (u64, Option<Duration>) {
         let is_refused = self.is_refused(arrival);
-        self.ledger.note(arrival, is_refused);
+        self.arrivals.note(arrival, is_refused);
         if is_refused {
             self.result.refusals += 1;
             return (REFUSAL_MS, Some(Duration::from_millis(self.pattern.backoff_ms)));
@@ -109,6 +109,6 @@
     }
 
     fn record_restart(&mut self, process: usize) {
-        self.ledger.forgive(process);
+        self.arrivals.forgive(process);
     }
 }
