--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn judge(mut self, result: &mut BackoffResult) {
+    pub(super) fn evaluate(mut self, result: &mut BackoffResult) {
         self.settle();
         result.requests_in_backoff_max = self.requests_in_backoff_max;
         for arrived in &self.after_ms {
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -41,7 +41,7 @@
 
     pub(super) fn result(mut self, messages: usize) -> BackoffResult {
         self.result.messages = messages;
-        self.arrivals.judge(&mut self.result);
+        self.arrivals.evaluate(&mut self.result);
         self.result
     }
 
--- a/crates/thymeshift_lab/src/replay/limits/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/limits/evaluation.rs
@@ -24,7 +24,7 @@
 }
 
 /// Judges the arrivals at the targets in need, in the order of their moments.
-pub(super) fn judge(pattern: &LimitPattern, arrived_ms: &[Vec<u64>], result: &mut LimitResult) {
+pub(super) fn evaluate(pattern: &LimitPattern, arrived_ms: &[Vec<u64>], result: &mut LimitResult) {
     let from = NAMED_AT_MS + KNOWN_AFTER_MS;
     for arrived in arrived_ms {
         let late: Vec<u64> = arrived.iter().copied().filter(|at| *at >= from).collect();
--- a/crates/thymeshift_lab/src/replay/limits/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -20,7 +20,7 @@
 use crate::replay::limits::LimitPattern;
 use crate::replay::limits::LimitPolicy;
 use crate::replay::limits::LimitResult;
-use crate::replay::limits::evaluation::judge;
+use crate::replay::limits::evaluation::evaluate;
 use crate::replay::limits::evaluation::limit_at;
 
 pub(super) struct LimitScenario {
@@ -37,7 +37,7 @@
     }
 
     pub(super) fn result(mut self, messages: usize) -> LimitResult {
-        judge(&self.pattern, &self.arrived_ms, &mut self.result);
+        evaluate(&self.pattern, &self.arrived_ms, &mut self.result);
         LimitResult { messages, ..self.result }
     }
 }
--- a/crates/thymeshift_lab/src/replay/quotas/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/simulation.rs
@@ -132,7 +132,7 @@
             self.trouble();
             self.take(event);
         }
-        self.judge();
+        self.evaluate();
         self.result
     }
 
@@ -408,7 +408,7 @@
     }
 
     /// What was admitted in each window that one limit holds in.
-    fn judge(&mut self) {
+    fn evaluate(&mut self) {
         for start in (0..DAY_MS - WINDOW_MS).step_by(100) {
             let window = start..start + WINDOW_MS;
             let changes = LOWERED_AT_MS..LOWERED_AT_MS + IN_FORCE_MS;
