--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn note(&mut self, arrival: Arrival, is_refused: bool) {
+    pub(super) fn record_arrival(&mut self, arrival: Arrival, is_refused: bool) {
         let Arrival { process, target, at_ms } = arrival;
         if target >= self.refusing_targets {
             return;
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -72,7 +72,7 @@
 
     fn answer(&mut self, arrival: Arrival, rng: &mut SmallRng) -> (u64, Option<Duration>) {
         let is_refused = self.is_refused(arrival);
-        self.arrivals.note(arrival, is_refused);
+        self.arrivals.record_arrival(arrival, is_refused);
         if is_refused {
             self.result.refusals += 1;
             return (REFUSAL_MS, Some(Duration::from_millis(self.pattern.backoff_ms)));
