--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -59,7 +59,7 @@
     }
 
     /// What a process was asked before it started again does not bind it.
-    pub(super) fn forgive(&mut self, process: usize) {
+    pub(super) fn forget_process(&mut self, process: usize) {
         self.settle();
         self.asked_ms.retain(|(asked, _), _| *asked != process);
     }
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -109,6 +109,6 @@
     }
 
     fn record_restart(&mut self, process: usize) {
-        self.arrivals.forgive(process);
+        self.arrivals.forget_process(process);
     }
 }
