--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -60,11 +60,11 @@
 
     /// What a process was asked before it started again does not bind it.
     pub(super) fn forget_process(&mut self, process: usize) {
-        self.settle();
+        self.evaluate_backoffs();
         self.asked_ms.retain(|(asked, _), _| *asked != process);
     }
 
-    fn settle(&mut self) {
+    fn evaluate_backoffs(&mut self) {
         for (pair, asked_ms) in &self.asked_ms {
             let arrived = self.within.get(pair).map_or(&[][..], Vec::as_slice);
             for asked in asked_ms {
@@ -76,7 +76,7 @@
     }
 
     pub(super) fn evaluate(mut self, result: &mut BackoffResult) {
-        self.settle();
+        self.evaluate_backoffs();
         result.requests_in_backoff_max = self.requests_in_backoff_max;
         for arrived in &self.after_ms {
             let from = |first: &u64| {
