--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -105,7 +105,7 @@
     let mut result = BackoffResult::default();
     for seed in 0..days {
         let day = BackoffScenario::new(*pattern, policy);
-        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.play();
+        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.run();
         result.add(&day.result(messages));
     }
     Ok(result)
--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -94,7 +94,7 @@
     let names = Names::new()?;
     let mut result = CrashResult::default();
     for seed in 0..days {
-        result.add(&CrashSimulation::new(names.clone(), *pattern, *policy, seed).play());
+        result.add(&CrashSimulation::new(names.clone(), *pattern, *policy, seed).run());
     }
     Ok(result)
 }
--- a/crates/thymeshift_lab/src/replay/crashes/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/simulation.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    pub(super) fn play(mut self) -> CrashResult {
+    pub(super) fn run(mut self) -> CrashResult {
         self.events.schedule(Timestamp::default(), Event::Innocent);
         if self.pattern.guilty_interval.is_some() {
             self.events.schedule(Timestamp::from_millis(5_000), Event::Guilty);
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -153,7 +153,7 @@
     }
 
     /// Plays the day. Returns the scenario, and how many messages processes sent to each other.
-    pub(super) fn play(mut self) -> (S, usize) {
+    pub(super) fn run(mut self) -> (S, usize) {
         while let Some((at, event)) = self.events.pop() {
             self.now_ms = at.as_micros() / 1_000;
             if self.now_ms >= DAY_MS {
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -90,7 +90,7 @@
     let mut result = LimitResult::default();
     for seed in 0..days {
         let day = LimitScenario::new(*pattern, policy);
-        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.play();
+        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.run();
         result.add(&day.result(messages));
     }
     Ok(result)
--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -103,7 +103,7 @@
 ) -> QuotaResult {
     let mut result = QuotaResult::default();
     for seed in 0..days {
-        result.add(&QuotaSimulation::new(*pattern, policy, processes, seed).play());
+        result.add(&QuotaSimulation::new(*pattern, policy, processes, seed).run());
     }
     result
 }
--- a/crates/thymeshift_lab/src/replay/quotas/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/simulation.rs
@@ -123,7 +123,7 @@
         day
     }
 
-    pub(super) fn play(mut self) -> QuotaResult {
+    pub(super) fn run(mut self) -> QuotaResult {
         while let Some((at, event)) = self.events.pop() {
             self.now_ms = at.as_micros() / 1_000;
             if self.now_ms >= DAY_MS {
