--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! A virtual fleet: calls at many processes that ask an allocator for targets, event by event. What
 //! targets answer, and what is done about that, is a [`Scenario`].
 
-mod asking;
+mod acquisition;
 mod process;
 mod scenario;
 
@@ -28,7 +28,7 @@
 use thymeshift_types::Timestamp;
 
 use crate::replay::event_queue::EventQueue;
-use crate::replay::fleet::asking::request;
+use crate::replay::fleet::acquisition::request;
 use crate::replay::fleet::process::GroupState;
 use crate::replay::fleet::process::Process;
 
