--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -4,7 +4,7 @@
 
 use crate::standin::Behaviour;
 use crate::standin::Fault;
-use crate::standin::Reports;
+use crate::standin::ReportMode;
 
 /// What is wrong during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,9 +52,9 @@
         match self {
             Self::TwoSpeeds if index.is_multiple_of(2) => Behaviour { slowness: 2.0, ..good },
             Self::NoisyNeighbours => noisy,
-            Self::Stale(stale_ms) => Behaviour { reports: Reports::Stale, stale_ms, ..good },
-            Self::NoisyAndStale => Behaviour { reports: Reports::Stale, stale_ms: 100, ..noisy },
-            Self::Liar if index == 0 => Behaviour { reports: Reports::Idle, slowness: 3.0, ..good },
+            Self::Stale(stale_ms) => Behaviour { reports: ReportMode::Stale, stale_ms, ..good },
+            Self::NoisyAndStale => Behaviour { reports: ReportMode::Stale, stale_ms: 100, ..noisy },
+            Self::Liar if index == 0 => Behaviour { reports: ReportMode::Idle, slowness: 3.0, ..good },
             Self::FastFailer if index == 0 => Behaviour { fault: Fault::Failing, ..good },
             Self::SlowDeath if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
             Self::Drain if index == 0 => Behaviour { is_draining: share > 0.4, ..good },
--- a/crates/thymeshift_lab/src/standin/behaviour.rs
+++ b/crates/thymeshift_lab/src/standin/behaviour.rs
@@ -6,7 +6,7 @@
 /// What a target reports of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reports {
+pub enum ReportMode {
     /// What is true now.
     #[default]
     True,
@@ -54,7 +54,7 @@
     /// It holds each answer back for this long, in milliseconds.
     pub late_ms: u64,
     /// What it reports.
-    pub reports: Reports,
+    pub reports: ReportMode,
     /// Age of its reports if they are stale, in milliseconds.
     pub stale_ms: u64,
     /// For so long after its start it is slower, in milliseconds.
@@ -75,7 +75,7 @@
             backoff_s: None,
             slowness: 1.0,
             late_ms: 0,
-            reports: Reports::True,
+            reports: ReportMode::True,
             stale_ms: 0,
             cold_ms: 0,
             cold_slowness: 1.0,
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -15,7 +15,7 @@
 pub use answer::expected_answer;
 pub use behaviour::Behaviour;
 pub use behaviour::Fault;
-pub use behaviour::Reports;
+pub use behaviour::ReportMode;
 pub use ledger::Ledger;
 pub use ledger::LedgerEntry;
 pub use platform::DocumentName;
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -49,7 +49,7 @@
 use crate::standin::Behaviour;
 use crate::standin::Fault;
 use crate::standin::Ledger;
-use crate::standin::Reports;
+use crate::standin::ReportMode;
 use crate::standin::answer::expected_answer;
 use crate::standin::exact_sleep::exact_sleep;
 use crate::standin::need::Need;
@@ -317,10 +317,10 @@
             map.insert(headers::RATE_LIMIT, limit);
         }
         let report = match behaviour.reports {
-            Reports::None => return,
-            Reports::True => self.slots.report(Duration::ZERO),
-            Reports::Stale => self.slots.report(Duration::from_millis(behaviour.stale_ms)),
-            Reports::Idle => LoadReport {
+            ReportMode::None => return,
+            ReportMode::True => self.slots.report(Duration::ZERO),
+            ReportMode::Stale => self.slots.report(Duration::from_millis(behaviour.stale_ms)),
+            ReportMode::Idle => LoadReport {
                 running: 0,
                 queued: 0,
                 incarnation: None,
