--- a/crates/thymeshift_lab/src/load/caller.rs
+++ b/crates/thymeshift_lab/src/load/caller.rs
@@ -21,7 +21,7 @@
 
 use crate::load::KindLoad;
 use crate::load::Told;
-use crate::standin::CALLED_PROCESS;
+use crate::standin::CALLED_PROCESS_HEADER;
 use crate::standin::expected_answer;
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -75,7 +75,7 @@
             .method(kind.method.clone())
             .uri(&path)
             .header(HOST, "callers.example")
-            .header(CALLED_PROCESS, entry.to_string())
+            .header(CALLED_PROCESS_HEADER, entry.to_string())
             .body(Full::new(body.clone()));
         let Ok(request) = request else {
             return Told::Nothing;
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -24,7 +24,7 @@
 pub use proxy::Proxy;
 pub use proxy::ProxyMode;
 pub use server::Running;
-pub use statements::CALLED_PROCESS;
+pub use statements::CALLED_PROCESS_HEADER;
 pub use statements::Disregarded;
 pub use target::Target;
 pub use target::TargetSettings;
--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 /// The process that a request was sent to, as its caller names it.
-pub const CALLED_PROCESS: HeaderName = HeaderName::from_static("lab-called-process");
+pub const CALLED_PROCESS_HEADER: HeaderName = HeaderName::from_static("lab-called-process");
 /// After this time without a new request a target may end that leaves.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 /// Until an answer has reached the process, and requests under way have arrived.
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -61,7 +61,7 @@
 use crate::standin::server::Running;
 use crate::standin::server::serve;
 use crate::standin::slots::Slots;
-use crate::standin::statements::CALLED_PROCESS;
+use crate::standin::statements::CALLED_PROCESS_HEADER;
 use crate::standin::statements::StatementLedger;
 
 /// Length of an answer whose request does not say.
@@ -201,7 +201,7 @@
         exact_sleep(one_way).await;
         let (parts, body) = request.into_parts();
         let attempt = parts.headers.get(&headers::ATTEMPT).cloned();
-        let process = parts.headers.get(&CALLED_PROCESS).and_then(|value| value.to_str().ok());
+        let process = parts.headers.get(&CALLED_PROCESS_HEADER).and_then(|value| value.to_str().ok());
         let process = process.map(str::to_owned);
         let mut answer = if parts.uri.path() == "/probe" {
             self.probe().await
