--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -22,7 +22,7 @@
 use crate::http_client::AskError;
 use crate::http_client::ask;
 use crate::standin::Behaviour;
-use crate::standin::Disregarded;
+use crate::standin::StatementViolations;
 use crate::standin::LedgerEntry;
 use crate::standin::PlatformMode;
 
@@ -117,7 +117,7 @@
     }
 
     /// What reached it against what it had said, by the process that sent it.
-    pub async fn disregarded(&self) -> Result<HashMap<String, Disregarded>, FleetError> {
+    pub async fn disregarded(&self) -> Result<HashMap<String, StatementViolations>, FleetError> {
         let answer = ask(self.child.address("control")?, Method::GET, "/statements", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -50,7 +50,7 @@
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
 use crate::standin::Behaviour;
-use crate::standin::Disregarded;
+use crate::standin::StatementViolations;
 use crate::standin::PlatformMode;
 use crate::standin::Proxy;
 use crate::standin::ProxyMode;
@@ -99,7 +99,7 @@
     /// Most requests in four seconds at a target that names a limit, in parts of what is allowed.
     pub worst_window: f64,
     /// The worst of what reached targets against what they had said.
-    pub disregarded: Disregarded,
+    pub disregarded: StatementViolations,
     /// Answers that planned work alone cost.
     pub lost_by_planned_work: u64,
     /// Time until the last revision was in force everywhere; none if it was not in time.
--- a/crates/thymeshift_lab/src/experiment/soak_statement.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_statement.rs
@@ -12,7 +12,7 @@
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::FleetError;
 use crate::standin::Behaviour;
-use crate::standin::Disregarded;
+use crate::standin::StatementViolations;
 use crate::standin::Fault;
 
 /// One seed in so many has such targets.
@@ -80,9 +80,9 @@
     fleet: &Fleet,
     statements: &[SoakStatement],
     folder: &Path,
-) -> Result<Disregarded, FleetError> {
+) -> Result<StatementViolations, FleetError> {
     let paused = paused_processes(folder)?;
-    let mut worst = Disregarded::default();
+    let mut worst = StatementViolations::default();
     for statement in statements {
         let by_process = fleet.targets[statement.target].disregarded().await?;
         let counted = by_process.iter().filter(|(process, _)| !paused.contains(*process));
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -25,6 +25,6 @@
 pub use proxy::ProxyMode;
 pub use server::Running;
 pub use statements::CALLED_PROCESS_HEADER;
-pub use statements::Disregarded;
+pub use statements::StatementViolations;
 pub use target::Target;
 pub use target::TargetSettings;
--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -18,14 +18,14 @@
 
 /// What reached a target against what it had said.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Disregarded {
+pub struct StatementViolations {
     /// Requests of processes that had known for longer than the drain time that it leaves.
     pub after_leaving: usize,
     /// Most requests of one process within a backoff.
     pub in_backoff: usize,
 }
 
-impl Disregarded {
+impl StatementViolations {
     /// The worse of two targets.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
@@ -41,7 +41,7 @@
     left_at: Option<Instant>,
     /// Beginning, end, and requests within.
     backoffs: Vec<(Instant, Instant, usize)>,
-    disregarded: Disregarded,
+    disregarded: StatementViolations,
 }
 
 /// The statements of one target, by process.
@@ -82,7 +82,7 @@
     }
 
     /// What each process disregarded.
-    pub(super) fn disregarded(&self) -> HashMap<String, Disregarded> {
+    pub(super) fn disregarded(&self) -> HashMap<String, StatementViolations> {
         let processes = self.processes.lock();
         processes.iter().map(|(name, known)| (name.clone(), known.disregarded)).collect()
     }
