--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -41,7 +41,7 @@
     left_at: Option<Instant>,
     /// Beginning, end, and requests within.
     backoffs: Vec<(Instant, Instant, usize)>,
-    disregarded: StatementViolations,
+    violations: StatementViolations,
 }
 
 /// The statements of one target, by process.
@@ -56,13 +56,13 @@
         let now = Instant::now();
         let mut processes = self.processes.lock();
         let known = processes.entry(process.to_owned()).or_default();
-        let ToProcess { left_at, backoffs, disregarded } = known;
+        let ToProcess { left_at, backoffs, violations } = known;
         let is_late = left_at.is_some_and(|at| now > at + SETTLED_AFTER + DRAIN_TIME);
-        disregarded.after_leaving += usize::from(is_late);
+        violations.after_leaving += usize::from(is_late);
         backoffs.retain(|(_, end, _)| now < *end);
         for (begin, _, count) in backoffs {
             *count += usize::from(now > *begin + SETTLED_AFTER);
-            disregarded.in_backoff = disregarded.in_backoff.max(*count);
+            violations.in_backoff = violations.in_backoff.max(*count);
         }
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// What each process disregarded.
-    pub(super) fn disregarded(&self) -> HashMap<String, StatementViolations> {
+    pub(super) fn violations(&self) -> HashMap<String, StatementViolations> {
         let processes = self.processes.lock();
-        processes.iter().map(|(name, known)| (name.clone(), known.disregarded)).collect()
+        processes.iter().map(|(name, known)| (name.clone(), known.violations)).collect()
     }
 }
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -187,7 +187,7 @@
             },
             (&Method::GET, "/limit") => text(self.need.worst_window().to_string()),
             (&Method::GET, "/statements") => {
-                text(serde_json::to_vec(&self.statements.disregarded()).unwrap_or_default())
+                text(serde_json::to_vec(&self.statements.violations()).unwrap_or_default())
             }
             (&Method::GET, "/ledger") => {
                 text(serde_json::to_vec(&self.ledger.entries()).unwrap_or_default())
