--- a/crates/thymeshift_lab/src/experiment/single.rs
+++ b/crates/thymeshift_lab/src/experiment/single.rs
@@ -15,7 +15,7 @@
 use crate::experiment::fleet::wait_ready;
 use crate::standin::DocumentName;
 use crate::standin::Platform;
-use crate::standin::Running;
+use crate::standin::ServerHandle;
 
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
 
@@ -52,7 +52,7 @@
     /// The entry process.
     pub entry: Child,
     /// The platform's ports.
-    pub platform_ports: Running,
+    pub platform_ports: ServerHandle,
     /// Logs and settings.
     pub folder: TempFolder,
     entries: u32,
@@ -93,7 +93,7 @@
 
 async fn start_entry(
     folder: &TempFolder,
-    platform: &Running,
+    platform: &ServerHandle,
     number: u32,
     more: &str,
 ) -> Result<Child, FleetError> {
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -19,7 +19,7 @@
 use thymeshift_lab::load;
 use thymeshift_lab::replay;
 use thymeshift_lab::standin::Platform;
-use thymeshift_lab::standin::Running;
+use thymeshift_lab::standin::ServerHandle;
 use thymeshift_lab::standin::Target;
 
 use crate::arguments::Command;
@@ -102,7 +102,7 @@
 }
 
 /// Says where a stand-in listens and keeps it running until the process is killed.
-async fn stand(running: Running) -> Result<ExitCode, Failure> {
+async fn stand(running: ServerHandle) -> Result<ExitCode, Failure> {
     println!("listening data={} control={}", running.address, running.control);
     std::future::pending::<()>().await;
     Ok(ExitCode::SUCCESS)
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -23,7 +23,7 @@
 pub use platform::PlatformMode;
 pub use proxy::Proxy;
 pub use proxy::ProxyMode;
-pub use server::Running;
+pub use server::ServerHandle;
 pub use statements::CALLED_PROCESS_HEADER;
 pub use statements::StatementViolations;
 pub use target::Target;
--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -30,7 +30,7 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::standin::server::Running;
+use crate::standin::server::ServerHandle;
 use crate::standin::server::serve;
 
 /// Which document.
@@ -106,7 +106,7 @@
     }
 
     /// Serves on `address` (port 0 takes a free one) and on a free control port.
-    pub async fn start(self: &Arc<Self>, address: SocketAddr) -> std::io::Result<Running> {
+    pub async fn start(self: &Arc<Self>, address: SocketAddr) -> std::io::Result<ServerHandle> {
         let data = TcpListener::bind(address).await?;
         let control = TcpListener::bind((address.ip(), 0)).await?;
         let (address, control_address) = (data.local_addr()?, control.local_addr()?);
@@ -115,7 +115,7 @@
         tasks.spawn(serve(data, move |request| platform.clone().answer(request).map(Some)));
         let platform = self.clone();
         tasks.spawn(serve(control, move |request| platform.clone().control(request).map(Some)));
-        Ok(Running { address, control: control_address, _tasks: tasks })
+        Ok(ServerHandle { address, control: control_address, _tasks: tasks })
     }
 
     /// Publishes a document.
--- a/crates/thymeshift_lab/src/standin/server.rs
+++ b/crates/thymeshift_lab/src/standin/server.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 /// A stand-in that runs; dropped, it closes its ports and connections.
-pub struct Running {
+pub struct ServerHandle {
     /// Where the product connects.
     pub address: SocketAddr,
     /// Where tests and people connect.
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -58,7 +58,7 @@
 use crate::standin::platform::status;
 use crate::standin::platform::text;
 use crate::standin::platform::value;
-use crate::standin::server::Running;
+use crate::standin::server::ServerHandle;
 use crate::standin::server::serve;
 use crate::standin::slots::Slots;
 use crate::standin::statements::CALLED_PROCESS_HEADER;
@@ -143,7 +143,7 @@
     }
 
     /// Serves on `address` (port 0 takes a free one) and on a free control port.
-    pub async fn start(self: &Arc<Self>, address: SocketAddr) -> io::Result<Running> {
+    pub async fn start(self: &Arc<Self>, address: SocketAddr) -> io::Result<ServerHandle> {
         let data = TcpListener::bind(address).await?;
         let control = TcpListener::bind((address.ip(), 0)).await?;
         let (address, control_address) = (data.local_addr()?, control.local_addr()?);
@@ -153,7 +153,7 @@
         let target = self.clone();
         tasks.spawn(serve(control, move |request| target.clone().control(request).map(Some)));
         tasks.spawn(self.clone().stall_now_and_then());
-        Ok(Running { address, control: control_address, _tasks: tasks })
+        Ok(ServerHandle { address, control: control_address, _tasks: tasks })
     }
 
     /// Changes how it behaves.
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use thymeshift_config::Configuration;
 use thymeshift_lab::http_client::ask;
-use thymeshift_lab::standin::Running;
+use thymeshift_lab::standin::ServerHandle;
 use thymeshift_lab::standin::Target;
 use thymeshift_lab::standin::TargetSettings;
 use thymeshift_lab::standin::expected_answer;
@@ -26,7 +26,7 @@
 /// A target within the test.
 pub(crate) struct Standing {
     pub(crate) target: Arc<Target>,
-    pub(crate) ports: Running,
+    pub(crate) ports: ServerHandle,
 }
 
 /// A port at which connections are refused for as long as this lives. A port that is merely
