--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -4,7 +4,7 @@
 mod behaviour;
 mod exact_sleep;
 mod ledger;
-mod need;
+mod stated_limit;
 mod platform;
 mod proxy;
 mod server;
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -52,7 +52,7 @@
 use crate::standin::ReportMode;
 use crate::standin::answer::expected_answer;
 use crate::standin::exact_sleep::exact_sleep;
-use crate::standin::need::Need;
+use crate::standin::stated_limit::Need;
 use crate::standin::platform::mistaken;
 use crate::standin::platform::number;
 use crate::standin::platform::status;
@@ -115,7 +115,7 @@
     behaviour: Mutex<Behaviour>,
     /// What it ran.
     pub ledger: Ledger,
-    need: Need,
+    stated_limit: Need,
     statements: StatementLedger,
     slots: Arc<Slots>,
     rng: Mutex<SmallRng>,
@@ -134,7 +134,7 @@
             settings,
             behaviour: Mutex::default(),
             ledger: Ledger::default(),
-            need: Need::default(),
+            stated_limit: Need::default(),
             statements: StatementLedger::default(),
             rng: Mutex::new(rng),
             started: Instant::now(),
@@ -180,12 +180,12 @@
             },
             (&Method::PUT, "/limit") => match serde_json::from_slice(&body.to_bytes()) {
                 Ok(limit_per_s) => {
-                    self.need.set_limit(limit_per_s);
+                    self.stated_limit.set_limit(limit_per_s);
                     status(StatusCode::OK)
                 }
                 Err(error) => mistaken(&error),
             },
-            (&Method::GET, "/limit") => text(self.need.worst_window().to_string()),
+            (&Method::GET, "/limit") => text(self.stated_limit.worst_window().to_string()),
             (&Method::GET, "/statements") => {
                 text(serde_json::to_vec(&self.statements.violations()).unwrap_or_default())
             }
@@ -206,7 +206,7 @@
         let mut answer = if parts.uri.path() == "/probe" {
             self.probe().await
         } else {
-            self.need.arrived();
+            self.stated_limit.arrived();
             if let Some(process) = &process {
                 self.statements.arrived(process);
             }
@@ -312,7 +312,7 @@
                 if behaviour.fault == Fault::Confusing { confused } else { attempt },
             );
         }
-        let limit = self.need.limit_per_s().map(|limit| HeaderValue::try_from(limit.to_string()));
+        let limit = self.stated_limit.limit_per_s().map(|limit| HeaderValue::try_from(limit.to_string()));
         if let Some(Ok(limit)) = limit {
             map.insert(headers::RATE_LIMIT, limit);
         }
