--- a/crates/thymeshift_lab/src/standin/stated_limit.rs
+++ b/crates/thymeshift_lab/src/standin/stated_limit.rs
@@ -15,7 +15,7 @@
 
 /// A target's need.
 #[derive(Default)]
-pub(super) struct Need {
+pub(super) struct StatedLimit {
     state: Mutex<State>,
 }
 
@@ -30,7 +30,7 @@
     worst_window: f64,
 }
 
-impl Need {
+impl StatedLimit {
     /// From now on the target names this limit, or none.
     pub(super) fn set_limit(&self, limit_per_s: Option<f64>) {
         let mut state = self.state.lock();
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -52,7 +52,7 @@
 use crate::standin::ReportMode;
 use crate::standin::answer::expected_answer;
 use crate::standin::exact_sleep::exact_sleep;
-use crate::standin::stated_limit::Need;
+use crate::standin::stated_limit::StatedLimit;
 use crate::standin::platform::mistaken;
 use crate::standin::platform::number;
 use crate::standin::platform::status;
@@ -115,7 +115,7 @@
     behaviour: Mutex<Behaviour>,
     /// What it ran.
     pub ledger: Ledger,
-    stated_limit: Need,
+    stated_limit: StatedLimit,
     statements: StatementLedger,
     slots: Arc<Slots>,
     rng: Mutex<SmallRng>,
@@ -134,7 +134,7 @@
             settings,
             behaviour: Mutex::default(),
             ledger: Ledger::default(),
-            stated_limit: Need::default(),
+            stated_limit: StatedLimit::default(),
             statements: StatementLedger::default(),
             rng: Mutex::new(rng),
             started: Instant::now(),
