--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -198,7 +198,7 @@
         let body = body.to_bytes();
         let query = parts.uri.query().unwrap_or_default();
         match (&parts.method, parts.uri.path()) {
-            (&Method::GET, "/calls") => text(self.calls().to_string()),
+            (&Method::GET, "/calls") => text_response(self.calls().to_string()),
             (&Method::PUT, "/mode") => match serde_json::from_slice(&body) {
                 Ok(mode) => {
                     self.set_mode(mode);
@@ -234,12 +234,12 @@
     response
 }
 
-pub(crate) fn text(text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+pub(crate) fn text_response(text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     Response::new(Full::new(text.into()))
 }
 
 pub(crate) fn mistaken(error: &serde_json::Error) -> Response<Full<Bytes>> {
-    let mut response = text(format!("{error}\n"));
+    let mut response = text_response(format!("{error}\n"));
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -56,7 +56,7 @@
 use crate::standin::platform::mistaken;
 use crate::standin::platform::number;
 use crate::standin::platform::status;
-use crate::standin::platform::text;
+use crate::standin::platform::text_response;
 use crate::standin::platform::value;
 use crate::standin::server::ServerHandle;
 use crate::standin::server::serve;
@@ -185,12 +185,12 @@
                 }
                 Err(error) => mistaken(&error),
             },
-            (&Method::GET, "/limit") => text(self.stated_limit.worst_window().to_string()),
+            (&Method::GET, "/limit") => text_response(self.stated_limit.worst_window().to_string()),
             (&Method::GET, "/statements") => {
-                text(serde_json::to_vec(&self.statements.violations()).unwrap_or_default())
+                text_response(serde_json::to_vec(&self.statements.violations()).unwrap_or_default())
             }
             (&Method::GET, "/ledger") => {
-                text(serde_json::to_vec(&self.ledger.entries()).unwrap_or_default())
+                text_response(serde_json::to_vec(&self.ledger.entries()).unwrap_or_default())
             }
             _ => status(StatusCode::NOT_FOUND),
         }
@@ -237,7 +237,7 @@
 
     async fn probe(&self) -> Answer {
         exact_sleep(Duration::from_micros(self.settings.probe_us)).await;
-        whole(text("probed"))
+        whole(text_response("probed"))
     }
 
     /// None closes the connection.
@@ -264,7 +264,7 @@
         match behaviour.fault {
             Fault::Closing => None,
             Fault::Cutting => Some(cut(bytes)),
-            _ => Some(whole(text(bytes))),
+            _ => Some(whole(text_response(bytes))),
         }
     }
 
