--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -149,12 +149,12 @@
         match mode {
             PlatformMode::Silent => std::future::pending().await,
             PlatformMode::Slow(ms) => sleep(Duration::from_millis(ms)).await,
-            PlatformMode::Failing => return status(StatusCode::INTERNAL_SERVER_ERROR),
+            PlatformMode::Failing => return status_response(StatusCode::INTERNAL_SERVER_ERROR),
             PlatformMode::Rubbish => return document(&rubbish()),
             PlatformMode::Normal | PlatformMode::Stale | PlatformMode::Backwards => {}
         }
         let Some(name) = DocumentName::of(request.uri().path()) else {
-            return status(StatusCode::NOT_FOUND);
+            return status_response(StatusCode::NOT_FOUND);
         };
         let query = request.uri().query().unwrap_or_default();
         let after = number(query, "after").unwrap_or(0);
@@ -163,7 +163,7 @@
             Ok(held) => document(&held),
             Err(_) => self
                 .held(name, after)
-                .map_or_else(|| status(StatusCode::NO_CONTENT), |held| document(&held)),
+                .map_or_else(|| status_response(StatusCode::NO_CONTENT), |held| document(&held)),
         }
     }
 
@@ -193,7 +193,7 @@
     async fn control(self: Arc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
         let Ok(body) = body.collect().await else {
-            return status(StatusCode::BAD_REQUEST);
+            return status_response(StatusCode::BAD_REQUEST);
         };
         let body = body.to_bytes();
         let query = parts.uri.query().unwrap_or_default();
@@ -202,18 +202,18 @@
             (&Method::PUT, "/mode") => match serde_json::from_slice(&body) {
                 Ok(mode) => {
                     self.set_mode(mode);
-                    status(StatusCode::OK)
+                    status_response(StatusCode::OK)
                 }
                 Err(error) => mistaken(&error),
             },
             (&Method::PUT, path) => match (DocumentName::of(path), number(query, "revision")) {
                 (Some(name), Some(revision)) => {
                     self.publish(name, revision, body);
-                    status(StatusCode::OK)
+                    status_response(StatusCode::OK)
                 }
-                _ => status(StatusCode::NOT_FOUND),
+                _ => status_response(StatusCode::NOT_FOUND),
             },
-            _ => status(StatusCode::NOT_FOUND),
+            _ => status_response(StatusCode::NOT_FOUND),
         }
     }
 }
@@ -228,7 +228,7 @@
     response
 }
 
-pub(crate) fn status(status: StatusCode) -> Response<Full<Bytes>> {
+pub(crate) fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -55,7 +55,7 @@
 use crate::standin::stated_limit::StatedLimit;
 use crate::standin::platform::mistaken;
 use crate::standin::platform::number;
-use crate::standin::platform::status;
+use crate::standin::platform::status_response;
 use crate::standin::platform::text_response;
 use crate::standin::platform::value;
 use crate::standin::server::ServerHandle;
@@ -168,20 +168,20 @@
     async fn control(self: Arc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
         let Ok(body) = body.collect().await else {
-            return status(StatusCode::BAD_REQUEST);
+            return status_response(StatusCode::BAD_REQUEST);
         };
         match (&parts.method, parts.uri.path()) {
             (&Method::PUT, "/behaviour") => match serde_json::from_slice(&body.to_bytes()) {
                 Ok(behaviour) => {
                     self.set_behaviour(behaviour);
-                    status(StatusCode::OK)
+                    status_response(StatusCode::OK)
                 }
                 Err(error) => mistaken(&error),
             },
             (&Method::PUT, "/limit") => match serde_json::from_slice(&body.to_bytes()) {
                 Ok(limit_per_s) => {
                     self.stated_limit.set_limit(limit_per_s);
-                    status(StatusCode::OK)
+                    status_response(StatusCode::OK)
                 }
                 Err(error) => mistaken(&error),
             },
@@ -192,7 +192,7 @@
             (&Method::GET, "/ledger") => {
                 text_response(serde_json::to_vec(&self.ledger.entries()).unwrap_or_default())
             }
-            _ => status(StatusCode::NOT_FOUND),
+            _ => status_response(StatusCode::NOT_FOUND),
         }
     }
 
@@ -244,12 +244,12 @@
     async fn run(&self, path: &str, body: &[u8]) -> Option<Answer> {
         let behaviour = self.behaviour();
         if behaviour.fault == Fault::Failing {
-            return Some(whole(status(StatusCode::INTERNAL_SERVER_ERROR)));
+            return Some(whole(status_response(StatusCode::INTERNAL_SERVER_ERROR)));
         }
         let slot = if behaviour.fault == Fault::Shedding { None } else { self.slots.take().await };
         let Some(slot) = slot else {
             exact_sleep(Duration::from_millis(behaviour.late_ms)).await;
-            return Some(whole(status(StatusCode::SERVICE_UNAVAILABLE)));
+            return Some(whole(status_response(StatusCode::SERVICE_UNAVAILABLE)));
         };
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let nonce = value(query, "nonce").unwrap_or_default();
