--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -157,8 +157,8 @@
             return status_response(StatusCode::NOT_FOUND);
         };
         let query = request.uri().query().unwrap_or_default();
-        let after = number(query, "after").unwrap_or(0);
-        let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
+        let after = query_number(query, "after").unwrap_or(0);
+        let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
         match timeout(wait, self.newer(name, after)).await {
             Ok(held) => document(&held),
             Err(_) => self
@@ -206,7 +206,7 @@
                 }
                 Err(error) => mistaken(&error),
             },
-            (&Method::PUT, path) => match (DocumentName::of(path), number(query, "revision")) {
+            (&Method::PUT, path) => match (DocumentName::of(path), query_number(query, "revision")) {
                 (Some(name), Some(revision)) => {
                     self.publish(name, revision, body);
                     status_response(StatusCode::OK)
@@ -249,6 +249,6 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-pub(crate) fn number(query: &str, name: &str) -> Option<u64> {
+pub(crate) fn query_number(query: &str, name: &str) -> Option<u64> {
     value(query, name)?.parse().ok()
 }
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -54,7 +54,7 @@
 use crate::standin::exact_sleep::exact_sleep;
 use crate::standin::stated_limit::StatedLimit;
 use crate::standin::platform::mistaken;
-use crate::standin::platform::number;
+use crate::standin::platform::query_number;
 use crate::standin::platform::status_response;
 use crate::standin::platform::text_response;
 use crate::standin::platform::value;
@@ -259,7 +259,7 @@
         drop(slot);
         let behaviour = self.behaviour();
         exact_sleep(Duration::from_millis(behaviour.late_ms)).await;
-        let length = number(query, "bytes").unwrap_or(ANSWER_BYTES).min(ANSWER_BYTES_MAX);
+        let length = query_number(query, "bytes").unwrap_or(ANSWER_BYTES).min(ANSWER_BYTES_MAX);
         let bytes = expected_answer(path, body, usize::try_from(length).unwrap_or(0));
         match behaviour.fault {
             Fault::Closing => None,
