--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -244,11 +244,11 @@
     response
 }
 
-pub(crate) fn value<'q>(query: &'q str, name: &str) -> Option<&'q str> {
+pub(crate) fn query_value<'q>(query: &'q str, name: &str) -> Option<&'q str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
 pub(crate) fn query_number(query: &str, name: &str) -> Option<u64> {
-    value(query, name)?.parse().ok()
+    query_value(query, name)?.parse().ok()
 }
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -57,7 +57,7 @@
 use crate::standin::platform::query_number;
 use crate::standin::platform::status_response;
 use crate::standin::platform::text_response;
-use crate::standin::platform::value;
+use crate::standin::platform::query_value;
 use crate::standin::server::ServerHandle;
 use crate::standin::server::serve;
 use crate::standin::slots::Slots;
@@ -252,7 +252,7 @@
             return Some(whole(status_response(StatusCode::SERVICE_UNAVAILABLE)));
         };
         let query = path.split_once('?').map_or("", |(_, query)| query);
-        let nonce = value(query, "nonce").unwrap_or_default();
+        let nonce = query_value(query, "nonce").unwrap_or_default();
         self.ledger.begin(nonce);
         self.work().await;
         self.ledger.finish(nonce);
