--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -204,7 +204,7 @@
                     self.set_mode(mode);
                     status_response(StatusCode::OK)
                 }
-                Err(error) => mistaken(&error),
+                Err(error) => bad_request(&error),
             },
             (&Method::PUT, path) => match (DocumentName::of(path), query_number(query, "revision")) {
                 (Some(name), Some(revision)) => {
@@ -238,7 +238,7 @@
     Response::new(Full::new(text.into()))
 }
 
-pub(crate) fn mistaken(error: &serde_json::Error) -> Response<Full<Bytes>> {
+pub(crate) fn bad_request(error: &serde_json::Error) -> Response<Full<Bytes>> {
     let mut response = text_response(format!("{error}\n"));
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -53,7 +53,7 @@
 use crate::standin::answer::expected_answer;
 use crate::standin::exact_sleep::exact_sleep;
 use crate::standin::stated_limit::StatedLimit;
-use crate::standin::platform::mistaken;
+use crate::standin::platform::bad_request;
 use crate::standin::platform::query_number;
 use crate::standin::platform::status_response;
 use crate::standin::platform::text_response;
@@ -176,14 +176,14 @@
                     self.set_behaviour(behaviour);
                     status_response(StatusCode::OK)
                 }
-                Err(error) => mistaken(&error),
+                Err(error) => bad_request(&error),
             },
             (&Method::PUT, "/limit") => match serde_json::from_slice(&body.to_bytes()) {
                 Ok(limit_per_s) => {
                     self.stated_limit.set_limit(limit_per_s);
                     status_response(StatusCode::OK)
                 }
-                Err(error) => mistaken(&error),
+                Err(error) => bad_request(&error),
             },
             (&Method::GET, "/limit") => text_response(self.stated_limit.worst_window().to_string()),
             (&Method::GET, "/statements") => {
