--- a/crates/thymeshift_lab/src/standin/slots.rs
+++ b/crates/thymeshift_lab/src/standin/slots.rs
@@ -52,7 +52,7 @@
     }
 
     /// A slot, after waiting for it; none if the queue is full.
-    pub(crate) async fn take(self: &Arc<Self>) -> Option<Slot> {
+    pub(crate) async fn acquire(self: &Arc<Self>) -> Option<Slot> {
         let permit = match self.semaphore.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) if self.queued.load(Ordering::Relaxed) >= self.queue_max => return None,
