--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -246,7 +246,7 @@
         if behaviour.fault == Fault::Failing {
             return Some(whole(status_response(StatusCode::INTERNAL_SERVER_ERROR)));
         }
-        let slot = if behaviour.fault == Fault::Shedding { None } else { self.slots.take().await };
+        let slot = if behaviour.fault == Fault::Shedding { None } else { self.slots.acquire().await };
         let Some(slot) = slot else {
             exact_sleep(Duration::from_millis(behaviour.late_ms)).await;
             return Some(whole(status_response(StatusCode::SERVICE_UNAVAILABLE)));
