--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -67,7 +67,7 @@
     }
 
     /// A process is answered that the target leaves.
-    pub(super) fn says_leaving(&self, process: &str) {
+    pub(super) fn record_leaving(&self, process: &str) {
         let mut processes = self.processes.lock();
         let known = processes.entry(process.to_owned()).or_default();
         known.left_at.get_or_insert_with(Instant::now);
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -226,7 +226,7 @@
     fn state_to(&self, process: &str, answer: &mut Answer) {
         let behaviour = self.behaviour();
         if behaviour.is_draining {
-            self.statements.says_leaving(process);
+            self.statements.record_leaving(process);
         }
         let is_refused = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(backoff_s) = behaviour.backoff_s.filter(|_| is_refused) {
