--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -74,7 +74,7 @@
     }
 
     /// A process is asked for a backoff.
-    pub(super) fn asks_for_backoff(&self, process: &str, wait: Duration) {
+    pub(super) fn record_backoff(&self, process: &str, wait: Duration) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
         let known = processes.entry(process.to_owned()).or_default();
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -231,7 +231,7 @@
         let is_refused = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(backoff_s) = behaviour.backoff_s.filter(|_| is_refused) {
             answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(backoff_s));
-            self.statements.asks_for_backoff(process, Duration::from_secs(backoff_s));
+            self.statements.record_backoff(process, Duration::from_secs(backoff_s));
         }
     }
 
