--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -52,7 +52,7 @@
 
 impl StatementLedger {
     /// A request of a process arrives.
-    pub(super) fn arrived(&self, process: &str) {
+    pub(super) fn record_request(&self, process: &str) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
         let known = processes.entry(process.to_owned()).or_default();
