--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -46,11 +46,11 @@
 
 /// The statements of one target, by process.
 #[derive(Default)]
-pub(super) struct StatementLedger {
+pub(super) struct StatementLog {
     processes: Mutex<HashMap<String, ToProcess>>,
 }
 
-impl StatementLedger {
+impl StatementLog {
     /// A request of a process arrives.
     pub(super) fn record_request(&self, process: &str) {
         let now = Instant::now();
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -62,7 +62,7 @@
 use crate::standin::server::serve;
 use crate::standin::slots::Slots;
 use crate::standin::statements::CALLED_PROCESS_HEADER;
-use crate::standin::statements::StatementLedger;
+use crate::standin::statements::StatementLog;
 
 /// Length of an answer whose request does not say.
 const ANSWER_BYTES: u64 = 64;
@@ -116,7 +116,7 @@
     /// What it ran.
     pub ledger: Ledger,
     stated_limit: StatedLimit,
-    statements: StatementLedger,
+    statements: StatementLog,
     slots: Arc<Slots>,
     rng: Mutex<SmallRng>,
     started: Instant,
@@ -135,7 +135,7 @@
             behaviour: Mutex::default(),
             ledger: Ledger::default(),
             stated_limit: StatedLimit::default(),
-            statements: StatementLedger::default(),
+            statements: StatementLog::default(),
             rng: Mutex::new(rng),
             started: Instant::now(),
             stall_until: Mutex::new(Instant::now()),
