--- a/crates/thymeshift_lab/src/standin/stated_limit.rs
+++ b/crates/thymeshift_lab/src/standin/stated_limit.rs
@@ -44,7 +44,7 @@
     }
 
     /// A request arrives.
-    pub(super) fn arrived(&self) {
+    pub(super) fn record_request(&self) {
         let now = Instant::now();
         let State { limit_per_s, judged_from, arrived, worst_window } = &mut *self.state.lock();
         let (Some(limit_per_s), Some(from)) = (*limit_per_s, *judged_from) else {
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -206,9 +206,9 @@
         let mut answer = if parts.uri.path() == "/probe" {
             self.probe().await
         } else {
-            self.stated_limit.arrived();
+            self.stated_limit.record_request();
             if let Some(process) = &process {
-                self.statements.arrived(process);
+                self.statements.record_request(process);
             }
             let body = body.collect().await.ok()?;
             let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
