--- a/crates/thymeshift_lab/src/arguments.rs
+++ b/crates/thymeshift_lab/src/arguments.rs
@@ -136,7 +136,7 @@
             Arg::Long("slots") => settings.slots = number(&mut parser)?,
             Arg::Long("queue-max") => settings.queue_max = number(&mut parser)?,
             Arg::Long("service-us") => settings.service_us = number(&mut parser)?,
-            Arg::Long("fixed") => settings.is_random = false,
+            Arg::Long("fixed") => settings.has_random_service_time = false,
             Arg::Long("seed") => settings.seed = number(&mut parser)?,
             Arg::Long("probe-us") => settings.probe_us = number(&mut parser)?,
             Arg::Long("one-way-us") => settings.one_way_us = number(&mut parser)?,
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -83,7 +83,7 @@
     /// Mean service time, in microseconds.
     pub service_us: u64,
     /// Whether service times vary (exponentially) or are all the same.
-    pub is_random: bool,
+    pub has_random_service_time: bool,
     /// Seed of the service times.
     pub seed: u64,
     /// Time that a probe takes, in microseconds.
@@ -100,7 +100,7 @@
             slots: 3,
             queue_max: 100,
             service_us: 8_000,
-            is_random: true,
+            has_random_service_time: true,
             seed: 1,
             probe_us: 6_000,
             one_way_us: 0,
@@ -277,7 +277,7 @@
         }
         let is_cold = self.started.elapsed() < Duration::from_millis(behaviour.cold_ms);
         let factor = if is_cold { behaviour.cold_slowness } else { 1.0 } * behaviour.slowness;
-        let variation = if self.settings.is_random { self.exponential() } else { 1.0 };
+        let variation = if self.settings.has_random_service_time { self.exponential() } else { 1.0 };
         exact_sleep(Duration::from_micros(self.settings.service_us).mul_f64(factor * variation))
             .await;
     }
