--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -22,9 +22,9 @@
 use crate::http_client::AskError;
 use crate::http_client::ask;
 use crate::standin::Behaviour;
-use crate::standin::StatementViolations;
 use crate::standin::LedgerEntry;
 use crate::standin::PlatformMode;
+use crate::standin::StatementViolations;
 
 /// Longest time until an entry process is ready.
 const READY_LIMIT: Duration = Duration::from_secs(15);
--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -54,7 +54,9 @@
             Self::NoisyNeighbours => noisy,
             Self::Stale(stale_ms) => Behaviour { reports: ReportMode::Stale, stale_ms, ..good },
             Self::NoisyAndStale => Behaviour { reports: ReportMode::Stale, stale_ms: 100, ..noisy },
-            Self::Liar if index == 0 => Behaviour { reports: ReportMode::Idle, slowness: 3.0, ..good },
+            Self::Liar if index == 0 => {
+                Behaviour { reports: ReportMode::Idle, slowness: 3.0, ..good }
+            }
             Self::FastFailer if index == 0 => Behaviour { fault: Fault::Failing, ..good },
             Self::SlowDeath if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
             Self::Drain if index == 0 => Behaviour { is_draining: share > 0.4, ..good },
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -50,10 +50,10 @@
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
 use crate::standin::Behaviour;
-use crate::standin::StatementViolations;
 use crate::standin::PlatformMode;
 use crate::standin::Proxy;
 use crate::standin::ProxyMode;
+use crate::standin::StatementViolations;
 
 /// One seed in so many has planned work alone.
 const GENTLE_EVERY: u64 = 3;
--- a/crates/thymeshift_lab/src/experiment/soak_statement.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_statement.rs
@@ -12,8 +12,8 @@
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::FleetError;
 use crate::standin::Behaviour;
-use crate::standin::StatementViolations;
 use crate::standin::Fault;
+use crate::standin::StatementViolations;
 
 /// One seed in so many has such targets.
 const SPEAKING_EVERY: u64 = 5;
--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -1,9 +1,9 @@
 //! Targets that refuse and ask for backoffs, over many processes: how many requests reach them all the
 //! same, and what callers get.
 
-mod scenario;
 mod evaluation;
 mod policy;
+mod scenario;
 
 use std::fmt;
 use std::fmt::Write;
@@ -68,7 +68,8 @@
     fn add(&mut self, day: &Self) {
         let days = self.days as f64;
         self.recovery_load = (self.recovery_load * days + day.recovery_load) / (days + 1.0);
-        self.requests_in_backoff_max = self.requests_in_backoff_max.max(day.requests_in_backoff_max);
+        self.requests_in_backoff_max =
+            self.requests_in_backoff_max.max(day.requests_in_backoff_max);
         self.recovery_peak = self.recovery_peak.max(day.recovery_peak);
         self.refusals += day.refusals;
         self.calls += day.calls;
@@ -139,8 +140,13 @@
         fault: FleetFault::None,
     };
     /// The same at two thirds of what all targets can do.
-    pub const BUSY: Self =
-        Self { name: "busy", refusing_targets: 4, refusing_ms: 500, calls_per_s: 600.0, ..Self::TWO_REFUSING };
+    pub const BUSY: Self = Self {
+        name: "busy",
+        refusing_targets: 4,
+        refusing_ms: 500,
+        calls_per_s: 600.0,
+        ..Self::TWO_REFUSING
+    };
     /// All patterns.
     pub const ALL: [Self; 15] = [
         Self { name: "one", refusing_targets: 1, ..Self::TWO_REFUSING },
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -16,10 +16,10 @@
 use crate::replay::backoffs::evaluation::ArrivalLog;
 use crate::replay::backoffs::evaluation::REFUSING_FROM_MS;
 use crate::replay::fleet::Arrival;
-use crate::replay::fleet::Outcome;
-use crate::replay::fleet::Scenario;
 use crate::replay::fleet::FleetFault;
+use crate::replay::fleet::Outcome;
 use crate::replay::fleet::SERVICE_TIME_MS;
+use crate::replay::fleet::Scenario;
 
 /// Until a refusal is back at the process.
 const REFUSAL_MS: u64 = 3;
--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -81,7 +81,11 @@
         let crashed_targets = self.crashed_targets as f64 / self.days.max(1) as f64;
         let refused = self.innocent_refused as f64 / self.days.max(1) as f64;
         let served = self.served_share();
-        write!(f, "{crashed_targets:>7.1} {:>9} {served:>8.4} {refused:>8.2}", self.late_sends_worst)
+        write!(
+            f,
+            "{crashed_targets:>7.1} {:>9} {served:>8.4} {refused:>8.2}",
+            self.late_sends_worst
+        )
     }
 }
 
@@ -150,7 +154,8 @@
     /// The ways that are compared.
     pub fn all() -> [Self; 8] {
         let production = Self::production();
-        let from = |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..production.rules };
+        let from =
+            |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..production.rules };
         let bar = |first_refusal| QuarantineRules { first_refusal, ..production.rules };
         [
             Self { name: "nothing remembered", refuses: false, ..production },
--- a/crates/thymeshift_lab/src/replay/crashes/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/simulation.rs
@@ -251,7 +251,8 @@
         };
         let process = self.rng.random_range(0..PROCESSES);
         let again = Try { process, retries_left, attempts_left: ATTEMPTS_MAX, ..tried };
-        self.events.schedule(self.now + Duration::from_millis(CALLER_BACK_MS), Event::Arrives(again));
+        self.events
+            .schedule(self.now + Duration::from_millis(CALLER_BACK_MS), Event::Arrives(again));
     }
 
     fn arrives(&mut self, tried: Try) {
--- a/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
@@ -22,10 +22,10 @@
 use crate::replay::fleet::HALLS;
 use crate::replay::fleet::Outcome;
 use crate::replay::fleet::Scenario;
-use crate::replay::fleet::TARGETS;
 use crate::replay::fleet::SimulatedFleet;
-use crate::replay::fleet::process::PendingCall;
+use crate::replay::fleet::TARGETS;
 use crate::replay::fleet::process::GroupState;
+use crate::replay::fleet::process::PendingCall;
 use crate::replay::fleet::process::RunningCall;
 
 /// Wait for an allocator's first word, and beyond the end of a call's wait for its last.
@@ -184,7 +184,8 @@
     pub(super) fn unheard(&mut self, place: usize, number: u64) {
         let now_ms = self.now_ms;
         let process = &mut self.processes[place];
-        let is_over = process.pending.get(&number).is_some_and(|pending| now_ms >= pending.until_ms);
+        let is_over =
+            process.pending.get(&number).is_some_and(|pending| now_ms >= pending.until_ms);
         if !is_over {
             return;
         }
@@ -233,7 +234,8 @@
         let Some(RunningCall { grant, allocator, call }) = process.running.remove(&number) else {
             return;
         };
-        let (observation, backoff) = self.scenario.apply_answer(answer, &mut process.own, &grant, now);
+        let (observation, backoff) =
+            self.scenario.apply_answer(answer, &mut process.own, &grant, now);
         let rate_limit = process.own.rate_limit_update(&grant, now);
         let (target, name) = (grant.target(), process.own.target_name(&grant));
         process.own.release(grant, now);
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -34,9 +34,9 @@
 
 pub(super) use scenario::Arrival;
 pub(super) use scenario::Call;
+pub use scenario::FleetFault;
 pub(super) use scenario::Outcome;
 pub(super) use scenario::Scenario;
-pub use scenario::FleetFault;
 
 pub(super) const TARGETS: usize = 7;
 /// Length of a day, in milliseconds.
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -1,9 +1,9 @@
 //! The limits that targets in need name, over many processes: how far they are exceeded, how much
 //! of them is used, and who is refused.
 
-mod scenario;
 mod evaluation;
 mod policy;
+mod scenario;
 
 use std::fmt;
 use std::fmt::Write;
@@ -130,17 +130,30 @@
         Self::TWO_LIMITED,
         Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO_LIMITED },
         Self { name: "two, 1.5 a second", limit_per_s: 1.5, ..Self::TWO_LIMITED },
-        Self { name: "two, 50 a second", limit_per_s: 50.0, calls_per_s: 400.0, ..Self::TWO_LIMITED },
+        Self {
+            name: "two, 50 a second",
+            limit_per_s: 50.0,
+            calls_per_s: 400.0,
+            ..Self::TWO_LIMITED
+        },
         Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO_LIMITED },
         Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO_LIMITED },
         Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_LIMITED },
-        Self { name: "two, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::TWO_LIMITED },
+        Self {
+            name: "two, two halls cut",
+            fault: FleetFault::TwoHallsPartitioned,
+            ..Self::TWO_LIMITED
+        },
         Self { name: "two, lowered to a third", limit_factor: 1.0 / 3.0, ..Self::TWO_LIMITED },
         Self { name: "two, raised threefold", limit_factor: 3.0, ..Self::TWO_LIMITED },
         Self::ALL_LIMITED,
         Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_LIMITED },
         Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_LIMITED },
-        Self { name: "all, two halls cut", fault: FleetFault::TwoHallsPartitioned, ..Self::ALL_LIMITED },
+        Self {
+            name: "all, two halls cut",
+            fault: FleetFault::TwoHallsPartitioned,
+            ..Self::ALL_LIMITED
+        },
         Self { name: "all, lowered to a third", limit_factor: 1.0 / 3.0, ..Self::ALL_LIMITED },
     ];
 }
--- a/crates/thymeshift_lab/src/replay/limits/policy.rs
+++ b/crates/thymeshift_lab/src/replay/limits/policy.rs
@@ -23,5 +23,6 @@
 
 impl LimitPolicy {
     /// The policies that are compared.
-    pub const ALL: [Self; 4] = [Self::Allocated, Self::EachFullLimit, Self::EqualParts, Self::Ignored];
+    pub const ALL: [Self; 4] =
+        [Self::Allocated, Self::EachFullLimit, Self::EqualParts, Self::Ignored];
 }
--- a/crates/thymeshift_lab/src/replay/limits/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -13,10 +13,10 @@
 use thymeshift_types::Timestamp;
 
 use crate::replay::fleet::Arrival;
-use crate::replay::fleet::Outcome;
-use crate::replay::fleet::Scenario;
 use crate::replay::fleet::FleetFault;
+use crate::replay::fleet::Outcome;
 use crate::replay::fleet::SERVICE_TIME_MS;
+use crate::replay::fleet::Scenario;
 use crate::replay::limits::LimitPattern;
 use crate::replay::limits::LimitPolicy;
 use crate::replay::limits::LimitResult;
@@ -72,7 +72,8 @@
             arrived.push(at_ms);
         }
         let work_ms = rng.random_range(SERVICE_TIME_MS);
-        let names_limit = target < self.pattern.limited_targets && self.policy != LimitPolicy::Ignored;
+        let names_limit =
+            target < self.pattern.limited_targets && self.policy != LimitPolicy::Ignored;
         let limit = limit_at(&self.pattern, at_ms + work_ms).filter(|_| names_limit);
         (work_ms, limit)
     }
--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -1,9 +1,9 @@
 //! The limit of one organisation over many processes: how far it is exceeded, and who is refused
 //! although it holds.
 
-mod simulation;
 mod policy;
 mod process;
+mod simulation;
 
 use std::fmt;
 use std::fmt::Write;
@@ -71,7 +71,11 @@
 
     /// Part of the limit that was used while there was more demand.
     pub fn used_share(&self) -> f64 {
-        if self.allowed_in_overload > 0.0 { self.admitted_in_overload / self.allowed_in_overload } else { 1.0 }
+        if self.allowed_in_overload > 0.0 {
+            self.admitted_in_overload / self.allowed_in_overload
+        } else {
+            1.0
+        }
     }
 
     fn add(&mut self, day: &Self) {
--- a/crates/thymeshift_lab/src/replay/quotas/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/simulation.rs
@@ -169,7 +169,8 @@
 
     fn next_arrival(&mut self, caller: usize) {
         let is_hot = HOT_MS.contains(&self.now_ms);
-        let per_s = USUAL_PER_S / CALLERS as f64 * if is_hot { self.pattern.demand_factor } else { 1.0 };
+        let per_s =
+            USUAL_PER_S / CALLERS as f64 * if is_hot { self.pattern.demand_factor } else { 1.0 };
         let Ok(gaps) = Exp::new(per_s) else { return };
         let gap_ms = (gaps.sample(&mut self.rng) * 1_000.0).round() as u64;
         let at = Timestamp::from_millis(self.now_ms + gap_ms.clamp(1, DAY_MS));
@@ -412,8 +413,9 @@
         for start in (0..DAY_MS - WINDOW_MS).step_by(100) {
             let window = start..start + WINDOW_MS;
             let changes = LOWERED_AT_MS..LOWERED_AT_MS + IN_FORCE_MS;
-            let is_mixed =
-                self.pattern.limit_lowered && window.start < changes.end && changes.start < window.end;
+            let is_mixed = self.pattern.limit_lowered
+                && window.start < changes.end
+                && changes.start < window.end;
             if is_mixed {
                 continue;
             }
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -4,11 +4,11 @@
 mod behaviour;
 mod exact_sleep;
 mod ledger;
-mod stated_limit;
 mod platform;
 mod proxy;
 mod server;
 mod slots;
+mod stated_limit;
 mod statements;
 mod target;
 
--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -206,7 +206,8 @@
                 }
                 Err(error) => bad_request(&error),
             },
-            (&Method::PUT, path) => match (DocumentName::of(path), query_number(query, "revision")) {
+            (&Method::PUT, path) => match (DocumentName::of(path), query_number(query, "revision"))
+            {
                 (Some(name), Some(revision)) => {
                     self.publish(name, revision, body);
                     status_response(StatusCode::OK)
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -52,15 +52,15 @@
 use crate::standin::ReportMode;
 use crate::standin::answer::expected_answer;
 use crate::standin::exact_sleep::exact_sleep;
-use crate::standin::stated_limit::StatedLimit;
 use crate::standin::platform::bad_request;
 use crate::standin::platform::query_number;
+use crate::standin::platform::query_value;
 use crate::standin::platform::status_response;
 use crate::standin::platform::text_response;
-use crate::standin::platform::query_value;
 use crate::standin::server::ServerHandle;
 use crate::standin::server::serve;
 use crate::standin::slots::Slots;
+use crate::standin::stated_limit::StatedLimit;
 use crate::standin::statements::CALLED_PROCESS_HEADER;
 use crate::standin::statements::StatementLog;
 
@@ -201,7 +201,8 @@
         exact_sleep(one_way).await;
         let (parts, body) = request.into_parts();
         let attempt = parts.headers.get(&headers::ATTEMPT).cloned();
-        let process = parts.headers.get(&CALLED_PROCESS_HEADER).and_then(|value| value.to_str().ok());
+        let process =
+            parts.headers.get(&CALLED_PROCESS_HEADER).and_then(|value| value.to_str().ok());
         let process = process.map(str::to_owned);
         let mut answer = if parts.uri.path() == "/probe" {
             self.probe().await
@@ -246,7 +247,8 @@
         if behaviour.fault == Fault::Failing {
             return Some(whole(status_response(StatusCode::INTERNAL_SERVER_ERROR)));
         }
-        let slot = if behaviour.fault == Fault::Shedding { None } else { self.slots.acquire().await };
+        let slot =
+            if behaviour.fault == Fault::Shedding { None } else { self.slots.acquire().await };
         let Some(slot) = slot else {
             exact_sleep(Duration::from_millis(behaviour.late_ms)).await;
             return Some(whole(status_response(StatusCode::SERVICE_UNAVAILABLE)));
@@ -277,7 +279,8 @@
         }
         let is_cold = self.started.elapsed() < Duration::from_millis(behaviour.cold_ms);
         let factor = if is_cold { behaviour.cold_slowness } else { 1.0 } * behaviour.slowness;
-        let variation = if self.settings.has_random_service_time { self.exponential() } else { 1.0 };
+        let variation =
+            if self.settings.has_random_service_time { self.exponential() } else { 1.0 };
         exact_sleep(Duration::from_micros(self.settings.service_us).mul_f64(factor * variation))
             .await;
     }
@@ -312,7 +315,8 @@
                 if behaviour.fault == Fault::Confusing { confused } else { attempt },
             );
         }
-        let limit = self.stated_limit.limit_per_s().map(|limit| HeaderValue::try_from(limit.to_string()));
+        let limit =
+            self.stated_limit.limit_per_s().map(|limit| HeaderValue::try_from(limit.to_string()));
         if let Some(Ok(limit)) = limit {
             map.insert(headers::RATE_LIMIT, limit);
         }
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -52,7 +52,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_loses_no_answer() {
-    let settings = TargetSettings { service_us: 300_000, has_random_service_time: false, ..Default::default() };
+    let settings = TargetSettings {
+        service_us: 300_000,
+        has_random_service_time: false,
+        ..Default::default()
+    };
     let standing = target(settings).await;
     let configuration = configuration(&[standing.ports.address], "", "");
     let mut single = Single::start(&configuration).await.expect("a process");
@@ -138,7 +142,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_process_loses_its_own_requests_and_nothing_runs_twice() {
-    let settings = TargetSettings { service_us: 200_000, has_random_service_time: false, ..Default::default() };
+    let settings = TargetSettings {
+        service_us: 200_000,
+        has_random_service_time: false,
+        ..Default::default()
+    };
     let standing = target(settings).await;
     let good = configuration(&[standing.ports.address], "", "");
     let mut single = Single::start(&good).await.expect("a process");
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -53,7 +53,8 @@
 
 /// A target that needs 1 ms for each request.
 pub(crate) async fn quick_target() -> Standing {
-    let settings = TargetSettings { service_us: 1_000, has_random_service_time: false, ..Default::default() };
+    let settings =
+        TargetSettings { service_us: 1_000, has_random_service_time: false, ..Default::default() };
     target(settings).await
 }
 
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -196,7 +196,8 @@
         },
     ];
     for Case { note, hedge_after_ms, service_us, refused_after_ms, processes, requests } in cases {
-        let settings = TargetSettings { service_us, has_random_service_time: false, ..Default::default() };
+        let settings =
+            TargetSettings { service_us, has_random_service_time: false, ..Default::default() };
         let closing = target(settings).await;
         let shedding = quick_target().await;
         closing.target.set_behaviour(fault(Fault::Closing));
@@ -308,7 +309,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_late_answer_reaches_nobody_else() {
-    let settings = TargetSettings { service_us: 1_000, has_random_service_time: false, ..Default::default() };
+    let settings =
+        TargetSettings { service_us: 1_000, has_random_service_time: false, ..Default::default() };
     let standing = target(settings).await;
     standing.target.set_behaviour(Behaviour { late_ms: 300, ..Behaviour::default() });
     let path = path(&[standing.ports.address], "", "").await;
@@ -343,8 +345,11 @@
         Leaving { note: "more than is read ahead", behind: next.repeat(1_000), is_reset: false },
     ];
     for Leaving { note, behind, is_reset } in cases {
-        let settings =
-            TargetSettings { service_us: 1_500_000, has_random_service_time: false, ..Default::default() };
+        let settings = TargetSettings {
+            service_us: 1_500_000,
+            has_random_service_time: false,
+            ..Default::default()
+        };
         let standing = target(settings).await;
         let path = path(&[standing.ports.address], "", "").await;
         let mut caller = TcpStream::connect(path.caller).await.expect("a connection");
