--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -83,22 +83,22 @@
     fn apply_answer(
         &self,
         answer: &Option<Duration>,
-        own: &mut Dispatcher<AnyStrategy>,
+        own_dispatcher: &mut Dispatcher<AnyStrategy>,
         grant: &Grant,
         now: Timestamp,
     ) -> (Observation, Option<Duration>) {
         let Some(backoff) = *answer else {
-            let _ = own.record_attempt(grant, Observation::Answered(None), now);
+            let _ = own_dispatcher.record_attempt(grant, Observation::Answered(None), now);
             return (Observation::Answered(None), None);
         };
         if self.policy != BackoffPolicy::Ignored {
-            own.record_backoff(grant, backoff, now);
+            own_dispatcher.record_backoff(grant, backoff, now);
         }
         let observation = match self.policy {
             BackoffPolicy::NamedAndSpaced => Observation::ShedWithBackoff(None),
             _ => Observation::Shed(None),
         };
-        let _ = own.record_attempt(grant, observation, now);
+        let _ = own_dispatcher.record_attempt(grant, observation, now);
         (observation, (self.policy == BackoffPolicy::FleetWide).then_some(backoff))
     }
 
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -41,28 +41,28 @@
 pub(super) const TARGETS: usize = 7;
 /// Length of a day, in milliseconds.
 pub(super) const DAY_MS: u64 = 26_000;
-const HALLS: usize = 3;
+const HALL_COUNT: usize = 3;
 /// Processes that may allocate: the contacts of the halls.
-const CONTENDERS_MAX: usize = 24;
+const ALLOCATOR_CANDIDATES_MAX: usize = 24;
 /// When trouble strikes, and until when, in milliseconds.
-const TROUBLE_MS: std::ops::Range<u64> = 10_000..16_000;
+const FAULT_MS: std::ops::Range<u64> = 10_000..16_000;
 const KILLED_MS: std::ops::Range<u64> = 10_000..11_000;
 const FROZEN_MS: std::ops::Range<u64> = 10_000..13_000;
 /// Part of the processes that is cut off.
-const CUT_OFF: f64 = 0.35;
+const ISOLATED_SHARE: f64 = 0.35;
 /// Until a silent process is suspected, in a small fleet and for each further 24.
-const SUSPECTED_MS: u64 = 5_000;
-const MEMBERS_PER_PATIENCE: usize = 24;
+const SILENCE_TIMEOUT_MS: u64 = 5_000;
+const MEMBERS_PER_TIMEOUT_STEP: usize = 24;
 /// From one process to another, and to a target, in milliseconds; messages lost and doubled.
-const WAY_MS: std::ops::Range<u64> = 1..4;
-const LOST: f64 = 0.02;
-const DOUBLED: f64 = 0.02;
+const MESSAGE_DELAY_MS: std::ops::Range<u64> = 1..4;
+const MESSAGE_LOSS_PROBABILITY: f64 = 0.02;
+const MESSAGE_DUPLICATION_PROBABILITY: f64 = 0.02;
 /// Work of a target, in milliseconds.
 pub(super) const SERVICE_TIME_MS: std::ops::Range<u64> = 40..80;
 /// Time between two exchanges of a process with others.
-const EXCHANGE_MS: u64 = 1_250;
+const EXCHANGE_INTERVAL_MS: u64 = 1_250;
 /// Time between two looks at waiting calls.
-const TICK_MS: u64 = 10;
+const TICK_INTERVAL_MS: u64 = 10;
 
 enum Event<A> {
     Call,
@@ -75,12 +75,12 @@
         excluded: Excluded,
         held: Vec<u64>,
     },
-    Told {
+    AcquireReply {
         to: usize,
         number: u64,
         allocation: Allocation,
     },
-    Unheard {
+    AcquireTimeout {
         at: usize,
         number: u64,
     },
@@ -109,7 +109,7 @@
     configuration: Configuration,
     halls: Vec<DataHallName>,
     processes: Vec<Process>,
-    is_cut: Vec<bool>,
+    is_isolated: Vec<bool>,
     events: EventQueue<Event<S::Answer>>,
     rng: SmallRng,
     now_ms: u64,
@@ -125,17 +125,20 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let start = Timestamp::from_millis(0);
         let view = scenario.standalone_view();
-        let process =
-            |place: usize| Process::new(&configuration, &halls[place % HALLS], view, start);
+        let process = |process_index: usize| {
+            Process::new(&configuration, &halls[process_index % HALL_COUNT], view, start)
+        };
         let processes: Vec<_> = (0..count).map(process).collect();
         // The first two allocators stay together, and with most others.
-        let is_cut = (0..count).map(|place| place > 1 && rng.random_bool(CUT_OFF)).collect();
-        let mut day = Self {
+        let is_isolated = (0..count)
+            .map(|process_index| process_index > 1 && rng.random_bool(ISOLATED_SHARE))
+            .collect();
+        let mut fleet = Self {
             scenario,
             processes,
             halls,
             configuration,
-            is_cut,
+            is_isolated,
             events: EventQueue::default(),
             rng,
             now_ms: 0,
@@ -143,13 +146,13 @@
             is_killed: false,
             messages: 0,
         };
-        day.add(0, Event::Tick);
+        fleet.add(0, Event::Tick);
         for at in 0..count {
-            let first_ms = day.rng.random_range(0..EXCHANGE_MS);
-            day.add(first_ms, Event::Exchange { at });
+            let first_ms = fleet.rng.random_range(0..EXCHANGE_INTERVAL_MS);
+            fleet.add(first_ms, Event::Exchange { at });
         }
-        day.next_call();
-        Ok(day)
+        fleet.next_call();
+        Ok(fleet)
     }
 
     /// Plays the day. Returns the scenario, and how many messages processes sent to each other.
@@ -159,8 +162,8 @@
             if self.now_ms >= DAY_MS {
                 break;
             }
-            self.kill_or_start_first();
-            self.take(event);
+            self.kill_or_restart_first();
+            self.handle(event);
         }
         (self.scenario, self.messages)
     }
@@ -179,7 +182,7 @@
         self.add(gap_ms.max(1), Event::Call);
     }
 
-    fn kill_or_start_first(&mut self) {
+    fn kill_or_restart_first(&mut self) {
         let is_killed =
             self.scenario.fault() == FleetFault::FirstKilled && KILLED_MS.contains(&self.now_ms);
         if is_killed && !self.is_killed {
@@ -190,8 +193,8 @@
         self.is_killed = is_killed;
     }
 
-    fn is_frozen(&self, place: usize) -> bool {
-        place == 0
+    fn is_frozen(&self, process_index: usize) -> bool {
+        process_index == 0
             && self.scenario.fault() == FleetFault::FirstFrozen
             && FROZEN_MS.contains(&self.now_ms)
     }
@@ -200,43 +203,49 @@
         if self.is_killed && (from == 0 || to == 0) {
             return false;
         }
-        let is_in_trouble = TROUBLE_MS.contains(&self.now_ms);
+        let is_fault_active = FAULT_MS.contains(&self.now_ms);
         match self.scenario.fault() {
-            FleetFault::Isolated if is_in_trouble => !self.is_cut[from] && !self.is_cut[to],
-            FleetFault::TwoHallsPartitioned if is_in_trouble => {
-                from % HALLS + to % HALLS != 1 || from % HALLS == to % HALLS
+            FleetFault::Isolated if is_fault_active => {
+                !self.is_isolated[from] && !self.is_isolated[to]
+            }
+            FleetFault::TwoHallsPartitioned if is_fault_active => {
+                from % HALL_COUNT + to % HALL_COUNT != 1 || from % HALL_COUNT == to % HALL_COUNT
             }
             _ => true,
         }
     }
 
     /// Whether heartbeats of `other` reach `at`, directly or not.
-    fn hears_of(&self, at: usize, other: usize) -> bool {
-        let patience = 1 + (self.processes.len().min(CONTENDERS_MAX) / MEMBERS_PER_PATIENCE) as u64;
+    fn receives_heartbeats(&self, at: usize, other: usize) -> bool {
+        let timeout_steps = 1
+            + (self.processes.len().min(ALLOCATOR_CANDIDATES_MAX) / MEMBERS_PER_TIMEOUT_STEP)
+                as u64;
         let is_silent = match self.scenario.fault() {
             FleetFault::FirstKilled => self.is_killed && other == 0,
             FleetFault::Isolated => {
-                let is_apart = self.is_cut[at] || self.is_cut[other];
-                is_apart && TROUBLE_MS.contains(&self.now_ms)
+                let is_either_isolated = self.is_isolated[at] || self.is_isolated[other];
+                is_either_isolated && FAULT_MS.contains(&self.now_ms)
             }
             FleetFault::None | FleetFault::FirstFrozen | FleetFault::TwoHallsPartitioned => false,
         };
-        !is_silent || self.now_ms < TROUBLE_MS.start + SUSPECTED_MS * patience
+        !is_silent || self.now_ms < FAULT_MS.start + SILENCE_TIMEOUT_MS * timeout_steps
     }
 
-    fn contenders(&self) -> usize {
-        self.processes.len().min(CONTENDERS_MAX)
+    fn allocator_candidates(&self) -> usize {
+        self.processes.len().min(ALLOCATOR_CANDIDATES_MAX)
     }
 
-    fn share(&self, place: usize) -> RateShare {
+    fn share(&self, process_index: usize) -> RateShare {
         if !self.scenario.ranks_allocators() {
             return RateShare::WHOLE;
         }
-        let heard = |other: &usize| *other == place || self.hears_of(place, *other);
-        let known = self.contenders();
+        let is_reachable = |other: &usize| {
+            *other == process_index || self.receives_heartbeats(process_index, *other)
+        };
+        let known = self.allocator_candidates();
         let rank = AllocatorRank {
-            better_ranked: (0..place.min(known)).filter(heard).count(),
-            reachable: (0..known).filter(heard).count(),
+            better_ranked: (0..process_index.min(known)).filter(is_reachable).count(),
+            reachable: (0..known).filter(is_reachable).count(),
             known,
         };
         rank.rate_share()
@@ -248,39 +257,43 @@
             return;
         }
         self.messages += 1;
-        if !self.reaches(from, to) || self.rng.random_bool(LOST) {
+        if !self.reaches(from, to) || self.rng.random_bool(MESSAGE_LOSS_PROBABILITY) {
             return;
         }
-        let copies = if self.rng.random_bool(DOUBLED) { 2 } else { 1 };
+        let copies = if self.rng.random_bool(MESSAGE_DUPLICATION_PROBABILITY) { 2 } else { 1 };
         for _ in 0..copies {
-            let late_ms = self.rng.random_range(WAY_MS);
+            let late_ms = self.rng.random_range(MESSAGE_DELAY_MS);
             self.add(late_ms, event());
         }
     }
 
-    fn take(&mut self, event: Event<S::Answer>) {
+    fn handle(&mut self, event: Event<S::Answer>) {
         match event {
-            Event::Call => self.call(),
+            Event::Call => self.handle_call(),
             Event::Acquire { to, .. } if self.is_frozen(to) => {
                 self.add(FROZEN_MS.end - self.now_ms, event);
             }
             Event::Acquire { from, to, number, call, wait_ms, excluded, held } => {
                 let request = request(self.now(), call, wait_ms, excluded);
-                self.acquire(LeaseKey { holder: from, number }, to, request, &held);
+                self.handle_acquire(LeaseKey { holder: from, number }, to, request, &held);
             }
-            Event::Told { to, number, allocation } => self.told(to, number, allocation),
-            Event::Unheard { at, number } => self.unheard(at, number),
-            Event::Answer { at, number, answer } => self.answer(at, number, &answer),
+            Event::AcquireReply { to, number, allocation } => {
+                self.handle_acquire_reply(to, number, allocation)
+            }
+            Event::AcquireTimeout { at, number } => self.handle_acquire_timeout(at, number),
+            Event::Answer { at, number, answer } => self.handle_answer(at, number, &answer),
             Event::Release { from, to, number, report, backoff } => {
                 let now = self.now();
-                if let Some(GroupState { dispatcher, allocator }) = &mut self.processes[to].state {
+                if let Some(GroupState { dispatcher, allocator }) =
+                    &mut self.processes[to].group_state
+                {
                     if let Some((name, wait)) = &backoff {
                         dispatcher.record_probe_backoff(name, *wait, now);
                     }
                     let key = LeaseKey { holder: from, number };
                     allocator.release(&key, &report, dispatcher, now);
                 }
-                self.wake(to);
+                self.resolve_waiting(to);
             }
             Event::Exchange { at } => self.exchange(at),
             Event::Tick => self.tick(),
@@ -288,51 +301,57 @@
     }
 
     fn exchange(&mut self, at: usize) {
-        self.add(EXCHANGE_MS, Event::Exchange { at });
+        self.add(EXCHANGE_INTERVAL_MS, Event::Exchange { at });
         let other = self.rng.random_range(0..self.processes.len());
         if self.is_frozen(at) || self.is_frozen(other) || !self.reaches(at, other) {
             return;
         }
         let now = self.now();
-        let (known, of_other) =
-            (self.processes[at].own.rate_limits(now), self.processes[other].own.rate_limits(now));
+        let (known, of_other) = (
+            self.processes[at].own_dispatcher.rate_limits(now),
+            self.processes[other].own_dispatcher.rate_limits(now),
+        );
         self.processes[other].merge_rate_limits(&known, now);
         self.processes[at].merge_rate_limits(&of_other, now);
     }
 
     fn tick(&mut self) {
-        self.add(TICK_MS, Event::Tick);
-        for place in 0..self.contenders() {
+        self.add(TICK_INTERVAL_MS, Event::Tick);
+        for process_index in 0..self.allocator_candidates() {
             let now = self.now();
-            if self.is_frozen(place) {
+            if self.is_frozen(process_index) {
                 continue;
             }
-            if let Some(GroupState { dispatcher, allocator }) = &mut self.processes[place].state {
+            if let Some(GroupState { dispatcher, allocator }) =
+                &mut self.processes[process_index].group_state
+            {
                 allocator.expire(dispatcher, now);
                 dispatcher.tick(now);
             }
-            self.wake(place);
+            self.resolve_waiting(process_index);
         }
     }
 
-    fn wake(&mut self, place: usize) {
+    fn resolve_waiting(&mut self, process_index: usize) {
         let now = self.now();
-        let mut woken = Vec::new();
-        if let Some(GroupState { dispatcher, allocator }) = &mut self.processes[place].state {
+        let mut replies = Vec::new();
+        if let Some(GroupState { dispatcher, allocator }) =
+            &mut self.processes[process_index].group_state
+        {
             while let Some(wake) = dispatcher.next_wake(now, &mut self.rng) {
                 let (ticket, decided) = match wake {
                     Wake::Send(ticket, grant) => (ticket, Ok(grant)),
                     Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
                 };
                 match allocator.resolve_ticket(ticket, decided, dispatcher, now) {
-                    Ok(told) => woken.push(told),
+                    Ok(reply) => replies.push(reply),
                     Err(Ok(grant)) => dispatcher.release(grant, now),
                     Err(Err(_)) => {}
                 }
             }
         }
-        for (key, allocation) in woken {
-            self.send(place, key.holder, || Event::Told {
+        for (key, allocation) in replies {
+            self.send(process_index, key.holder, || Event::AcquireReply {
                 to: key.holder,
                 number: key.number,
                 allocation: allocation.clone(),
@@ -347,7 +366,7 @@
          services:\n- name: s\n  slots_per_target: 8\n  connections_per_target: 100000\n  targets:\n"
     );
     for index in 0..TARGETS {
-        let hall = ['a', 'b', 'c'][index % HALLS];
+        let hall = ['a', 'b', 'c'][index % HALL_COUNT];
         let _ = writeln!(
             text,
             "  - {{ name: t{index}, address: '127.0.0.1:{}', data_hall: {hall} }}",
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -31,11 +31,11 @@
 pub(super) struct PendingCall {
     pub(super) allocator: usize,
     /// Allocators asked so far, and grants given back.
-    pub(super) asked: usize,
-    pub(super) given_back: usize,
+    pub(super) allocators_asked: usize,
+    pub(super) returned_grants: usize,
     pub(super) call: Call,
     /// Until when the next answer is waited for.
-    pub(super) until_ms: u64,
+    pub(super) expires_at_ms: u64,
 }
 
 /// A call that a target runs.
@@ -47,8 +47,8 @@
 }
 
 pub(super) struct Process {
-    pub(super) own: Dispatcher<AnyStrategy>,
-    pub(super) state: Option<GroupState>,
+    pub(super) own_dispatcher: Dispatcher<AnyStrategy>,
+    pub(super) group_state: Option<GroupState>,
     /// By the number of the lease.
     pub(super) pending: BTreeMap<u64, PendingCall>,
     pub(super) running: BTreeMap<u64, RunningCall>,
@@ -63,11 +63,11 @@
         now: Timestamp,
     ) -> Self {
         let service = &configuration.services[0];
-        let mut own = Dispatcher::configured(configuration, service, hall, now);
-        own.set_view(view);
+        let mut own_dispatcher = Dispatcher::configured(configuration, service, hall, now);
+        own_dispatcher.set_view(view);
         Self {
-            own,
-            state: None,
+            own_dispatcher,
+            group_state: None,
             pending: BTreeMap::new(),
             running: BTreeMap::new(),
             passed_over: BTreeMap::new(),
@@ -75,13 +75,13 @@
     }
 
     /// The state of the group, begun if it was not allocated here before.
-    pub(super) fn state(
+    pub(super) fn group_state(
         &mut self,
         configuration: &Configuration,
         hall: &DataHallName,
         now: Timestamp,
     ) -> &mut GroupState {
-        self.state.get_or_insert_with(|| {
+        self.group_state.get_or_insert_with(|| {
             let service = &configuration.services[0];
             let mut dispatcher = Dispatcher::configured(configuration, service, hall, now);
             dispatcher.set_view(View::Fleet);
@@ -95,10 +95,10 @@
         known: &[(TargetName, Incarnation, RateLimitUpdate)],
         now: Timestamp,
     ) {
-        for (name, incarnation, told) in known {
-            self.own.merge_target_rate_limit(name, *incarnation, told, now);
-            if let Some(GroupState { dispatcher, .. }) = &mut self.state {
-                dispatcher.merge_target_rate_limit(name, *incarnation, told, now);
+        for (name, incarnation, update) in known {
+            self.own_dispatcher.merge_target_rate_limit(name, *incarnation, update, now);
+            if let Some(GroupState { dispatcher, .. }) = &mut self.group_state {
+                dispatcher.merge_target_rate_limit(name, *incarnation, update, now);
             }
         }
     }
@@ -109,16 +109,16 @@
         entry.1 += 1;
     }
 
-    pub(super) fn answered_by(&mut self, allocator: usize) {
+    pub(super) fn record_reply_from(&mut self, allocator: usize) {
         self.passed_over.remove(&allocator);
     }
 
     pub(super) fn is_passed_over(&self, allocator: usize, now_ms: u64) -> bool {
-        self.passed_over.get(&allocator).is_some_and(|(until_ms, _)| now_ms < *until_ms)
+        self.passed_over.get(&allocator).is_some_and(|(retry_at_ms, _)| now_ms < *retry_at_ms)
     }
 
     /// Leases that this process holds or asks of an allocator.
-    pub(super) fn held(&self, allocator: usize) -> Vec<u64> {
+    pub(super) fn held_leases(&self, allocator: usize) -> Vec<u64> {
         let pending = self.pending.iter().filter(|(_, pending)| pending.allocator == allocator);
         let running = self.running.iter().filter(|(_, held)| held.allocator == Some(allocator));
         pending.map(|(number, _)| *number).chain(running.map(|(number, _)| *number)).collect()
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -50,21 +50,21 @@
 /// One attempt of a call.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::replay) struct Call {
-    pub(super) began_ms: u64,
+    pub(super) started_ms: u64,
     attempt: u32,
     pub(super) tried: Tried,
 }
 
 impl Call {
-    pub(super) fn new(began_ms: u64) -> Self {
-        Self { began_ms, attempt: 1, tried: Tried::default() }
+    pub(super) fn new(started_ms: u64) -> Self {
+        Self { started_ms, attempt: 1, tried: Tried::default() }
     }
 
-    pub(super) fn has_attempt(&self) -> bool {
+    pub(super) fn has_attempt_left(&self) -> bool {
         self.attempt < ATTEMPTS_MAX
     }
 
-    pub(super) fn next(mut self, tried: TargetIndex) -> Self {
+    pub(super) fn next_attempt(mut self, tried: TargetIndex) -> Self {
         self.tried.add(tried);
         Self { attempt: self.attempt + 1, ..self }
     }
@@ -106,7 +106,7 @@
     fn apply_answer(
         &self,
         answer: &Self::Answer,
-        own: &mut Dispatcher<AnyStrategy>,
+        own_dispatcher: &mut Dispatcher<AnyStrategy>,
         grant: &Grant,
         now: Timestamp,
     ) -> (Observation, Option<Duration>);
--- a/crates/thymeshift_lab/src/replay/limits/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -81,14 +81,14 @@
     fn apply_answer(
         &self,
         answer: &Option<f64>,
-        own: &mut Dispatcher<AnyStrategy>,
+        own_dispatcher: &mut Dispatcher<AnyStrategy>,
         grant: &Grant,
         now: Timestamp,
     ) -> (Observation, Option<Duration>) {
         let stated = answer.map(|per_s| RequestRate::per_1000_s((per_s * 1_000.0) as u64));
-        own.record_rate_limit(grant, stated, now);
+        own_dispatcher.record_rate_limit(grant, stated, now);
         let observation = Observation::Answered(None);
-        let _ = own.record_attempt(grant, observation, now);
+        let _ = own_dispatcher.record_attempt(grant, observation, now);
         (observation, None)
     }
 
