--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -105,9 +105,9 @@
 ) -> Result<BackoffResult, Mistakes> {
     let mut result = BackoffResult::default();
     for seed in 0..days {
-        let day = BackoffScenario::new(*pattern, policy);
-        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.run();
-        result.add(&day.result(messages));
+        let scenario = BackoffScenario::new(*pattern, policy);
+        let (scenario, messages) = SimulatedFleet::new(scenario, processes, seed)?.run();
+        result.add(&scenario.result(messages));
     }
     Ok(result)
 }
--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -10,7 +10,7 @@
 /// When targets begin to refuse, in milliseconds.
 pub(super) const REFUSING_FROM_MS: u64 = 4_000;
 /// Requests under way when a target asks for a backoff may arrive for so long.
-const SETTLED_AFTER_MS: u64 = 500;
+const IN_FLIGHT_GRACE_MS: u64 = 500;
 const SECOND_MS: u64 = 1_000;
 
 /// A process and a target.
@@ -19,27 +19,27 @@
 /// What arrived at the targets that refuse.
 pub(super) struct ArrivalLog {
     backoff_ms: u64,
-    returned_at_ms: u64,
+    recovered_at_ms: u64,
     refusing_targets: usize,
-    even_per_s: f64,
-    asked_ms: HashMap<Pair, Vec<u64>>,
+    even_share_per_s: f64,
+    backoff_starts_ms: HashMap<Pair, Vec<u64>>,
     requests_in_backoff_max: usize,
-    within: HashMap<Pair, Vec<u64>>,
+    arrivals_ms: HashMap<Pair, Vec<u64>>,
     /// Moments of arrivals after the targets have stopped refusing, by target.
-    after_ms: Vec<Vec<u64>>,
+    arrivals_after_recovery_ms: Vec<Vec<u64>>,
 }
 
 impl ArrivalLog {
     pub(super) fn new(pattern: &BackoffPattern) -> Self {
         Self {
             backoff_ms: pattern.backoff_ms,
-            returned_at_ms: REFUSING_FROM_MS + pattern.refusing_ms.max(pattern.backoff_ms),
+            recovered_at_ms: REFUSING_FROM_MS + pattern.refusing_ms.max(pattern.backoff_ms),
             refusing_targets: pattern.refusing_targets,
-            even_per_s: pattern.calls_per_s / TARGETS as f64,
-            asked_ms: HashMap::new(),
+            even_share_per_s: pattern.calls_per_s / TARGETS as f64,
+            backoff_starts_ms: HashMap::new(),
             requests_in_backoff_max: 0,
-            within: HashMap::new(),
-            after_ms: vec![Vec::new(); pattern.refusing_targets],
+            arrivals_ms: HashMap::new(),
+            arrivals_after_recovery_ms: vec![Vec::new(); pattern.refusing_targets],
         }
     }
 
@@ -49,27 +49,27 @@
             return;
         }
         let pair = (process, target);
-        self.within.entry(pair).or_default().push(at_ms);
+        self.arrivals_ms.entry(pair).or_default().push(at_ms);
         if is_refused {
-            self.asked_ms.entry(pair).or_default().push(at_ms);
+            self.backoff_starts_ms.entry(pair).or_default().push(at_ms);
         }
-        if at_ms >= self.returned_at_ms {
-            self.after_ms[target].push(at_ms);
+        if at_ms >= self.recovered_at_ms {
+            self.arrivals_after_recovery_ms[target].push(at_ms);
         }
     }
 
     /// What a process was asked before it started again does not bind it.
     pub(super) fn forget_process(&mut self, process: usize) {
         self.evaluate_backoffs();
-        self.asked_ms.retain(|(asked, _), _| *asked != process);
+        self.backoff_starts_ms.retain(|(holder, _), _| *holder != process);
     }
 
     fn evaluate_backoffs(&mut self) {
-        for (pair, asked_ms) in &self.asked_ms {
-            let arrived = self.within.get(pair).map_or(&[][..], Vec::as_slice);
-            for asked in asked_ms {
-                let span = asked + SETTLED_AFTER_MS..asked + self.backoff_ms;
-                let count = arrived.iter().filter(|at| span.contains(at)).count();
+        for (pair, backoff_starts_ms) in &self.backoff_starts_ms {
+            let arrivals = self.arrivals_ms.get(pair).map_or(&[][..], Vec::as_slice);
+            for start in backoff_starts_ms {
+                let window = start + IN_FLIGHT_GRACE_MS..start + self.backoff_ms;
+                let count = arrivals.iter().filter(|at| window.contains(at)).count();
                 self.requests_in_backoff_max = self.requests_in_backoff_max.max(count);
             }
         }
@@ -78,17 +78,17 @@
     pub(super) fn evaluate(mut self, result: &mut BackoffResult) {
         self.evaluate_backoffs();
         result.requests_in_backoff_max = self.requests_in_backoff_max;
-        for arrived in &self.after_ms {
-            let from = |first: &u64| {
-                let span = *first..first + SECOND_MS;
-                arrived.iter().filter(|at| span.contains(at)).count()
+        for arrivals in &self.arrivals_after_recovery_ms {
+            let count_from = |first: &u64| {
+                let window = *first..first + SECOND_MS;
+                arrivals.iter().filter(|at| window.contains(at)).count()
             };
-            let first = self.returned_at_ms..self.returned_at_ms + SECOND_MS;
-            let starts = arrived.iter().filter(|at| first.contains(at));
-            let most = starts.map(from).max().unwrap_or(0) as f64;
-            result.recovery_peak = result.recovery_peak.max(most / self.even_per_s);
-            let second = from(&(self.returned_at_ms + SECOND_MS)) as f64;
-            result.recovery_load += second / self.even_per_s / self.refusing_targets as f64;
+            let first = self.recovered_at_ms..self.recovered_at_ms + SECOND_MS;
+            let starts = arrivals.iter().filter(|at| first.contains(at));
+            let most = starts.map(count_from).max().unwrap_or(0) as f64;
+            result.recovery_peak = result.recovery_peak.max(most / self.even_share_per_s);
+            let second = count_from(&(self.recovered_at_ms + SECOND_MS)) as f64;
+            result.recovery_load += second / self.even_share_per_s / self.refusing_targets as f64;
         }
     }
 }
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -22,7 +22,7 @@
 use crate::replay::fleet::Scenario;
 
 /// Until a refusal is back at the process.
-const REFUSAL_MS: u64 = 3;
+const REFUSAL_DELAY_MS: u64 = 3;
 /// Processes that a target with partial refusals serves, for each one that it refuses.
 const SERVED_PER_REFUSED: usize = 3;
 
@@ -49,8 +49,8 @@
         let Arrival { process, target, at_ms } = arrival;
         let is_refusing = target < self.pattern.refusing_targets
             && (REFUSING_FROM_MS..REFUSING_FROM_MS + self.pattern.refusing_ms).contains(&at_ms);
-        let is_meant = !self.pattern.is_partial || process % (SERVED_PER_REFUSED + 1) == 0;
-        is_refusing && is_meant
+        let is_affected = !self.pattern.is_partial || process % (SERVED_PER_REFUSED + 1) == 0;
+        is_refusing && is_affected
     }
 }
 
@@ -75,7 +75,7 @@
         self.arrivals.record_arrival(arrival, is_refused);
         if is_refused {
             self.result.refusals += 1;
-            return (REFUSAL_MS, Some(Duration::from_millis(self.pattern.backoff_ms)));
+            return (REFUSAL_DELAY_MS, Some(Duration::from_millis(self.pattern.backoff_ms)));
         }
         (rng.random_range(SERVICE_TIME_MS), None)
     }
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -89,9 +89,9 @@
 ) -> Result<LimitResult, Mistakes> {
     let mut result = LimitResult::default();
     for seed in 0..days {
-        let day = LimitScenario::new(*pattern, policy);
-        let (day, messages) = SimulatedFleet::new(day, processes, seed)?.run();
-        result.add(&day.result(messages));
+        let scenario = LimitScenario::new(*pattern, policy);
+        let (scenario, messages) = SimulatedFleet::new(scenario, processes, seed)?.run();
+        result.add(&scenario.result(messages));
     }
     Ok(result)
 }
--- a/crates/thymeshift_lab/src/replay/limits/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/limits/evaluation.rs
@@ -5,18 +5,18 @@
 use crate::replay::limits::LimitResult;
 
 /// Times of the day, in milliseconds.
-pub(super) const NAMED_AT_MS: u64 = 4_000;
+pub(super) const STATED_AT_MS: u64 = 4_000;
 pub(super) const CHANGED_AT_MS: u64 = 12_000;
 /// Until all processes must know of a limit, or of another one.
-const KNOWN_AFTER_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 /// Time over which a limit is judged, how far it may be exceeded, and by how many requests more.
 const WINDOW_MS: u64 = 4_000;
-const OVERSHOOT: f64 = 1.5;
-const SLACK: f64 = 5.0;
+const OVERSHOOT_FACTOR: f64 = 1.5;
+const SLACK_REQUESTS: f64 = 5.0;
 
 /// The limit that a target in need names at a moment; none before it names one, or after its need.
 pub(super) fn limit_at(pattern: &LimitPattern, now_ms: u64) -> Option<f64> {
-    if now_ms < NAMED_AT_MS {
+    if now_ms < STATED_AT_MS {
         return None;
     }
     let factor = if now_ms < CHANGED_AT_MS { 1.0 } else { pattern.limit_factor };
@@ -24,16 +24,17 @@
 }
 
 /// Judges the arrivals at the targets in need, in the order of their moments.
-pub(super) fn evaluate(pattern: &LimitPattern, arrived_ms: &[Vec<u64>], result: &mut LimitResult) {
-    let from = NAMED_AT_MS + KNOWN_AFTER_MS;
-    for arrived in arrived_ms {
-        let late: Vec<u64> = arrived.iter().copied().filter(|at| *at >= from).collect();
-        result.requests_received += late.len() as f64;
+pub(super) fn evaluate(pattern: &LimitPattern, arrivals_ms: &[Vec<u64>], result: &mut LimitResult) {
+    let from = STATED_AT_MS + PROPAGATION_MS;
+    for arrivals_at_ms in arrivals_ms {
+        let evaluated: Vec<u64> = arrivals_at_ms.iter().copied().filter(|at| *at >= from).collect();
+        result.requests_received += evaluated.len() as f64;
         result.requests_allowed += allowed_between(pattern, from, DAY_MS);
-        for first in &late {
-            let most = late.iter().filter(|at| (*first..first + WINDOW_MS).contains(at)).count();
+        for first in &evaluated {
+            let arrivals =
+                evaluated.iter().filter(|at| (*first..first + WINDOW_MS).contains(at)).count();
             result.worst_window =
-                result.worst_window.max(most as f64 / allowed_in(pattern, *first));
+                result.worst_window.max(arrivals as f64 / allowed_in(pattern, *first));
         }
     }
 }
@@ -41,10 +42,10 @@
 /// What is allowed in the window that begins at `first_ms`: by the largest limit that a process may
 /// still know.
 fn allowed_in(pattern: &LimitPattern, first_ms: u64) -> f64 {
-    let before = limit_at(pattern, first_ms.saturating_sub(KNOWN_AFTER_MS));
+    let before = limit_at(pattern, first_ms.saturating_sub(PROPAGATION_MS));
     let after = limit_at(pattern, first_ms + WINDOW_MS);
     let per_s = before.into_iter().chain(after).fold(0.0, f64::max);
-    OVERSHOOT * per_s * WINDOW_MS as f64 / 1_000.0 + SLACK
+    OVERSHOOT_FACTOR * per_s * WINDOW_MS as f64 / 1_000.0 + SLACK_REQUESTS
 }
 
 fn allowed_between(pattern: &LimitPattern, from_ms: u64, to_ms: u64) -> f64 {
--- a/crates/thymeshift_lab/src/replay/limits/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -26,18 +26,18 @@
 pub(super) struct LimitScenario {
     pattern: LimitPattern,
     policy: LimitPolicy,
-    arrived_ms: Vec<Vec<u64>>,
+    arrivals_ms: Vec<Vec<u64>>,
     result: LimitResult,
 }
 
 impl LimitScenario {
     pub(super) fn new(pattern: LimitPattern, policy: LimitPolicy) -> Self {
-        let arrived_ms = vec![Vec::new(); pattern.limited_targets];
-        Self { pattern, policy, arrived_ms, result: LimitResult::default() }
+        let arrivals_ms = vec![Vec::new(); pattern.limited_targets];
+        Self { pattern, policy, arrivals_ms, result: LimitResult::default() }
     }
 
     pub(super) fn result(mut self, messages: usize) -> LimitResult {
-        evaluate(&self.pattern, &self.arrived_ms, &mut self.result);
+        evaluate(&self.pattern, &self.arrivals_ms, &mut self.result);
         LimitResult { messages, ..self.result }
     }
 }
@@ -68,13 +68,13 @@
 
     fn answer(&mut self, arrival: Arrival, rng: &mut SmallRng) -> (u64, Option<f64>) {
         let Arrival { target, at_ms, .. } = arrival;
-        if let Some(arrived) = self.arrived_ms.get_mut(target) {
-            arrived.push(at_ms);
+        if let Some(arrivals) = self.arrivals_ms.get_mut(target) {
+            arrivals.push(at_ms);
         }
         let work_ms = rng.random_range(SERVICE_TIME_MS);
-        let names_limit =
+        let states_limit =
             target < self.pattern.limited_targets && self.policy != LimitPolicy::Ignored;
-        let limit = limit_at(&self.pattern, at_ms + work_ms).filter(|_| names_limit);
+        let limit = limit_at(&self.pattern, at_ms + work_ms).filter(|_| states_limit);
         (work_ms, limit)
     }
 
