--- a/crates/thymeshift_lab/src/replay/quotas/process.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/process.rs
@@ -10,9 +10,9 @@
 const DEMAND_MEMORY_MS: f64 = 1_000.0;
 
 /// A question that waits for its answer.
-pub(super) struct Question {
+pub(super) struct PendingTokenRequest {
     pub(super) number: u64,
-    pub(super) place: usize,
+    pub(super) counter_index: usize,
     pub(super) wanted: u32,
     pub(super) arrived: u32,
 }
@@ -20,34 +20,34 @@
 pub(super) struct Process {
     pub(super) holder: QuotaHolder,
     pub(super) counter: Option<QuotaCounter<usize>>,
-    pub(super) question: Option<Question>,
+    pub(super) pending_request: Option<PendingTokenRequest>,
     pub(super) waiting: usize,
-    pub(super) passed_over: [u64; 2],
+    pub(super) passed_over_until_ms: [u64; 2],
     /// Where parts are admitted: tokens, when they were filled, and demand.
     pub(super) tokens: f64,
     pub(super) filled_ms: u64,
     pub(super) demand_per_s: f64,
     /// Demand that others told, and when.
-    pub(super) told: Vec<(f64, u64)>,
+    pub(super) reported_demand: Vec<(f64, u64)>,
 }
 
 impl Process {
-    pub(super) fn new(count: usize, now: Timestamp) -> Self {
+    pub(super) fn new(process_count: usize, now: Timestamp) -> Self {
         Self {
-            holder: QuotaHolder::new(LIMIT, count as u64, now),
+            holder: QuotaHolder::new(LIMIT, process_count as u64, now),
             counter: None,
-            question: None,
+            pending_request: None,
             waiting: 0,
-            passed_over: [0; 2],
+            passed_over_until_ms: [0; 2],
             tokens: 1.0,
             filled_ms: now.as_micros() / 1_000,
             demand_per_s: 0.0,
-            told: vec![(0.0, 0); count],
+            reported_demand: vec![(0.0, 0); process_count],
         }
     }
 
     /// Counts an arrival.
-    pub(super) fn arrives(&mut self, now_ms: u64) {
+    pub(super) fn record_demand(&mut self, now_ms: u64) {
         self.demand_per_s = self.demand(now_ms) + 1_000.0 / DEMAND_MEMORY_MS;
     }
 
