--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -154,18 +154,36 @@
     /// The ways that are compared.
     pub fn all() -> [Self; 8] {
         let production = Self::production();
-        let from =
+        let with_strikes_min =
             |refusal_strikes_min| QuarantineRules { refusal_strikes_min, ..production.rules };
-        let bar = |first_refusal| QuarantineRules { first_refusal, ..production.rules };
+        let with_first_refusal =
+            |first_refusal| QuarantineRules { first_refusal, ..production.rules };
         [
             Self { name: "nothing remembered", refuses: false, ..production },
             production,
             Self { name: "two, not retried", retries: false, ..production },
-            Self { name: "two, 1 s at first", rules: bar(Duration::from_secs(1)), ..production },
-            Self { name: "two, 10 s at first", rules: bar(Duration::from_secs(10)), ..production },
-            Self { name: "two, 5 min at first", rules: bar(Duration::from_mins(5)), ..production },
-            Self { name: "three, retried", rules: from(3), ..production },
-            Self { name: "three, not retried", rules: from(3), retries: false, ..production },
+            Self {
+                name: "two, 1 s at first",
+                rules: with_first_refusal(Duration::from_secs(1)),
+                ..production
+            },
+            Self {
+                name: "two, 10 s at first",
+                rules: with_first_refusal(Duration::from_secs(10)),
+                ..production
+            },
+            Self {
+                name: "two, 5 min at first",
+                rules: with_first_refusal(Duration::from_mins(5)),
+                ..production
+            },
+            Self { name: "three, retried", rules: with_strikes_min(3), ..production },
+            Self {
+                name: "three, not retried",
+                rules: with_strikes_min(3),
+                retries: false,
+                ..production
+            },
         ]
     }
 }
--- a/crates/thymeshift_lab/src/replay/crashes/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/simulation.rs
@@ -30,36 +30,36 @@
 /// The deployment of the model: the roster look-ups.
 const PROCESSES: usize = 13;
 const TARGETS: usize = 7;
-const SLOTS: usize = 3;
-const LOOKUPS_PER_S: f64 = 70.0;
-const WORK_MEAN_MS: f64 = 60.0;
+const SLOTS_PER_TARGET: usize = 3;
+const INNOCENT_REQUESTS_PER_S: f64 = 70.0;
+const SERVICE_TIME_MEAN_MS: f64 = 60.0;
 /// A guilty run crashes its target after so long, in milliseconds.
-const CRASHES_AFTER_MS: std::ops::Range<u64> = 40..110;
+const CRASH_DELAY_MS: std::ops::Range<u64> = 40..110;
 /// A target is back after so long, in milliseconds.
-const BACK_AFTER_MS: std::ops::Range<u64> = 3_000..6_000;
+const RESTART_MS: std::ops::Range<u64> = 3_000..6_000;
 /// From one process to another, in milliseconds.
-const MESSAGE_MS: u64 = 2;
+const MESSAGE_DELAY_MS: u64 = 2;
 /// Until a process has seen that a target is gone, in milliseconds.
-const LOOK_MS: u64 = 2;
+const LOSS_DETECTION_MS: u64 = 2;
 /// Attempts for each arrival, and second tries of a caller.
 const ATTEMPTS_MAX: u32 = 2;
 const CALLER_RETRIES: u32 = 1;
-const CALLER_BACK_MS: u64 = 20;
+const CALLER_RETRY_DELAY_MS: u64 = 20;
 /// Look-ups that callers ask for again and again, and their share of all.
-const HOT_REQUESTS: u32 = 5;
-const HOT_SHARE: f64 = 0.2;
-const DAY: Timestamp = Timestamp::from_millis(60_000);
+const REPEATED_REQUESTS: u32 = 5;
+const REPEATED_SHARE: f64 = 0.2;
+const DAY_END: Timestamp = Timestamp::from_millis(60_000);
 /// Time after the third crash in which what is sent is not counted against the fleet: nobody can
 /// know at once.
-const KNOWN_AFTER: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 const CRASHES_ALLOWED: usize = 3;
 
 /// The guilty request.
-const GUILTY: Fingerprint = Fingerprint::from_bytes([0xff; 16]);
+const GUILTY_FINGERPRINT: Fingerprint = Fingerprint::from_bytes([0xff; 16]);
 
 /// One try of a caller.
 #[derive(Debug, Clone, Copy)]
-struct Try {
+struct CallerRequest {
     fingerprint: Fingerprint,
     is_guilty: bool,
     process: usize,
@@ -68,8 +68,8 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Run {
-    tried: Try,
+struct TargetRun {
+    request: CallerRequest,
     target: usize,
     began_at: Timestamp,
 }
@@ -82,15 +82,15 @@
 }
 
 enum Event {
-    Innocent,
-    Guilty,
-    Arrives(Try),
-    Ends(u64),
-    TargetEnds(usize),
-    RackEnds,
-    AllKilled,
-    Lost(Run, Timestamp),
-    Told(usize, SuspectReport),
+    InnocentArrival,
+    GuiltyArrival,
+    CallerRetry(CallerRequest),
+    RunEnd(u64),
+    TargetExit(usize),
+    RackFailure,
+    ProcessesKilled,
+    RunLost(TargetRun, Timestamp),
+    ReportReceived(usize, SuspectReport),
 }
 
 /// The names of all that is modelled.
@@ -122,8 +122,8 @@
     events: EventQueue<Event>,
     targets: Vec<Target>,
     processes: Vec<Quarantine>,
-    runs: BTreeMap<u64, Run>,
-    counted: u64,
+    runs: BTreeMap<u64, TargetRun>,
+    last_id: u64,
     guilty_crashes: Vec<Timestamp>,
     /// When all processes were killed; what they send in the first seconds after is not counted
     /// either.
@@ -143,7 +143,7 @@
             targets: (0..TARGETS).map(|_| Target::default()).collect(),
             processes: vec![Quarantine::with_rules(policy.rules); PROCESSES],
             runs: BTreeMap::new(),
-            counted: 0,
+            last_id: 0,
             guilty_crashes: Vec::new(),
             killed_at: None,
             result: CrashResult::default(),
@@ -151,190 +151,198 @@
     }
 
     pub(super) fn run(mut self) -> CrashResult {
-        self.events.schedule(Timestamp::default(), Event::Innocent);
+        self.events.schedule(Timestamp::default(), Event::InnocentArrival);
         if self.pattern.guilty_interval.is_some() {
-            self.events.schedule(Timestamp::from_millis(5_000), Event::Guilty);
+            self.events.schedule(Timestamp::from_millis(5_000), Event::GuiltyArrival);
         }
         if self.pattern.racks_fail {
-            self.events.schedule(Timestamp::from_millis(10_000), Event::RackEnds);
+            self.events.schedule(Timestamp::from_millis(10_000), Event::RackFailure);
         }
         if self.pattern.processes_killed {
-            self.events.schedule(Timestamp::from_millis(25_000), Event::AllKilled);
+            self.events.schedule(Timestamp::from_millis(25_000), Event::ProcessesKilled);
         }
         for target in 0..TARGETS {
-            self.plan_end(target);
+            self.schedule_target_exit(target);
         }
         while let Some((at, event)) = self.events.pop()
-            && at < DAY
+            && at < DAY_END
         {
             self.now = at;
-            self.take(event);
+            self.handle(event);
         }
         self.result
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Innocent => self.send_innocent(),
-            Event::Guilty => self.send_guilty(),
-            Event::Arrives(tried) => self.arrives(tried),
-            Event::Ends(number) => self.ends(number),
-            Event::TargetEnds(target) => {
-                self.target_ends(target);
-                self.plan_end(target);
+            Event::InnocentArrival => self.send_innocent(),
+            Event::GuiltyArrival => self.send_guilty(),
+            Event::CallerRetry(request) => self.dispatch(request),
+            Event::RunEnd(number) => self.handle_run_end(number),
+            Event::TargetExit(target) => {
+                self.stop_target(target);
+                self.schedule_target_exit(target);
             }
-            Event::RackEnds => {
+            Event::RackFailure => {
                 for target in 0..=TARGETS / 2 {
-                    self.target_ends(target);
+                    self.stop_target(target);
                 }
-                self.events.schedule(self.now + Duration::from_secs(10), Event::RackEnds);
+                self.events.schedule(self.now + Duration::from_secs(10), Event::RackFailure);
             }
-            Event::AllKilled => {
+            Event::ProcessesKilled => {
                 self.killed_at = Some(self.now);
                 self.processes = vec![Quarantine::with_rules(self.policy.rules); PROCESSES];
             }
-            Event::Lost(run, ended_at) => self.lost(run, ended_at),
-            Event::Told(process, told) => {
-                self.processes[process].merge(&told, self.now);
+            Event::RunLost(run, ended_at) => self.handle_lost_run(run, ended_at),
+            Event::ReportReceived(process, report) => {
+                self.processes[process].merge(&report, self.now);
             }
         }
     }
 
-    fn after(&mut self, mean: Duration) -> Timestamp {
-        let draw = Exp::new(1.0).map_or(1.0, |one| one.sample(&mut self.rng));
-        self.now + mean.mul_f64(draw)
+    fn exponential_after(&mut self, mean: Duration) -> Timestamp {
+        let sample = Exp::new(1.0).map_or(1.0, |one| one.sample(&mut self.rng));
+        self.now + mean.mul_f64(sample)
     }
 
-    fn plan_end(&mut self, target: usize) {
+    fn schedule_target_exit(&mut self, target: usize) {
         if self.pattern.target_exits_per_s > 0.0 {
-            let at = self.after(Duration::from_secs_f64(1.0 / self.pattern.target_exits_per_s));
-            self.events.schedule(at, Event::TargetEnds(target));
+            let at = self
+                .exponential_after(Duration::from_secs_f64(1.0 / self.pattern.target_exits_per_s));
+            self.events.schedule(at, Event::TargetExit(target));
         }
     }
 
     fn send_innocent(&mut self) {
-        let next = self.after(Duration::from_secs_f64(1.0 / LOOKUPS_PER_S));
-        self.events.schedule(next, Event::Innocent);
-        self.counted += 1;
-        let is_hot = self.rng.random_bool(HOT_SHARE);
-        let number = if is_hot {
-            u64::from(self.rng.random_range(0..HOT_REQUESTS))
+        let next = self.exponential_after(Duration::from_secs_f64(1.0 / INNOCENT_REQUESTS_PER_S));
+        self.events.schedule(next, Event::InnocentArrival);
+        self.last_id += 1;
+        let is_repeated = self.rng.random_bool(REPEATED_SHARE);
+        let number = if is_repeated {
+            u64::from(self.rng.random_range(0..REPEATED_REQUESTS))
         } else {
-            self.counted + 1_000
+            self.last_id + 1_000
         };
         let mut bytes = [0; 16];
         bytes[8..].copy_from_slice(&number.to_be_bytes());
         self.result.innocent_requests += 1;
-        self.send_in(Fingerprint::from_bytes(bytes), false);
+        self.send_from_caller(Fingerprint::from_bytes(bytes), false);
     }
 
     fn send_guilty(&mut self) {
         let every = self.pattern.guilty_interval.unwrap_or(Duration::from_secs(1));
-        let next = self.after(every);
+        let next = self.exponential_after(every);
         if next < Timestamp::from_millis(50_000) {
-            self.events.schedule(next, Event::Guilty);
+            self.events.schedule(next, Event::GuiltyArrival);
         }
-        self.send_in(GUILTY, true);
+        self.send_from_caller(GUILTY_FINGERPRINT, true);
     }
 
-    fn send_in(&mut self, fingerprint: Fingerprint, is_guilty: bool) {
+    fn send_from_caller(&mut self, fingerprint: Fingerprint, is_guilty: bool) {
         let process = self.rng.random_range(0..PROCESSES);
         let (attempts_left, retries_left) = (ATTEMPTS_MAX, CALLER_RETRIES);
-        let tried = Try { fingerprint, is_guilty, process, attempts_left, retries_left };
-        self.arrives(tried);
+        let request =
+            CallerRequest { fingerprint, is_guilty, process, attempts_left, retries_left };
+        self.dispatch(request);
     }
 
     /// The caller is told that its try has failed, and may try again.
-    fn failed(&mut self, tried: Try) {
-        let Some(retries_left) = tried.retries_left.checked_sub(1) else {
+    fn handle_failure(&mut self, request: CallerRequest) {
+        let Some(retries_left) = request.retries_left.checked_sub(1) else {
             return;
         };
         let process = self.rng.random_range(0..PROCESSES);
-        let again = Try { process, retries_left, attempts_left: ATTEMPTS_MAX, ..tried };
-        self.events
-            .schedule(self.now + Duration::from_millis(CALLER_BACK_MS), Event::Arrives(again));
+        let retry = CallerRequest { process, retries_left, attempts_left: ATTEMPTS_MAX, ..request };
+        self.events.schedule(
+            self.now + Duration::from_millis(CALLER_RETRY_DELAY_MS),
+            Event::CallerRetry(retry),
+        );
     }
 
-    fn arrives(&mut self, tried: Try) {
-        if self.is_refused(&tried) {
-            self.result.innocent_refused += usize::from(!tried.is_guilty);
+    fn dispatch(&mut self, request: CallerRequest) {
+        if self.is_refused(&request) {
+            self.result.innocent_refused += usize::from(!request.is_guilty);
             return;
         }
         let free: Vec<usize> = (0..TARGETS).filter(|target| self.is_free(*target)).collect();
         if free.is_empty() {
-            self.failed(tried);
+            self.handle_failure(request);
             return;
         }
         let target = free[self.rng.random_range(0..free.len())];
-        let work = if tried.is_guilty {
-            Duration::from_millis(self.rng.random_range(CRASHES_AFTER_MS))
+        let service_time = if request.is_guilty {
+            Duration::from_millis(self.rng.random_range(CRASH_DELAY_MS))
         } else {
-            let mean = Duration::from_secs_f64(WORK_MEAN_MS / 1_000.0);
-            self.after(mean).since(self.now)
+            let mean = Duration::from_secs_f64(SERVICE_TIME_MEAN_MS / 1_000.0);
+            self.exponential_after(mean).since(self.now)
         };
-        self.counted += 1;
-        let attempts_left = tried.attempts_left - 1;
-        let run = Run { tried: Try { attempts_left, ..tried }, target, began_at: self.now };
-        self.runs.insert(self.counted, run);
-        self.targets[target].runs.push(self.counted);
-        self.events.schedule(self.now + work, Event::Ends(self.counted));
-        let third = self.guilty_crashes.get(CRASHES_ALLOWED - 1);
-        let is_late = third.is_some_and(|at| self.now.since(*at) > KNOWN_AFTER)
-            && self.killed_at.is_none_or(|at| self.now.since(at) > KNOWN_AFTER);
-        self.result.late_sends_worst += usize::from(tried.is_guilty && is_late);
+        self.last_id += 1;
+        let attempts_left = request.attempts_left - 1;
+        let run = TargetRun {
+            request: CallerRequest { attempts_left, ..request },
+            target,
+            began_at: self.now,
+        };
+        self.runs.insert(self.last_id, run);
+        self.targets[target].runs.push(self.last_id);
+        self.events.schedule(self.now + service_time, Event::RunEnd(self.last_id));
+        let third_crash_at = self.guilty_crashes.get(CRASHES_ALLOWED - 1);
+        let is_late = third_crash_at.is_some_and(|at| self.now.since(*at) > SETTLE_TIME)
+            && self.killed_at.is_none_or(|at| self.now.since(at) > SETTLE_TIME);
+        self.result.late_sends_worst += usize::from(request.is_guilty && is_late);
     }
 
-    fn is_refused(&self, tried: &Try) -> bool {
-        let verdict = self.processes[tried.process].verdict(tried.fingerprint, self.now);
+    fn is_refused(&self, request: &CallerRequest) -> bool {
+        let verdict = self.processes[request.process].verdict(request.fingerprint, self.now);
         self.policy.refuses && matches!(verdict, Verdict::Refused(_))
     }
 
     fn is_free(&self, target: usize) -> bool {
         let target = &self.targets[target];
         let is_up = target.down_until.is_none_or(|until| self.now >= until);
-        is_up && target.runs.len() < SLOTS
+        is_up && target.runs.len() < SLOTS_PER_TARGET
     }
 
-    fn ends(&mut self, number: u64) {
+    fn handle_run_end(&mut self, number: u64) {
         let Some(run) = self.runs.get(&number).copied() else {
             return;
         };
-        if run.tried.is_guilty {
+        if run.request.is_guilty {
             self.result.crashed_targets += 1;
             self.guilty_crashes.push(self.now);
-            self.target_ends(run.target);
+            self.stop_target(run.target);
             return;
         }
         self.runs.remove(&number);
         self.targets[run.target].runs.retain(|known| *known != number);
         self.result.innocent_served += 1;
-        let Try { fingerprint, process, .. } = run.tried;
+        let CallerRequest { fingerprint, process, .. } = run.request;
         if self.processes[process].record_answer(fingerprint, self.now) {
-            self.tell(process, fingerprint);
+            self.broadcast_report(process, fingerprint);
         }
     }
 
-    fn target_ends(&mut self, index: usize) {
-        let back_ms = self.rng.random_range(BACK_AFTER_MS);
+    fn stop_target(&mut self, index: usize) {
+        let restart_ms = self.rng.random_range(RESTART_MS);
         let target = &mut self.targets[index];
         target.starts += 1;
-        target.down_until = Some(self.now + Duration::from_millis(back_ms));
-        let seen_at = self.now + Duration::from_millis(LOOK_MS);
+        target.down_until = Some(self.now + Duration::from_millis(restart_ms));
+        let detected_at = self.now + Duration::from_millis(LOSS_DETECTION_MS);
         for number in std::mem::take(&mut target.runs) {
             if let Some(run) = self.runs.remove(&number) {
-                self.events.schedule(seen_at, Event::Lost(run, self.now));
+                self.events.schedule(detected_at, Event::RunLost(run, self.now));
             }
         }
     }
 
-    fn lost(&mut self, run: Run, ended_at: Timestamp) {
-        let Run { tried, target, began_at } = run;
-        self.counted += 1;
+    fn handle_lost_run(&mut self, run: TargetRun, ended_at: Timestamp) {
+        let TargetRun { request, target, began_at } = run;
+        self.last_id += 1;
         let crash = Crash {
             id: CrashId {
-                vm: self.names.vms[tried.process].clone(),
+                vm: self.names.vms[request.process].clone(),
                 boot: Boot::new(1),
-                number: self.counted,
+                number: self.last_id,
             },
             service: self.names.service.clone(),
             target: self.names.targets[target].clone(),
@@ -342,23 +350,23 @@
             began_ago_ms: self.now.since(began_at).as_millis() as u64,
             ended_ago_ms: self.now.since(ended_at).as_millis() as u64,
         };
-        if self.processes[tried.process].record_crash(tried.fingerprint, &crash, self.now) {
-            self.tell(tried.process, tried.fingerprint);
+        if self.processes[request.process].record_crash(request.fingerprint, &crash, self.now) {
+            self.broadcast_report(request.process, request.fingerprint);
         }
-        if self.policy.retries && tried.attempts_left > 0 && !self.is_refused(&tried) {
-            self.arrives(tried);
+        if self.policy.retries && request.attempts_left > 0 && !self.is_refused(&request) {
+            self.dispatch(request);
         } else {
-            self.failed(tried);
+            self.handle_failure(request);
         }
     }
 
-    fn tell(&mut self, process: usize, fingerprint: Fingerprint) {
-        let Some(told) = self.processes[process].report(fingerprint, self.now) else {
+    fn broadcast_report(&mut self, process: usize, fingerprint: Fingerprint) {
+        let Some(report) = self.processes[process].report(fingerprint, self.now) else {
             return;
         };
-        let at = self.now + Duration::from_millis(MESSAGE_MS);
+        let at = self.now + Duration::from_millis(MESSAGE_DELAY_MS);
         for other in (0..PROCESSES).filter(|other| *other != process) {
-            self.events.schedule(at, Event::Told(other, told.clone()));
+            self.events.schedule(at, Event::ReportReceived(other, report.clone()));
         }
     }
 }
