--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -74,16 +74,16 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct PublishedDocument {
     revision: u64,
     text: Bytes,
 }
 
 #[derive(Debug, Default)]
 struct History {
-    first: Option<Held>,
-    frozen: Option<Held>,
-    last: Option<Held>,
+    first: Option<PublishedDocument>,
+    frozen: Option<PublishedDocument>,
+    last: Option<PublishedDocument>,
 }
 
 /// A platform.
@@ -120,11 +120,11 @@
 
     /// Publishes a document.
     pub fn publish(&self, name: DocumentName, revision: u64, text: impl Into<Bytes>) {
-        let held = Held { revision, text: text.into() };
+        let document = PublishedDocument { revision, text: text.into() };
         let mut documents = self.documents.lock();
         let history = documents.entry(name).or_default();
-        history.first.get_or_insert_with(|| held.clone());
-        history.last = Some(held);
+        history.first.get_or_insert_with(|| document.clone());
+        history.last = Some(document);
         drop(documents);
         self.changed.send_modify(|count| *count += 1);
     }
@@ -150,7 +150,7 @@
             PlatformMode::Silent => std::future::pending().await,
             PlatformMode::Slow(ms) => sleep(Duration::from_millis(ms)).await,
             PlatformMode::Failing => return status_response(StatusCode::INTERNAL_SERVER_ERROR),
-            PlatformMode::Rubbish => return document(&rubbish()),
+            PlatformMode::Rubbish => return document_response(&invalid_document()),
             PlatformMode::Normal | PlatformMode::Stale | PlatformMode::Backwards => {}
         }
         let Some(name) = DocumentName::of(request.uri().path()) else {
@@ -159,19 +159,20 @@
         let query = request.uri().query().unwrap_or_default();
         let after = query_number(query, "after").unwrap_or(0);
         let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
-        match timeout(wait, self.newer(name, after)).await {
-            Ok(held) => document(&held),
-            Err(_) => self
-                .held(name, after)
-                .map_or_else(|| status_response(StatusCode::NO_CONTENT), |held| document(&held)),
+        match timeout(wait, self.wait_for_newer(name, after)).await {
+            Ok(document) => document_response(&document),
+            Err(_) => self.document_newer_than(name, after).map_or_else(
+                || status_response(StatusCode::NO_CONTENT),
+                |document| document_response(&document),
+            ),
         }
     }
 
-    async fn newer(&self, name: DocumentName, after: u64) -> Held {
+    async fn wait_for_newer(&self, name: DocumentName, after: u64) -> PublishedDocument {
         let mut changes = self.changed.subscribe();
         loop {
-            if let Some(held) = self.held(name, after) {
-                return held;
+            if let Some(document) = self.document_newer_than(name, after) {
+                return document;
             }
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
@@ -180,13 +181,15 @@
     }
 
     /// What a caller that has `after` is told.
-    fn held(&self, name: DocumentName, after: u64) -> Option<Held> {
+    fn document_newer_than(&self, name: DocumentName, after: u64) -> Option<PublishedDocument> {
         let documents = self.documents.lock();
         let history = documents.get(&name)?;
         match *self.mode.lock() {
-            PlatformMode::Stale => history.frozen.clone().filter(|held| held.revision != after),
+            PlatformMode::Stale => {
+                history.frozen.clone().filter(|document| document.revision != after)
+            }
             PlatformMode::Backwards => history.first.clone(),
-            _ => history.last.clone().filter(|held| held.revision > after),
+            _ => history.last.clone().filter(|document| document.revision > after),
         }
     }
 
@@ -219,13 +222,13 @@
     }
 }
 
-fn rubbish() -> Held {
-    Held { revision: u64::MAX, text: Bytes::from_static(b"\xff\xfe{{{") }
+fn invalid_document() -> PublishedDocument {
+    PublishedDocument { revision: u64::MAX, text: Bytes::from_static(b"\xff\xfe{{{") }
 }
 
-fn document(held: &Held) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(held.text.clone()));
-    response.headers_mut().insert(headers::REVISION, held.revision.into());
+fn document_response(document: &PublishedDocument) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(document.text.clone()));
+    response.headers_mut().insert(headers::REVISION, document.revision.into());
     response
 }
 
--- a/crates/thymeshift_lab/src/standin/proxy.rs
+++ b/crates/thymeshift_lab/src/standin/proxy.rs
@@ -44,7 +44,7 @@
 
 /// The way of bytes through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToServer,
     ToClient,
 }
@@ -98,19 +98,19 @@
     }
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
-    let mut watched = mode.clone();
+    let mut reset_watcher = mode.clone();
     // When either way ends, or a reset begins, both connections are reset.
     tokio::select! {
-        () = pass(client_in, server_out, Way::ToServer, mode.clone()) => {}
-        () = pass(server_in, client_out, Way::ToClient, mode) => {}
-        _ = watched.wait_for(|mode| *mode == ProxyMode::Reset) => {}
+        () = forward(client_in, server_out, Direction::ToServer, mode.clone()) => {}
+        () = forward(server_in, client_out, Direction::ToClient, mode) => {}
+        _ = reset_watcher.wait_for(|mode| *mode == ProxyMode::Reset) => {}
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    way: Way,
+    direction: Direction,
     mut mode: watch::Receiver<ProxyMode>,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -122,10 +122,10 @@
         if mode.wait_for(|mode| *mode != ProxyMode::Silent).await.is_err() {
             return;
         }
-        let now = *mode.borrow();
-        match now {
+        let current_mode = *mode.borrow();
+        match current_mode {
             ProxyMode::Delay(delay) => sleep(delay).await,
-            ProxyMode::AnswersLost if way == Way::ToClient => continue,
+            ProxyMode::AnswersLost if direction == Direction::ToClient => continue,
             _ => {}
         }
         if to.write_all(&buffer[..length]).await.is_err() {
--- a/crates/thymeshift_lab/src/standin/slots.rs
+++ b/crates/thymeshift_lab/src/standin/slots.rs
@@ -59,18 +59,18 @@
             Err(_) => {
                 self.queued.fetch_add(1, Ordering::Relaxed);
                 let _queued = Queued(self);
-                self.remember();
+                self.record_load();
                 self.semaphore.clone().acquire_owned().await.ok()?
             }
         };
         self.running.fetch_add(1, Ordering::Relaxed);
-        self.remember();
+        self.record_load();
         Some(Slot { slots: self.clone(), _permit: permit })
     }
 
     /// The load as it was `age` ago, without the request that carries the report.
     pub(crate) fn report(&self, age: Duration) -> LoadReport {
-        let load = if age.is_zero() { self.load() } else { self.load_before(age) };
+        let load = if age.is_zero() { self.load() } else { self.past_load(age) };
         LoadReport {
             running: load.running,
             queued: load.queued,
@@ -88,7 +88,7 @@
         }
     }
 
-    fn load_before(&self, age: Duration) -> Load {
+    fn past_load(&self, age: Duration) -> Load {
         let Some(then) = Instant::now().checked_sub(age) else {
             return Load::default();
         };
@@ -97,7 +97,7 @@
         before.map_or(Load::default(), |(_, load)| *load)
     }
 
-    fn remember(&self) {
+    fn record_load(&self) {
         let mut history = self.history.lock();
         if history.len() == HISTORY_MAX {
             history.pop_front();
@@ -115,6 +115,6 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.slots.running.fetch_sub(1, Ordering::Relaxed);
-        self.slots.remember();
+        self.slots.record_load();
     }
 }
--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -14,7 +14,7 @@
 /// After this time without a new request a target may end that leaves.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 /// Until an answer has reached the process, and requests under way have arrived.
-const SETTLED_AFTER: Duration = Duration::from_millis(500);
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
 /// What reached a target against what it had said.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,8 +37,8 @@
 }
 
 #[derive(Default)]
-struct ToProcess {
-    left_at: Option<Instant>,
+struct ProcessStatements {
+    leaving_since: Option<Instant>,
     /// Beginning, end, and requests within.
     backoffs: Vec<(Instant, Instant, usize)>,
     violations: StatementViolations,
@@ -47,7 +47,7 @@
 /// The statements of one target, by process.
 #[derive(Default)]
 pub(super) struct StatementLog {
-    processes: Mutex<HashMap<String, ToProcess>>,
+    processes: Mutex<HashMap<String, ProcessStatements>>,
 }
 
 impl StatementLog {
@@ -55,13 +55,13 @@
     pub(super) fn record_request(&self, process: &str) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
-        let known = processes.entry(process.to_owned()).or_default();
-        let ToProcess { left_at, backoffs, violations } = known;
-        let is_late = left_at.is_some_and(|at| now > at + SETTLED_AFTER + DRAIN_TIME);
+        let statements = processes.entry(process.to_owned()).or_default();
+        let ProcessStatements { leaving_since, backoffs, violations } = statements;
+        let is_late = leaving_since.is_some_and(|at| now > at + IN_FLIGHT_GRACE + DRAIN_TIME);
         violations.after_leaving += usize::from(is_late);
         backoffs.retain(|(_, end, _)| now < *end);
         for (begin, _, count) in backoffs {
-            *count += usize::from(now > *begin + SETTLED_AFTER);
+            *count += usize::from(now > *begin + IN_FLIGHT_GRACE);
             violations.in_backoff = violations.in_backoff.max(*count);
         }
     }
@@ -69,21 +69,21 @@
     /// A process is answered that the target leaves.
     pub(super) fn record_leaving(&self, process: &str) {
         let mut processes = self.processes.lock();
-        let known = processes.entry(process.to_owned()).or_default();
-        known.left_at.get_or_insert_with(Instant::now);
+        let statements = processes.entry(process.to_owned()).or_default();
+        statements.leaving_since.get_or_insert_with(Instant::now);
     }
 
     /// A process is asked for a backoff.
     pub(super) fn record_backoff(&self, process: &str, wait: Duration) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
-        let known = processes.entry(process.to_owned()).or_default();
-        known.backoffs.push((now, now + wait, 0));
+        let statements = processes.entry(process.to_owned()).or_default();
+        statements.backoffs.push((now, now + wait, 0));
     }
 
     /// What each process disregarded.
     pub(super) fn violations(&self) -> HashMap<String, StatementViolations> {
         let processes = self.processes.lock();
-        processes.iter().map(|(name, known)| (name.clone(), known.violations)).collect()
+        processes.iter().map(|(name, statements)| (name.clone(), statements.violations)).collect()
     }
 }
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -69,9 +69,9 @@
 /// Longest answer, in bytes.
 const ANSWER_BYTES_MAX: u64 = 64 * 1_024 * 1_024;
 /// Time after which an answer that is cut breaks off.
-const CUT_AFTER: Duration = Duration::from_millis(20);
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 /// Time between two looks of a frozen target at whether it still is.
-const FROZEN_LOOK: Duration = Duration::from_millis(2);
+const FROZEN_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// What a target is.
 #[derive(Debug, Clone)]
@@ -152,7 +152,7 @@
         tasks.spawn(serve(data, move |request| target.clone().answer(request)));
         let target = self.clone();
         tasks.spawn(serve(control, move |request| target.clone().control(request).map(Some)));
-        tasks.spawn(self.clone().stall_now_and_then());
+        tasks.spawn(self.clone().run_random_stalls());
         Ok(ServerHandle { address, control: control_address, _tasks: tasks })
     }
 
@@ -215,16 +215,16 @@
             let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
             self.run(path, &body.to_bytes()).await?
         };
-        self.mark(answer.headers_mut(), attempt);
+        self.add_headers(answer.headers_mut(), attempt);
         if let Some(process) = &process {
-            self.state_to(process, &mut answer);
+            self.record_statements(process, &mut answer);
         }
         exact_sleep(one_way).await;
         Some(answer)
     }
 
     /// Notes what a process learns, and asks it for a backoff if it is refused.
-    fn state_to(&self, process: &str, answer: &mut Answer) {
+    fn record_statements(&self, process: &str, answer: &mut Answer) {
         let behaviour = self.behaviour();
         if behaviour.is_draining {
             self.statements.record_leaving(process);
@@ -238,25 +238,25 @@
 
     async fn probe(&self) -> Answer {
         exact_sleep(Duration::from_micros(self.settings.probe_us)).await;
-        whole(text_response("probed"))
+        boxed(text_response("probed"))
     }
 
     /// None closes the connection.
     async fn run(&self, path: &str, body: &[u8]) -> Option<Answer> {
         let behaviour = self.behaviour();
         if behaviour.fault == Fault::Failing {
-            return Some(whole(status_response(StatusCode::INTERNAL_SERVER_ERROR)));
+            return Some(boxed(status_response(StatusCode::INTERNAL_SERVER_ERROR)));
         }
         let slot =
             if behaviour.fault == Fault::Shedding { None } else { self.slots.acquire().await };
         let Some(slot) = slot else {
             exact_sleep(Duration::from_millis(behaviour.late_ms)).await;
-            return Some(whole(status_response(StatusCode::SERVICE_UNAVAILABLE)));
+            return Some(boxed(status_response(StatusCode::SERVICE_UNAVAILABLE)));
         };
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let nonce = query_value(query, "nonce").unwrap_or_default();
         self.ledger.begin(nonce);
-        self.work().await;
+        self.simulate_work().await;
         self.ledger.finish(nonce);
         drop(slot);
         let behaviour = self.behaviour();
@@ -265,17 +265,17 @@
         let bytes = expected_answer(path, body, usize::try_from(length).unwrap_or(0));
         match behaviour.fault {
             Fault::Closing => None,
-            Fault::Cutting => Some(cut(bytes)),
-            _ => Some(whole(text_response(bytes))),
+            Fault::Cutting => Some(truncated(bytes)),
+            _ => Some(boxed(text_response(bytes))),
         }
     }
 
-    async fn work(&self) {
+    async fn simulate_work(&self) {
         let behaviour = self.behaviour();
         while self.behaviour.lock().fault == Fault::Frozen
             || Instant::now() < *self.stall_until.lock()
         {
-            sleep(FROZEN_LOOK).await;
+            sleep(FROZEN_CHECK_INTERVAL).await;
         }
         let is_cold = self.started.elapsed() < Duration::from_millis(behaviour.cold_ms);
         let factor = if is_cold { behaviour.cold_slowness } else { 1.0 } * behaviour.slowness;
@@ -291,7 +291,7 @@
     }
 
     /// A noisy neighbour, at random moments.
-    async fn stall_now_and_then(self: Arc<Self>) {
+    async fn run_random_stalls(self: Arc<Self>) {
         loop {
             let behaviour = self.behaviour();
             if behaviour.stall_every_ms == 0 {
@@ -306,13 +306,13 @@
     }
 
     /// Puts the load report and the attempt's identity on an answer.
-    fn mark(&self, map: &mut HeaderMap, attempt: Option<HeaderValue>) {
+    fn add_headers(&self, map: &mut HeaderMap, attempt: Option<HeaderValue>) {
         let behaviour = self.behaviour();
         if let Some(attempt) = attempt {
-            let confused = HeaderValue::from_static("0000000000000000");
+            let wrong_attempt = HeaderValue::from_static("0000000000000000");
             map.insert(
                 headers::ATTEMPT,
-                if behaviour.fault == Fault::Confusing { confused } else { attempt },
+                if behaviour.fault == Fault::Confusing { wrong_attempt } else { attempt },
             );
         }
         let limit =
@@ -340,17 +340,17 @@
     }
 }
 
-fn whole(response: Response<Full<Bytes>>) -> Answer {
+fn boxed(response: Response<Full<Bytes>>) -> Answer {
     response.map(|body| body.map_err(|never| match never {}).boxed_unsync())
 }
 
 /// Half of the bytes, and once they are on their way the connection breaks.
-fn cut(mut bytes: Vec<u8>) -> Answer {
+fn truncated(mut bytes: Vec<u8>) -> Answer {
     let length = bytes.len();
     bytes.truncate(length / 2);
     let first = stream::iter([Ok(Frame::data(Bytes::from(bytes)))]);
     let broken = stream::once(async {
-        sleep(CUT_AFTER).await;
+        sleep(TRUNCATION_DELAY).await;
         Err(io::ErrorKind::ConnectionAborted.into())
     });
     let body = StreamBody::new(first.chain(broken));
