--- a/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
@@ -1,4 +1,4 @@
-//! How a call finds a target, and what its answer leads to.
+//! Acquisition of targets for simulated calls, and the handling of the targets' answers.
 
 use std::time::Duration;
 
@@ -28,14 +28,17 @@
 use crate::replay::fleet::process::PendingCall;
 use crate::replay::fleet::process::RunningCall;
 
-/// Wait for an allocator's first word, and beyond the end of a call's wait for its last.
+/// Time until a process gives up on an allocator that has sent no reply to an acquire request.
 const ACQUIRE_TIMEOUT_MS: u64 = 25;
+/// Time past a call's wait limit during which a process still accepts the allocator's final reply.
 const WAIT_TIMEOUT_MARGIN_MS: u64 = 25;
-/// Allocators asked for one attempt, and grants of one of them that are given back.
+/// Maximum number of allocators that one attempt asks for a target.
 const ALLOCATORS_ASKED_MAX: usize = 2;
+/// Number of unusable grants after which an attempt decides without the allocator.
 const RETURNED_GRANTS_MAX: usize = 4;
-/// Longest wait of an attempt for a target, and its deadline, in milliseconds.
+/// Maximum wait of an attempt for a target, in milliseconds.
 const WAIT_MAX_MS: u64 = 200;
+/// Deadline of an attempt after its start, in milliseconds.
 const DEADLINE_MS: u64 = 800;
 
 impl<S: Scenario> SimulatedFleet<S> {
@@ -43,14 +46,14 @@
         self.next_call();
         let mut process_index = self.rng.random_range(0..self.processes.len());
         if self.is_frozen(process_index) || (self.is_killed && process_index == 0) {
-            // Its callers go to another one.
+            // Callers of an unavailable process connect to the last process instead.
             process_index = self.processes.len() - 1;
         }
         self.processes[process_index].own_dispatcher.record_request();
         self.request_target(process_index, Call::new(self.now_ms));
     }
 
-    /// Looks for a target for a first or second attempt.
+    /// Requests a target for the first or second attempt of a call.
     fn request_target(&mut self, process_index: usize, call: Call) {
         let request = request(self.now(), call, WAIT_MAX_MS, Excluded::default());
         let own_dispatcher = &self.processes[process_index].own_dispatcher;
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Asks the next allocator that is reachable and not passed over.
+    /// Sends an acquire request to the best-ranked allocator that is reachable and not passed over.
     fn ask_allocator(
         &mut self,
         process_index: usize,
@@ -101,7 +104,8 @@
         self.add(ACQUIRE_TIMEOUT_MS, Event::AcquireTimeout { at: process_index, number });
     }
 
-    /// Targets that the allocator must not grant. All processes number them alike.
+    /// Returns the backing-off targets that the allocator must not grant. Target indexes are equal in
+    /// all processes.
     fn excluded(&mut self, process_index: usize) -> Excluded {
         if !self.scenario.names_excluded() {
             return Excluded::default();
--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A virtual fleet: calls at many processes that ask an allocator for targets, event by event. What
-//! targets answer, and what is done about that, is a [`Scenario`].
+//! Discrete-event simulation of a fleet whose processes acquire targets from an allocator.
+//!
+//! A [`Scenario`] defines what the targets answer and how the processes react to the answers.
 
 mod acquisition;
 mod process;
@@ -38,30 +39,37 @@
 pub(super) use scenario::Outcome;
 pub(super) use scenario::Scenario;
 
+/// Number of simulated targets.
 pub(super) const TARGETS: usize = 7;
-/// Length of a day, in milliseconds.
+/// Length of a simulated day, in milliseconds.
 pub(super) const DAY_MS: u64 = 26_000;
+/// Number of data halls; processes and targets are assigned to them in turn.
 const HALL_COUNT: usize = 3;
-/// Processes that may allocate: the contacts of the halls.
+/// Maximum number of processes that may act as an allocator: the contacts of the data halls.
 const ALLOCATOR_CANDIDATES_MAX: usize = 24;
-/// When trouble strikes, and until when, in milliseconds.
+/// Period in which network faults are active, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 10_000..16_000;
+/// Period in which the first process is down, in milliseconds.
 const KILLED_MS: std::ops::Range<u64> = 10_000..11_000;
+/// Period in which the first process is frozen, in milliseconds.
 const FROZEN_MS: std::ops::Range<u64> = 10_000..13_000;
-/// Part of the processes that is cut off.
+/// Probability that a process is isolated by [`FleetFault::Isolated`].
 const ISOLATED_SHARE: f64 = 0.35;
-/// Until a silent process is suspected, in a small fleet and for each further 24.
+/// Time without heartbeats after which a process counts as unreachable, in milliseconds.
 const SILENCE_TIMEOUT_MS: u64 = 5_000;
+/// Number of allocator candidates that adds one more `SILENCE_TIMEOUT_MS` to the heartbeat timeout.
 const MEMBERS_PER_TIMEOUT_STEP: usize = 24;
-/// From one process to another, and to a target, in milliseconds; messages lost and doubled.
+/// Delay of a message between two processes, in milliseconds.
 const MESSAGE_DELAY_MS: std::ops::Range<u64> = 1..4;
+/// Probability that a message between two processes is lost.
 const MESSAGE_LOSS_PROBABILITY: f64 = 0.02;
+/// Probability that a message between two processes arrives twice.
 const MESSAGE_DUPLICATION_PROBABILITY: f64 = 0.02;
-/// Work of a target, in milliseconds.
+/// Service time of a request at a target, in milliseconds.
 pub(super) const SERVICE_TIME_MS: std::ops::Range<u64> = 40..80;
-/// Time between two exchanges of a process with others.
+/// Interval between two exchanges of rate limits that a process starts, in milliseconds.
 const EXCHANGE_INTERVAL_MS: u64 = 1_250;
-/// Time between two looks at waiting calls.
+/// Interval between two checks of waiting calls and expired leases, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 10;
 
 enum Event<A> {
@@ -94,10 +102,10 @@
         to: usize,
         number: u64,
         report: LeaseReport,
-        /// A backoff that the allocator is to keep for all processes.
+        /// Backoff that the allocator applies to the target for all processes.
         backoff: Option<(TargetName, Duration)>,
     },
-    /// A process exchanges what it knows of limits with another one.
+    /// A process exchanges its known rate limits with a random other process.
     Exchange {
         at: usize,
     },
@@ -129,7 +137,7 @@
             Process::new(&configuration, &halls[process_index % HALL_COUNT], view, start)
         };
         let processes: Vec<_> = (0..count).map(process).collect();
-        // The first two allocators stay together, and with most others.
+        // The two best-ranked allocators are never isolated.
         let is_isolated = (0..count)
             .map(|process_index| process_index > 1 && rng.random_bool(ISOLATED_SHARE))
             .collect();
@@ -155,7 +163,7 @@
         Ok(fleet)
     }
 
-    /// Plays the day. Returns the scenario, and how many messages processes sent to each other.
+    /// Runs the simulated day. Returns the scenario and the number of messages between processes.
     pub(super) fn run(mut self) -> (S, usize) {
         while let Some((at, event)) = self.events.pop() {
             self.now_ms = at.as_micros() / 1_000;
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Whether heartbeats of `other` reach `at`, directly or not.
+    /// Returns whether process `at` receives heartbeats of process `other`, directly or relayed.
     fn receives_heartbeats(&self, at: usize, other: usize) -> bool {
         let timeout_steps = 1
             + (self.processes.len().min(ALLOCATOR_CANDIDATES_MAX) / MEMBERS_PER_TIMEOUT_STEP)
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the model, with the dispatchers and state that a real one has.
+//! Simulated process, with the dispatchers and allocator of a real process.
 
 use std::collections::BTreeMap;
 
@@ -16,32 +16,33 @@
 
 use crate::replay::fleet::Call;
 
-/// How long an allocator that did not answer is passed over the first time, in milliseconds, and
-/// how often that doubles.
+/// Time for which an allocator is passed over after its first timeout, in milliseconds.
 const PASSED_OVER_MS: u64 = 500;
+/// Maximum number of times that consecutive timeouts double `PASSED_OVER_MS`.
 const DOUBLINGS_MAX: u32 = 4;
 
-/// The group of targets as the process that allocates it sees it.
+/// State that a process keeps for a group of targets while it acts as their allocator.
 pub(super) struct GroupState {
     pub(super) dispatcher: Dispatcher<AnyStrategy>,
     pub(super) allocator: Allocator<usize>,
 }
 
-/// A call that waits for a target.
+/// Call that waits for an allocator's reply.
 pub(super) struct PendingCall {
     pub(super) allocator: usize,
-    /// Allocators asked so far, and grants given back.
+    /// Number of allocators that did not reply to this attempt in time.
     pub(super) allocators_asked: usize,
+    /// Number of grants that the process returned as unusable.
     pub(super) returned_grants: usize,
     pub(super) call: Call,
-    /// Until when the next answer is waited for.
+    /// Virtual time until which the process waits for the allocator's next reply, in milliseconds.
     pub(super) expires_at_ms: u64,
 }
 
-/// A call that a target runs.
+/// Call that is running at a target.
 pub(super) struct RunningCall {
     pub(super) grant: Grant,
-    /// The allocator whose lease it holds.
+    /// Allocator that granted the call's lease; `None` if the process decided locally.
     pub(super) allocator: Option<usize>,
     pub(super) call: Call,
 }
@@ -49,9 +50,11 @@
 pub(super) struct Process {
     pub(super) own_dispatcher: Dispatcher<AnyStrategy>,
     pub(super) group_state: Option<GroupState>,
-    /// By the number of the lease.
+    /// Calls that wait for an allocator, by lease number.
     pub(super) pending: BTreeMap<u64, PendingCall>,
+    /// Calls that are running at targets, by lease number.
     pub(super) running: BTreeMap<u64, RunningCall>,
+    /// End of the passing over in milliseconds and number of consecutive timeouts, by allocator.
     passed_over: BTreeMap<usize, (u64, u32)>,
 }
 
@@ -74,7 +77,7 @@
         }
     }
 
-    /// The state of the group, begun if it was not allocated here before.
+    /// Returns the group's allocator state; creates the state on the first acquire request.
     pub(super) fn group_state(
         &mut self,
         configuration: &Configuration,
@@ -89,7 +92,7 @@
         })
     }
 
-    /// Learns what another process knows of targets' limits.
+    /// Merges the targets' rate limits that another process knows.
     pub(super) fn merge_rate_limits(
         &mut self,
         known: &[(TargetName, Incarnation, RateLimitUpdate)],
@@ -117,7 +120,7 @@
         self.passed_over.get(&allocator).is_some_and(|(retry_at_ms, _)| now_ms < *retry_at_ms)
     }
 
-    /// Leases that this process holds or asks of an allocator.
+    /// Returns the numbers of the leases that this process holds at or requests from an allocator.
     pub(super) fn held_leases(&self, allocator: usize) -> Vec<u64> {
         let pending = self.pending.iter().filter(|(_, pending)| pending.allocator == allocator);
         let running = self.running.iter().filter(|(_, held)| held.allocator == Some(allocator));
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! What a replay adds to the virtual fleet.
+//! Interface between the simulated fleet and the behaviour of its targets.
 
 use std::time::Duration;
 
@@ -12,25 +12,26 @@
 use thymeshift_dispatch::View;
 use thymeshift_types::Timestamp;
 
-/// Attempts of a call.
+/// Maximum number of attempts per call.
 const ATTEMPTS_MAX: u32 = 2;
 
-/// What strikes the processes.
+/// Fault that is injected into the processes or the network between them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetFault {
-    /// Nothing but lost and doubled messages.
+    /// No fault beyond the usual loss and duplication of messages.
     None,
-    /// The first allocator is killed, and starts again a second later.
+    /// The best-ranked allocator is killed and restarts one second later.
     FirstKilled,
-    /// The first allocator stands still for three seconds.
+    /// The best-ranked allocator is frozen for three seconds.
     FirstFrozen,
-    /// A third of the processes, the first two allocators not among them, reach no other one.
+    /// About a third of the processes reach no other process; the two best-ranked allocators are
+    /// never among them.
     Isolated,
-    /// Two data halls cannot reach each other; a third one reaches both.
+    /// Two data halls cannot reach each other; the third data hall reaches both.
     TwoHallsPartitioned,
 }
 
-/// A request that arrives at a target.
+/// Request that arrives at a target.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::replay) struct Arrival {
     pub(in crate::replay) process: usize,
@@ -38,16 +39,16 @@
     pub(in crate::replay) at_ms: u64,
 }
 
-/// How a call ended.
+/// Final outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::replay) enum Outcome {
     Served,
-    /// Without having been sent in its last attempt.
+    /// The last attempt was refused before it was sent to a target.
     Refused,
     RefusedByTarget,
 }
 
-/// One attempt of a call.
+/// Call with its current attempt and the targets of earlier attempts.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::replay) struct Call {
     pub(super) started_ms: u64,
@@ -70,16 +71,16 @@
     }
 }
 
-/// What targets answer, and what the processes do about it.
+/// Behaviour of the targets and the reaction of the processes to their answers.
 pub(in crate::replay) trait Scenario {
-    /// What an answer says.
+    /// Content of a target's answer.
     type Answer;
 
     fn calls_per_s(&self) -> f64;
 
     fn fault(&self) -> FleetFault;
 
-    /// How processes decide by themselves.
+    /// Returns the view with which a process decides when it does not use an allocator.
     fn standalone_view(&self) -> View {
         View::Fallback
     }
@@ -88,21 +89,22 @@
         true
     }
 
-    /// Whether what an allocator may grant depends on its rank.
+    /// Returns whether the share of a rate limit that an allocator may grant depends on its rank.
     fn ranks_allocators(&self) -> bool {
         true
     }
 
-    /// Whether a process names the targets that it may not use when it asks an allocator.
+    /// Returns whether an acquire request excludes the targets that are in backoff at its sender.
     fn names_excluded(&self) -> bool {
         true
     }
 
-    /// A request arrives. Returns after how many milliseconds its answer is there, and the answer.
+    /// Handles the arrival of a request at a target. Returns the delay of the answer in milliseconds,
+    /// and the answer.
     fn answer(&mut self, arrival: Arrival, rng: &mut SmallRng) -> (u64, Self::Answer);
 
-    /// A process takes an answer in. Returns what it reports to its allocator, and a backoff that the
-    /// allocator is to keep for all processes.
+    /// Applies an answer to the dispatcher of the process. Returns the observation to report to the
+    /// allocator, and a backoff that the allocator applies for all processes.
     fn apply_answer(
         &self,
         answer: &Self::Answer,
@@ -111,9 +113,9 @@
         now: Timestamp,
     ) -> (Observation, Option<Duration>);
 
-    /// A call ended.
+    /// Records the outcome of a call that ended at `at_ms`.
     fn record_outcome(&mut self, at_ms: u64, outcome: Outcome);
 
-    /// A process started again.
+    /// Records that a process restarted without its earlier state.
     fn record_restart(&mut self, process: usize);
 }
