--- a/crates/thymeshift_lab/src/replay.rs
+++ b/crates/thymeshift_lab/src/replay.rs
@@ -1,7 +1,10 @@
-//! Patterns of load and trouble in virtual time: the decisions as they are, a model of targets and
-//! callers, several processes that tell each other with a delay.
+//! Simulations of load and fault patterns in virtual time.
 //!
-//! A pattern is played with one way of deciding and then with others, on the same seeds.
+//! The decision code of the load balancer runs unchanged. Targets, callers and the network between
+//! the processes are models: messages between processes arrive after a delay or are lost.
+//!
+//! Each pattern runs with the policy of the load balancer and with alternative policies, on the
+//! same seeds, so that the results of the policies can be compared.
 
 mod backoffs;
 mod crashes;
--- a/crates/thymeshift_lab/src/replay/event_queue.rs
+++ b/crates/thymeshift_lab/src/replay/event_queue.rs
@@ -1,10 +1,10 @@
-//! What happens next in virtual time.
+//! Queue of scheduled events in virtual time.
 
 use std::collections::BTreeMap;
 
 use thymeshift_types::Timestamp;
 
-/// Events in the order of their moments; those of one moment in the order in which they were added.
+/// Scheduled events, ordered by time. Events with equal times keep the order of scheduling.
 pub(super) struct EventQueue<E> {
     pending: BTreeMap<(Timestamp, u64), E>,
     added: u64,
