--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -1,5 +1,6 @@
-//! A request that crashes targets, and targets that end for other reasons: who is refused, and
-//! what the others get.
+//! Simulation of a guilty request, one that crashes each target that runs it, and of targets that
+//! exit for other reasons. Measures how well the quarantine stops the guilty request, and how many
+//! innocent requests are served or wrongly refused.
 
 mod simulation;
 
@@ -13,55 +14,55 @@
 use crate::replay::crashes::simulation::CrashSimulation;
 use crate::replay::crashes::simulation::Names;
 
-/// What goes wrong.
+/// Faults of a simulated day with crashing targets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrashPattern {
-    /// What it is called in tables.
+    /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// Time between two arrivals of the guilty request in the mean, from second 5 to 50; none: there
-    /// is no such request.
+    /// Mean interval between two arrivals of the guilty request, from second 5 to second 50; `None`
+    /// if the pattern has no guilty request.
     pub guilty_interval: Option<Duration>,
-    /// How often a target ends by itself, each second and target.
+    /// Rate at which each target exits without a guilty request, per second.
     pub target_exits_per_s: f64,
-    /// Whether four of the seven targets end at one moment, each ten seconds.
+    /// Whether four of the seven targets exit at the same time, every ten seconds.
     pub racks_fail: bool,
-    /// Whether all processes are killed in second 25, and know nothing afterwards.
+    /// Whether all processes are killed in second 25 and restart without their quarantine state.
     pub processes_killed: bool,
 }
 
-/// How is decided.
+/// Quarantine and retry policy of the processes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrashPolicy {
-    /// What it is called in tables.
+    /// Name of the policy in the result table.
     pub name: &'static str,
-    /// Whether requests are refused at all.
+    /// Whether processes refuse quarantined requests at all.
     pub refuses: bool,
-    /// When.
+    /// Rules by which crashes quarantine a request.
     pub rules: QuarantineRules,
-    /// Whether a request that lost its target is sent to another one at once.
+    /// Whether a request whose target exited is retried at another target without delay.
     pub retries: bool,
 }
 
-/// What came of a pattern, over all seeds.
+/// Result of a pattern with a policy, summed over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct CrashResult {
-    /// Days played.
+    /// Number of simulated days.
     pub days: usize,
-    /// Targets that the guilty request crashed.
+    /// Number of target crashes that the guilty request caused.
     pub crashed_targets: usize,
-    /// Sends of it that reached a target later than allowed after the third crash, on the worst
-    /// day.
+    /// Number of guilty requests that reached a target more than three seconds after the third crash,
+    /// on the worst day.
     pub late_sends_worst: usize,
-    /// Innocent requests.
+    /// Number of innocent requests.
     pub innocent_requests: usize,
-    /// Of these, served.
+    /// Number of innocent requests that were served.
     pub innocent_served: usize,
-    /// Of these, refused because they were taken for guilty.
+    /// Number of innocent requests that the quarantine refused.
     pub innocent_refused: usize,
 }
 
 impl CrashResult {
-    /// Share of innocent requests that were served.
+    /// Returns the share of innocent requests that were served.
     pub fn served_share(&self) -> f64 {
         self.innocent_served as f64 / self.innocent_requests.max(1) as f64
     }
@@ -89,7 +90,7 @@
     }
 }
 
-/// Plays a pattern on `days` seeds.
+/// Simulates `days` days of a pattern with a policy, one per seed from 0.
 pub fn replay_crashes(
     pattern: &CrashPattern,
     policy: &CrashPolicy,
@@ -103,7 +104,7 @@
     Ok(result)
 }
 
-/// A table of patterns by policies.
+/// Simulates all patterns with all policies and returns the results as a text table.
 pub fn crash_table(days: u64) -> Result<String, NameError> {
     let mut text = String::new();
     let columns = "crashed late_worst   served  refused";
@@ -118,7 +119,7 @@
 }
 
 impl CrashPattern {
-    /// No trouble.
+    /// Pattern without any fault.
     pub const CALM: Self = Self {
         name: "calm",
         guilty_interval: None,
@@ -126,10 +127,10 @@
         racks_fail: false,
         processes_killed: false,
     };
-    /// A guilty request alone.
+    /// Pattern with a guilty request every 400 ms on average and no other fault.
     pub const GUILTY: Self =
         Self { name: "guilty", guilty_interval: Some(Duration::from_millis(400)), ..Self::CALM };
-    /// All patterns.
+    /// Patterns of the result table.
     pub const ALL: [Self; 6] = [
         Self::GUILTY,
         Self {
@@ -145,13 +146,13 @@
 }
 
 impl CrashPolicy {
-    /// What the product does.
+    /// Returns the policy of the load balancer.
     pub fn production() -> Self {
         let rules = QuarantineRules::default();
         Self { name: "two, retried", refuses: true, rules, retries: true }
     }
 
-    /// The ways that are compared.
+    /// Returns the policies of the result table.
     pub fn all() -> [Self; 8] {
         let production = Self::production();
         let with_strikes_min =
--- a/crates/thymeshift_lab/src/replay/crashes/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/simulation.rs
@@ -1,4 +1,4 @@
-//! One day of the model: callers, processes and targets, event by event.
+//! Discrete-event simulation of one day with callers, processes and targets that crash.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,37 +27,43 @@
 use crate::replay::crashes::CrashResult;
 use crate::replay::event_queue::EventQueue;
 
-/// The deployment of the model: the roster look-ups.
+/// Number of processes. The deployment models one that serves roster look-ups.
 const PROCESSES: usize = 13;
 const TARGETS: usize = 7;
 const SLOTS_PER_TARGET: usize = 3;
 const INNOCENT_REQUESTS_PER_S: f64 = 70.0;
+/// Mean service time of an innocent request, in milliseconds.
 const SERVICE_TIME_MEAN_MS: f64 = 60.0;
-/// A guilty run crashes its target after so long, in milliseconds.
+/// Time from the start of a guilty request to the crash of its target, in milliseconds.
 const CRASH_DELAY_MS: std::ops::Range<u64> = 40..110;
-/// A target is back after so long, in milliseconds.
+/// Time from the exit of a target to its next start, in milliseconds.
 const RESTART_MS: std::ops::Range<u64> = 3_000..6_000;
-/// From one process to another, in milliseconds.
+/// Delay of a message between two processes, in milliseconds.
 const MESSAGE_DELAY_MS: u64 = 2;
-/// Until a process has seen that a target is gone, in milliseconds.
+/// Time after which a process detects that a target exited, in milliseconds.
 const LOSS_DETECTION_MS: u64 = 2;
-/// Attempts for each arrival, and second tries of a caller.
+/// Maximum number of attempts that a process makes for each arrival of a request.
 const ATTEMPTS_MAX: u32 = 2;
+/// Number of times that a caller retries a failed request.
 const CALLER_RETRIES: u32 = 1;
+/// Delay of a caller's retry, in milliseconds.
 const CALLER_RETRY_DELAY_MS: u64 = 20;
-/// Look-ups that callers ask for again and again, and their share of all.
+/// Number of distinct innocent requests that callers send repeatedly.
 const REPEATED_REQUESTS: u32 = 5;
+/// Share of the innocent requests that are repeated ones.
 const REPEATED_SHARE: f64 = 0.2;
+/// Virtual time at which the simulated day ends.
 const DAY_END: Timestamp = Timestamp::from_millis(60_000);
-/// Time after the third crash in which what is sent is not counted against the fleet: nobody can
-/// know at once.
+/// Time after the third crash, or after all processes were killed, in which guilty requests that
+/// reach a target are not counted as late: reports of the crashes need time to reach all processes.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Number of crashes after which no process may send the guilty request to a target any more.
 const CRASHES_ALLOWED: usize = 3;
 
-/// The guilty request.
+/// Fingerprint of the guilty request.
 const GUILTY_FINGERPRINT: Fingerprint = Fingerprint::from_bytes([0xff; 16]);
 
-/// One try of a caller.
+/// Request of a caller at one process, with the remaining attempts and caller retries.
 #[derive(Debug, Clone, Copy)]
 struct CallerRequest {
     fingerprint: Fingerprint,
@@ -67,6 +73,7 @@
     retries_left: u32,
 }
 
+/// Run of a request at a target.
 #[derive(Debug, Clone, Copy)]
 struct TargetRun {
     request: CallerRequest,
@@ -93,7 +100,7 @@
     ReportReceived(usize, SuspectReport),
 }
 
-/// The names of all that is modelled.
+/// Names of the simulated service, VMs and targets.
 #[derive(Clone)]
 pub(super) struct Names {
     service: ServiceName,
@@ -125,8 +132,8 @@
     runs: BTreeMap<u64, TargetRun>,
     last_id: u64,
     guilty_crashes: Vec<Timestamp>,
-    /// When all processes were killed; what they send in the first seconds after is not counted
-    /// either.
+    /// Time at which all processes were killed. Guilty requests that they send within
+    /// `SETTLE_TIME` afterwards are not counted as late.
     killed_at: Option<Timestamp>,
     result: CrashResult,
 }
@@ -246,7 +253,7 @@
         self.dispatch(request);
     }
 
-    /// The caller is told that its try has failed, and may try again.
+    /// Reports a failure to the caller, which retries at a random process if it has a retry left.
     fn handle_failure(&mut self, request: CallerRequest) {
         let Some(retries_left) = request.retries_left.checked_sub(1) else {
             return;
