--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -1,5 +1,5 @@
-//! The limits that targets in need name, over many processes: how far they are exceeded, how much
-//! of them is used, and who is refused.
+//! Simulation of rate-limited targets and many processes: how far the stated limits are exceeded,
+//! which share of the limits is used, and how many calls are refused.
 
 mod evaluation;
 mod policy;
@@ -16,48 +16,48 @@
 
 pub use policy::LimitPolicy;
 
-/// What happens on a day. Targets name limits from second 4 on.
+/// Load, stated limits and fault of a simulated day. Targets state limits from second 4 on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitPattern {
-    /// What it is called in tables.
+    /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// Targets in need, of seven.
+    /// Number of rate-limited targets, out of seven.
     pub limited_targets: usize,
-    /// Requests a second that each of them names.
+    /// Limit that each rate-limited target states, in requests per second.
     pub limit_per_s: f64,
-    /// Calls a second at all processes together.
+    /// Rate of calls over all processes, per second.
     pub calls_per_s: f64,
-    /// What strikes in seconds 10 to 16.
+    /// Fault that is injected between second 10 and second 16.
     pub fault: FleetFault,
-    /// By what the limits are multiplied from second 12 on; 0 ends the need.
+    /// Factor on the stated limits from second 12 on; 0 means that targets state no limit any more.
     pub limit_factor: f64,
 }
 
-/// What came of a pattern, over all days.
+/// Result of a pattern with a policy, summed over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitResult {
-    /// Most requests that a target in need got in four seconds, in parts of what is allowed: one
-    /// and a half times its limit, and five.
+    /// Maximum number of requests that a rate-limited target received in any four seconds, divided by
+    /// the allowed number: 1.5 times its limit plus 5 requests.
     pub worst_window: f64,
-    /// Requests that targets in need got, and what their limits allow in the same time.
+    /// Number of requests that rate-limited targets received.
     pub requests_received: f64,
-    /// As above.
+    /// Number of requests that the stated limits allowed in the same time.
     pub requests_allowed: f64,
-    /// Calls, and those that were refused.
+    /// Number of calls.
     pub calls: usize,
-    /// As above.
+    /// Number of calls that were refused.
     pub refused: usize,
-    /// Messages between processes.
+    /// Number of messages between processes.
     pub messages: usize,
 }
 
 impl LimitResult {
-    /// Part of the limits that was used.
+    /// Returns the share of the stated limits that was used.
     pub fn used_share(&self) -> f64 {
         self.requests_received / self.requests_allowed.max(f64::MIN_POSITIVE)
     }
 
-    /// Part of the calls that was refused.
+    /// Returns the share of the calls that was refused.
     pub fn refused_share(&self) -> f64 {
         self.refused as f64 / self.calls.max(1) as f64
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Plays a pattern on `days` seeds with so many processes.
+/// Simulates `days` days of a pattern with a policy and `processes` processes, one per seed from 0.
 pub fn replay_limits(
     pattern: &LimitPattern,
     policy: LimitPolicy,
@@ -96,7 +96,7 @@
     Ok(result)
 }
 
-/// A table of patterns by ways of deciding and numbers of processes.
+/// Simulates all patterns with all policies and several fleet sizes and returns a text table.
 pub fn limit_table(days: u64) -> Result<String, Mistakes> {
     let mut text = String::new();
     let columns = "processes  window   used   refused  messages/call";
@@ -113,7 +113,7 @@
 }
 
 impl LimitPattern {
-    /// Two targets of seven in need.
+    /// Pattern with two rate-limited targets out of seven.
     pub const TWO_LIMITED: Self = Self {
         name: "two in need",
         limited_targets: 2,
@@ -122,10 +122,10 @@
         fault: FleetFault::None,
         limit_factor: 1.0,
     };
-    /// All in need, with more calls than they take.
+    /// Pattern in which all targets are rate-limited and calls exceed the sum of their limits.
     pub const ALL_LIMITED: Self =
         Self { name: "all in need", limited_targets: 7, calls_per_s: 40.0, ..Self::TWO_LIMITED };
-    /// All patterns.
+    /// Patterns of the result table.
     pub const ALL: [Self; 15] = [
         Self::TWO_LIMITED,
         Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO_LIMITED },
--- a/crates/thymeshift_lab/src/replay/limits/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/limits/evaluation.rs
@@ -1,20 +1,24 @@
-//! How far the limits were exceeded, and how much of them was used.
+//! Evaluation of the requests that arrived at rate-limited targets against the stated limits.
 
 use crate::replay::fleet::DAY_MS;
 use crate::replay::limits::LimitPattern;
 use crate::replay::limits::LimitResult;
 
-/// Times of the day, in milliseconds.
+/// Time of the simulated day from which targets state limits, in milliseconds.
 pub(super) const STATED_AT_MS: u64 = 4_000;
+/// Time of the simulated day at which the stated limits change, in milliseconds.
 pub(super) const CHANGED_AT_MS: u64 = 12_000;
-/// Until all processes must know of a limit, or of another one.
+/// Time within which a new or changed limit must reach all processes, in milliseconds.
 const PROPAGATION_MS: u64 = 3_000;
-/// Time over which a limit is judged, how far it may be exceeded, and by how many requests more.
+/// Length of the windows over which arrivals are compared with the limit, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
+/// Multiple of the limit that a target may receive in a window.
 const OVERSHOOT_FACTOR: f64 = 1.5;
+/// Number of requests that a target may receive in a window beyond `OVERSHOOT_FACTOR`.
 const SLACK_REQUESTS: f64 = 5.0;
 
-/// The limit that a target in need names at a moment; none before it names one, or after its need.
+/// Returns the limit that a rate-limited target states at `now_ms`, in requests per second; `None`
+/// at times at which the target states no limit.
 pub(super) fn limit_at(pattern: &LimitPattern, now_ms: u64) -> Option<f64> {
     if now_ms < STATED_AT_MS {
         return None;
@@ -23,7 +27,8 @@
     (factor > 0.0).then_some(pattern.limit_per_s * factor)
 }
 
-/// Judges the arrivals at the targets in need, in the order of their moments.
+/// Adds the arrivals at the rate-limited targets to the result. The arrivals of each target are in
+/// the order of their times.
 pub(super) fn evaluate(pattern: &LimitPattern, arrivals_ms: &[Vec<u64>], result: &mut LimitResult) {
     let from = STATED_AT_MS + PROPAGATION_MS;
     for arrivals_at_ms in arrivals_ms {
@@ -39,8 +44,8 @@
     }
 }
 
-/// What is allowed in the window that begins at `first_ms`: by the largest limit that a process may
-/// still know.
+/// Returns the number of requests allowed in the window that starts at `first_ms`, computed from the
+/// largest limit that a process may still apply in the window.
 fn allowed_in(pattern: &LimitPattern, first_ms: u64) -> f64 {
     let before = limit_at(pattern, first_ms.saturating_sub(PROPAGATION_MS));
     let after = limit_at(pattern, first_ms + WINDOW_MS);
--- a/crates/thymeshift_lab/src/replay/limits/policy.rs
+++ b/crates/thymeshift_lab/src/replay/limits/policy.rs
@@ -1,28 +1,29 @@
-//! Policies of keeping a target's limit over many processes.
+//! Policies that enforce a target's stated limit over many processes.
 
 use derive_more::Display;
 
-/// A policy of keeping the limit.
+/// Policy that enforces a target's stated limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum LimitPolicy {
-    /// What the product does: the target's allocator counts; one that is not the first, or has lost
-    /// others, grants a part; whoever decides alone grants nothing.
+    /// Policy of the load balancer: the target's allocator counts all grants. An allocator that is not
+    /// the best-ranked one, or that misses heartbeats of others, grants a share of the limit. A process
+    /// that decides without an allocator sends nothing to a rate-limited target.
     #[display("allocated")]
     Allocated,
-    /// The allocator counts, and grants the whole limit; so does each process that is asked in its
-    /// place.
+    /// The allocator counts all grants against the full limit, and so does each process that acts as
+    /// the allocator in its place.
     #[display("each allocator whole")]
     EachFullLimit,
-    /// Each process keeps an equal part by itself.
+    /// Each process enforces an equal share of the limit without an allocator.
     #[display("equal parts")]
     EqualParts,
-    /// Nobody reads the limit.
+    /// All processes ignore the limit.
     #[display("unread")]
     Ignored,
 }
 
 impl LimitPolicy {
-    /// The policies that are compared.
+    /// Policies of the result table.
     pub const ALL: [Self; 4] =
         [Self::Allocated, Self::EachFullLimit, Self::EqualParts, Self::Ignored];
 }
--- a/crates/thymeshift_lab/src/replay/limits/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/limits/scenario.rs
@@ -1,4 +1,4 @@
-//! A day on which targets name limits.
+//! Behaviour of targets that state rate limits.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 }
 
 impl Scenario for LimitScenario {
-    /// The limit that it names, in requests a second.
+    /// Limit that the target states in its answer, in requests per second.
     type Answer = Option<f64>;
 
     fn calls_per_s(&self) -> f64 {
