--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -1,5 +1,5 @@
-//! Targets that refuse and ask for backoffs, over many processes: how many requests reach them all the
-//! same, and what callers get.
+//! Simulation of targets that refuse requests and ask for backoffs, with many processes: how many
+//! requests reach the targets during the backoffs, and how many calls fail.
 
 mod evaluation;
 mod policy;
@@ -16,51 +16,52 @@
 
 pub use policy::BackoffPolicy;
 
-/// What happens on a day. Targets refuse from second 4 to second 16.
+/// Load, refusals and fault of a simulated day. Targets start to refuse requests at second 4.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackoffPattern {
-    /// What it is called in tables.
+    /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// Targets that refuse, of seven.
+    /// Number of targets that refuse requests, out of seven.
     pub refusing_targets: usize,
-    /// For how long they refuse, in milliseconds.
+    /// Time for which the targets refuse requests, in milliseconds.
     pub refusing_ms: u64,
-    /// The backoff that they ask for, in milliseconds.
+    /// Backoff that a refusal asks for, in milliseconds.
     pub backoff_ms: u64,
-    /// Whether they refuse some processes only: every fourth.
+    /// Whether the targets refuse only the requests of every fourth process.
     pub is_partial: bool,
-    /// Calls a second at all processes together.
+    /// Rate of calls over all processes, per second.
     pub calls_per_s: f64,
-    /// What strikes in seconds 10 to 16.
+    /// Fault that is injected between second 10 and second 16.
     pub fault: FleetFault,
 }
 
-/// What came of a pattern, over all days.
+/// Result of a pattern with a policy, over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct BackoffResult {
-    /// Most requests of one process that reached a target between half a second after it had asked
-    /// that process for a backoff and its end.
+    /// Maximum number of requests of one process that reached a target during a backoff that the
+    /// target had asked that process for. The first 500 ms of the backoff are not counted.
     pub requests_in_backoff_max: usize,
-    /// Requests that were refused by targets.
+    /// Number of requests that targets refused.
     pub refusals: usize,
-    /// Calls.
+    /// Number of calls.
     pub calls: usize,
-    /// Those that were not served.
+    /// Number of calls that were not served.
     pub failed: usize,
-    /// Those among them that a target had refused last.
+    /// Number of failed calls whose last attempt was refused by a target.
     pub refused_by_target: usize,
-    /// Most requests in a second at a target that has just stopped refusing, in even shares.
+    /// Maximum number of requests in one second at a target that has just stopped refusing, as a
+    /// multiple of an even share of the calls.
     pub recovery_peak: f64,
-    /// Requests at targets in the second second after they have stopped refusing, in even shares; in
-    /// the mean.
+    /// Mean number of requests at a target from one to two seconds after it stopped refusing, as a
+    /// multiple of an even share of the calls.
     pub recovery_load: f64,
-    /// Messages between processes.
+    /// Number of messages between processes.
     pub messages: usize,
     days: usize,
 }
 
 impl BackoffResult {
-    /// Part of the calls that was not served.
+    /// Returns the share of the calls that was not served.
     pub fn failed_share(&self) -> f64 {
         self.failed as f64 / self.calls.max(1) as f64
     }
@@ -96,7 +97,7 @@
     }
 }
 
-/// Plays a pattern on `days` seeds with so many processes.
+/// Simulates `days` days of a pattern with a policy and `processes` processes, one per seed from 0.
 pub fn replay_backoffs(
     pattern: &BackoffPattern,
     policy: BackoffPolicy,
@@ -112,7 +113,7 @@
     Ok(result)
 }
 
-/// A table of patterns by policies and numbers of processes.
+/// Simulates all patterns with all policies and several fleet sizes and returns a text table.
 pub fn backoff_table(days: u64) -> Result<String, Mistakes> {
     let mut text = String::new();
     let columns = "processes backoff refusals/day failed at-target rush   back messages/call";
@@ -129,7 +130,7 @@
 }
 
 impl BackoffPattern {
-    /// Two targets of seven refuse each request for nine seconds.
+    /// Pattern in which two of seven targets refuse each request for nine seconds.
     pub const TWO_REFUSING: Self = Self {
         name: "two",
         refusing_targets: 2,
@@ -139,7 +140,8 @@
         calls_per_s: 72.0,
         fault: FleetFault::None,
     };
-    /// The same at two thirds of what all targets can do.
+    /// Pattern in which four targets refuse for 0.5 s while the calls take two thirds of the capacity
+    /// of all targets.
     pub const BUSY: Self = Self {
         name: "busy",
         refusing_targets: 4,
@@ -147,7 +149,7 @@
         calls_per_s: 600.0,
         ..Self::TWO_REFUSING
     };
-    /// All patterns.
+    /// Patterns of the result table.
     pub const ALL: [Self; 15] = [
         Self { name: "one", refusing_targets: 1, ..Self::TWO_REFUSING },
         Self::TWO_REFUSING,
--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -1,4 +1,5 @@
-//! What reached targets within the backoffs that they had asked for, and after.
+//! Evaluation of the requests that reached targets during the backoffs that the targets asked for,
+//! and after the targets recovered.
 
 use std::collections::HashMap;
 
@@ -7,16 +8,16 @@
 use crate::replay::fleet::Arrival;
 use crate::replay::fleet::TARGETS;
 
-/// When targets begin to refuse, in milliseconds.
+/// Time of the simulated day at which targets start to refuse requests, in milliseconds.
 pub(super) const REFUSING_FROM_MS: u64 = 4_000;
-/// Requests under way when a target asks for a backoff may arrive for so long.
+/// Time after a refusal in which requests already in flight may still arrive, in milliseconds.
 const IN_FLIGHT_GRACE_MS: u64 = 500;
 const SECOND_MS: u64 = 1_000;
 
-/// A process and a target.
+/// Indexes of a process and a target.
 type Pair = (usize, usize);
 
-/// What arrived at the targets that refuse.
+/// Log of the requests that arrived at refusing targets.
 pub(super) struct ArrivalLog {
     backoff_ms: u64,
     recovered_at_ms: u64,
@@ -25,7 +26,7 @@
     backoff_starts_ms: HashMap<Pair, Vec<u64>>,
     requests_in_backoff_max: usize,
     arrivals_ms: HashMap<Pair, Vec<u64>>,
-    /// Moments of arrivals after the targets have stopped refusing, by target.
+    /// Arrival times after the targets stopped refusing and all backoffs ended, by target.
     arrivals_after_recovery_ms: Vec<Vec<u64>>,
 }
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /// What a process was asked before it started again does not bind it.
+    /// Drops the backoffs of a process that restarted: a new process does not know them.
     pub(super) fn forget_process(&mut self, process: usize) {
         self.evaluate_backoffs();
         self.backoff_starts_ms.retain(|(holder, _), _| *holder != process);
--- a/crates/thymeshift_lab/src/replay/backoffs/policy.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/policy.rs
@@ -1,30 +1,31 @@
-//! Policies of keeping backoffs over many processes.
+//! Policies that apply targets' backoffs over many processes.
 
 use derive_more::Display;
 
-/// A policy of keeping backoffs.
+/// Policy that applies the backoffs that targets ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum BackoffPolicy {
-    /// What the product does: a process names the targets that it may not use when it asks an
-    /// allocator, which spaces out requests to targets that refuse one process after the other.
+    /// Policy of the load balancer: an acquire request excludes the targets that are in backoff at its
+    /// sender, and the allocator spaces out requests to targets that refuse several processes.
     #[display("named, spaced out")]
     NamedAndSpaced,
-    /// The same without spacing out.
+    /// An acquire request excludes the targets that are in backoff at its sender; the allocator does
+    /// not space out requests.
     #[display("named")]
     Named,
-    /// Nobody but the process that was asked knows: it gives grants back.
+    /// Only the process that was asked for a backoff knows it, and returns grants of the target.
     #[display("holder alone")]
     HolderOnly,
-    /// The allocator keeps a backoff that one process was asked for on behalf of all.
+    /// The allocator applies a backoff that one process was asked for to all processes.
     #[display("for all")]
     FleetWide,
-    /// Nobody reads it.
+    /// All processes ignore backoffs.
     #[display("unread")]
     Ignored,
 }
 
 impl BackoffPolicy {
-    /// The policies that are compared.
+    /// Policies of the result table.
     pub const ALL: [Self; 5] =
         [Self::NamedAndSpaced, Self::Named, Self::HolderOnly, Self::FleetWide, Self::Ignored];
 }
--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -1,4 +1,4 @@
-//! A day on which targets refuse and ask for backoffs.
+//! Behaviour of targets that refuse requests and ask for backoffs.
 
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
 use crate::replay::fleet::SERVICE_TIME_MS;
 use crate::replay::fleet::Scenario;
 
-/// Until a refusal is back at the process.
+/// Time from the arrival of a request at a target to its refusal at the process, in milliseconds.
 const REFUSAL_DELAY_MS: u64 = 3;
-/// Processes that a target with partial refusals serves, for each one that it refuses.
+/// Number of processes that a target with partial refusals serves per process that it refuses.
 const SERVED_PER_REFUSED: usize = 3;
 
 pub(super) struct BackoffScenario {
@@ -55,7 +55,7 @@
 }
 
 impl Scenario for BackoffScenario {
-    /// The backoff that it asks for, if it refuses.
+    /// Backoff that a refusal asks for; `None` if the target served the request.
     type Answer = Option<Duration>;
 
     fn calls_per_s(&self) -> f64 {
