--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -1,5 +1,5 @@
-//! The limit of one organisation over many processes: how far it is exceeded, and who is refused
-//! although it holds.
+//! Simulation of one organisation's rate limit with many processes: how far the limit is exceeded,
+//! and how many requests are refused although the organisation stays below its limit.
 
 mod policy;
 mod process;
@@ -12,64 +12,66 @@
 
 pub use policy::QuotaPolicy;
 
-/// What goes wrong with an organisation's requests.
+/// Demand and faults of a simulated day of an organisation's requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaPattern {
-    /// What it is called in tables.
+    /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// By how much demand exceeds the usual in seconds 8 to 20.
+    /// Factor on the normal demand between second 8 and second 20.
     pub demand_factor: f64,
-    /// Who cannot reach whom in seconds 10 to 16, while callers reach all.
+    /// Network partition between second 10 and second 16. Callers still reach all processes.
     pub partition: Partition,
-    /// Whether the counting process is killed at second 10, and is back a second later.
+    /// Whether the process that counts the organisation's requests is killed at second 10 and restarts
+    /// one second later.
     pub counter_killed: bool,
-    /// Whether the limit is a third from second 12 on.
+    /// Whether the limit drops to a third at second 12.
     pub limit_lowered: bool,
-    /// Whether half of the callers move to other processes at second 14.
+    /// Whether half of the callers connect to other processes at second 14.
     pub callers_move: bool,
 }
 
-/// Which processes cannot reach each other.
+/// Network partition between processes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Partition {
-    /// All can.
+    /// All processes reach each other.
     None,
-    /// This part of the processes reaches no other one.
+    /// The given share of the processes reaches no other process.
     Processes(f64),
-    /// Two of three data halls cannot reach each other: the first and the second counter stand in
-    /// them.
+    /// Two of three data halls cannot reach each other. One holds the first counter, the other the
+    /// second counter.
     TwoHalls,
 }
 
-/// What came of a pattern, over all seeds.
+/// Result of a pattern with a policy, over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct QuotaResult {
-    /// Days played.
+    /// Number of simulated days.
     pub days: usize,
-    /// Most requests admitted in a window of five seconds, in parts of what the limit allows in it,
-    /// its burst included; on the worst day.
+    /// Maximum number of requests admitted in any five seconds, divided by the number that the rate
+    /// limit and its burst allow; on the worst day.
     pub worst_window: f64,
-    /// Requests within the limit: all of days that stay below it.
+    /// Number of requests on days whose demand stays below the limit.
     pub requests_within_limit: usize,
-    /// Of these, refused.
+    /// Number of `requests_within_limit` that were refused.
     pub wrongly_refused: usize,
-    /// Requests admitted, and what the limit allowed while there was more demand than that.
+    /// Number of requests admitted in windows whose demand exceeded 1.5 times the allowed number.
     pub admitted_in_overload: f64,
-    /// As above.
+    /// Number of requests that the rate allowed in windows whose demand exceeded 1.5 times the allowed
+    /// number.
     pub allowed_in_overload: f64,
-    /// Requests of all days.
+    /// Number of requests on all days.
     pub requests: usize,
-    /// Messages between processes.
+    /// Number of messages between processes.
     pub messages: usize,
 }
 
 impl QuotaResult {
-    /// Share of the requests within the limit that were refused.
+    /// Returns the share of the requests within the limit that was refused.
     pub fn wrongly_refused_share(&self) -> f64 {
         self.wrongly_refused as f64 / self.requests_within_limit.max(1) as f64
     }
 
-    /// Part of the limit that was used while there was more demand.
+    /// Returns the share of the limit that was used while demand exceeded the limit; 1 if it never did.
     pub fn used_share(&self) -> f64 {
         if self.allowed_in_overload > 0.0 {
             self.admitted_in_overload / self.allowed_in_overload
@@ -98,7 +100,7 @@
     }
 }
 
-/// Plays a pattern on `days` seeds with so many processes.
+/// Simulates `days` days of a pattern with a policy and `processes` processes, one per seed from 0.
 pub fn replay_quotas(
     pattern: &QuotaPattern,
     policy: QuotaPolicy,
@@ -112,7 +114,7 @@
     result
 }
 
-/// A table of patterns by ways of deciding.
+/// Simulates all patterns with all policies and several fleet sizes and returns a text table.
 pub fn quota_table(days: u64) -> String {
     let mut text = String::new();
     let columns = "processes  window  wrongly_refused  used  messages/request";
@@ -130,7 +132,7 @@
 }
 
 impl QuotaPattern {
-    /// Demand below the limit, no trouble.
+    /// Pattern with demand below the limit and no fault.
     pub const CALM: Self = Self {
         name: "calm",
         demand_factor: 1.0,
@@ -139,9 +141,9 @@
         limit_lowered: false,
         callers_move: false,
     };
-    /// Demand far beyond the limit.
+    /// Pattern with 7.5 times the normal demand, far above the limit, and no fault.
     pub const HOT: Self = Self { name: "hot", demand_factor: 7.5, ..Self::CALM };
-    /// All patterns.
+    /// Patterns of the result table.
     pub const ALL: [Self; 10] = [
         Self::CALM,
         Self { name: "calm, cut off", partition: Partition::Processes(0.35), ..Self::CALM },
--- a/crates/thymeshift_lab/src/replay/quotas/policy.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/policy.rs
@@ -1,32 +1,34 @@
-//! Policies of keeping a limit over many processes.
+//! Policies that enforce an organisation's limit over many processes.
 
 use derive_more::Display;
 
-/// A policy of keeping the limit.
+/// Policy that enforces an organisation's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum QuotaPolicy {
-    /// What the product does: one process counts, the others hold tokens.
+    /// Policy of the load balancer: one process counts the requests and grants tokens to the others.
     #[display("counted")]
     Counted,
-    /// The same, where each process that is asked in the counter's place hands out the whole limit.
+    /// One process counts the requests, and each process that replaces the counter grants tokens up to
+    /// the full limit.
     #[display("each counter whole")]
     EachFullLimit,
-    /// Each process admits an equal part.
+    /// Each process enforces an equal share of the limit.
     #[display("equal parts")]
     EqualParts,
-    /// Each process tells all others its demand four times a second, and admits its part of what
-    /// it heard.
+    /// Each process reports its demand to all others four times per second, and enforces a share of
+    /// the limit in proportion to its part of the reported demand.
     #[display("parts by demand")]
     PartsByDemand,
 }
 
 impl QuotaPolicy {
-    /// The policies that are compared.
+    /// Policies of the result table.
     pub const ALL: [Self; 4] =
         [Self::Counted, Self::EachFullLimit, Self::EqualParts, Self::PartsByDemand];
 
-    /// Numbers of processes that it is played with. Where all tell all, a day of 300 is four
-    /// million messages, and one of 1,000 is not worth its time.
+    /// Returns the fleet sizes to simulate. `PartsByDemand` sends a message between every pair of
+    /// processes; one day with 300 processes takes four million messages, and a day with 1,000
+    /// processes takes too long for its benefit.
     pub(super) fn sizes(self) -> &'static [usize] {
         match self {
             Self::Counted | Self::EachFullLimit | Self::EqualParts => &[3, 30, 117, 300, 1_000],
--- a/crates/thymeshift_lab/src/replay/quotas/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/simulation.rs
@@ -1,4 +1,4 @@
-//! One day of the model: callers of one organisation on many processes, event by event.
+//! Discrete-event simulation of one day with the callers of one organisation and many processes.
 
 use std::time::Duration;
 
@@ -23,38 +23,50 @@
 use crate::replay::quotas::process::PendingTokenRequest;
 use crate::replay::quotas::process::Process;
 
-/// Callers of the organisation, and its limit; demand is usually 1 / 1.6 of it.
+/// Number of callers of the organisation.
 const CALLERS: usize = 12;
+/// Rate limit of the organisation.
 pub(super) const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 80.0, burst: 80.0 };
+/// Normal demand of the organisation, in requests per second.
 const NORMAL_DEMAND_PER_S: f64 = LIMIT.rate_per_s / 1.6;
-/// Part of the limit that is left when it is lowered.
+/// Factor on the limit when the limit is lowered.
 const LOWERED_FACTOR: f64 = 1.0 / 3.0;
-/// Times of the day, in milliseconds.
+/// Length of a simulated day, in milliseconds.
 const DAY_MS: u64 = 30_000;
+/// Period in which demand is multiplied by the pattern's factor, in milliseconds.
 const OVERLOAD_MS: std::ops::Range<u64> = 8_000..20_000;
+/// Period in which the network is partitioned, in milliseconds.
 const PARTITION_MS: std::ops::Range<u64> = 10_000..16_000;
+/// Period in which the first counter is down, in milliseconds.
 const KILLED_MS: std::ops::Range<u64> = 10_000..11_000;
+/// Time of the simulated day at which the limit is lowered, in milliseconds.
 const LOWERED_AT_MS: u64 = 12_000;
+/// Time of the simulated day at which callers connect to other processes, in milliseconds.
 const MOVE_AT_MS: u64 = 14_000;
-/// Until all processes have a new limit in force, in milliseconds.
+/// Time within which all processes apply a changed limit, in milliseconds.
 const LIMIT_PROPAGATION_MS: u64 = 2_500;
 const HALL_COUNT: usize = 3;
-/// Window over which the limit must hold, in milliseconds.
+/// Length of the windows over which the limit must hold, in milliseconds.
 const WINDOW_MS: u64 = 5_000;
-/// From one process to another, in milliseconds; messages that are lost and doubled.
+/// Delay of a message between two processes, in milliseconds.
 const MESSAGE_DELAY_MS: std::ops::Range<u64> = 1..4;
+/// Probability that a message between two processes is lost.
 const MESSAGE_LOSS_PROBABILITY: f64 = 0.02;
+/// Probability that a message between two processes arrives twice.
 const MESSAGE_DUPLICATION_PROBABILITY: f64 = 0.02;
-/// How long a process waits for a counter, and passes over one that did not answer.
+/// Times after a token request at which an unanswered request is sent again, in milliseconds.
 const RESEND_AFTER_MS: [u64; 2] = [25, 50];
+/// Time after which a process gives up on a counter that does not reply, in milliseconds.
 const REPLY_TIMEOUT_MS: u64 = 105;
+/// Time for which a process passes over a counter that did not reply, in milliseconds.
 const PASSED_OVER_MS: u64 = 1_000;
-/// Until others have noticed that a process is gone, in milliseconds.
+/// Time after which other processes detect that a process is down, in milliseconds.
 const FAILURE_DETECTION_MS: u64 = 3_000;
-/// Time between two messages of its demand to all others, and how long one counts.
+/// Interval between two demand reports of a process, in milliseconds.
 const DEMAND_REPORT_INTERVAL_MS: u64 = 250;
+/// Time for which a received demand report is used, in milliseconds.
 const DEMAND_REPORT_TTL_MS: u64 = 5_000;
-/// Part of the limit that is divided equally where parts follow demand.
+/// Share of the limit that `QuotaPolicy::PartsByDemand` divides equally among the processes.
 const EQUAL_SHARE: f64 = 0.2;
 
 #[derive(Clone, Copy)]
@@ -71,7 +83,7 @@
     pattern: QuotaPattern,
     policy: QuotaPolicy,
     processes: Vec<Process>,
-    /// The process of each caller.
+    /// Index of the process that each caller connects to.
     caller_processes: Vec<usize>,
     is_isolated: Vec<bool>,
     events: EventQueue<Event>,
@@ -96,7 +108,7 @@
         let start = Timestamp::from_millis(0);
         let processes = (0..process_count).map(|_| Process::new(process_count, start)).collect();
         let caller_processes = (0..CALLERS).map(|_| rng.random_range(0..process_count)).collect();
-        // The first two rank first as counters; the cut leaves them together.
+        // The first two processes are the best-ranked counters; the partition never isolates them.
         let isolated_share =
             if let Partition::Processes(share) = pattern.partition { share } else { 0.0 };
         let is_isolated = (0..process_count)
@@ -149,7 +161,7 @@
         Timestamp::from_millis(self.now_ms)
     }
 
-    /// What strikes at this moment.
+    /// Applies the kill of the counter and the move of callers that are due.
     fn apply_faults(&mut self) {
         if self.pattern.callers_move && !self.has_moved && self.now_ms >= MOVE_AT_MS {
             self.has_moved = true;
@@ -186,7 +198,7 @@
         self.events.schedule(at, Event::Arrival { caller });
     }
 
-    /// Whether a message from one process to another gets there.
+    /// Returns whether a message from one process can reach another process now.
     fn reaches(&self, from: usize, to: usize) -> bool {
         if self.is_killed && (from == 0 || to == 0) {
             return false;
@@ -219,7 +231,7 @@
             Event::Arrival { caller } => {
                 self.next_arrival(caller);
                 let process_index = self.caller_processes[caller];
-                // A caller of a process that is gone is served by another.
+                // Callers of a killed process connect to the last process instead.
                 let is_down = self.is_killed && process_index == 0;
                 let process_index = if is_down { self.processes.len() - 1 } else { process_index };
                 self.handle_arrival(process_index);
@@ -270,7 +282,7 @@
         self.result.wrongly_refused += usize::from(is_within && !is_admitted);
     }
 
-    /// Decides on the requests that wait at a process, as far as that is possible now.
+    /// Decides on the requests that wait at a process until a decision needs a counter's reply.
     fn decide_waiting(&mut self, process_index: usize) {
         while self.processes[process_index].waiting > 0 {
             let now = self.now();
@@ -288,7 +300,7 @@
         }
     }
 
-    /// Asks the first of the two counters that is not passed over.
+    /// Requests tokens from the first of the two counters that is not passed over.
     fn request_tokens(&mut self, process_index: usize, wanted: u32, arrived: u32) {
         self.next_number += 1;
         let number = self.next_number;
@@ -334,7 +346,8 @@
         to: usize,
         request: TokenRequest,
     ) -> Option<TokenGrant> {
-        // The second counts once it has noticed that the first is gone, or does not answer it.
+        // The second counter grants tokens only once it has detected that the first counter is down,
+        // or while it cannot reach the first counter.
         let first_killed_ms = if self.is_killed { KILLED_MS.start } else { u64::MAX };
         let is_first_detected_dead =
             self.now_ms >= first_killed_ms.saturating_add(FAILURE_DETECTION_MS);
@@ -350,8 +363,9 @@
         Some(counter.grant_tokens(&from, request, now))
     }
 
-    /// The part of the limit that a counter may hand out. The first one is heard of through the
-    /// third hall, and is not silent for long enough otherwise to be forgotten.
+    /// Returns the share of the limit that a counter may grant. All processes count as reachable: the
+    /// third data hall relays the first counter's heartbeats, and no other fault lasts long enough for
+    /// the first counter to be dropped.
     fn share(&self, process_index: usize) -> f64 {
         if self.policy == QuotaPolicy::EachFullLimit {
             return 1.0;
@@ -437,7 +451,7 @@
         is_admitted
     }
 
-    /// What was admitted in each window that one limit holds in.
+    /// Compares the admitted requests with the limit in each window in which the limit is constant.
     fn evaluate(&mut self) {
         for start in (0..DAY_MS - WINDOW_MS).step_by(100) {
             let window = start..start + WINDOW_MS;
