--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what the product meets: the platform and targets.
+//! Stand-ins for the external systems of the load balancer: the platform, targets, and the network
+//! between two processes.
 
 mod answer;
 mod behaviour;
