--- a/crates/thymeshift_lab/src/standin/behaviour.rs
+++ b/crates/thymeshift_lab/src/standin/behaviour.rs
@@ -1,69 +1,71 @@
-//! How a target behaves. The control port replaces any of it with a JSON object.
+//! Adjustable behaviour of a target. A JSON object sent to the control port replaces all of the
+//! behaviour; omitted fields get their defaults.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a target reports of its load.
+/// Content of a target's load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportMode {
-    /// What is true now.
+    /// Reports state the current load.
     #[default]
     True,
-    /// What was true `stale_ms` ago.
+    /// Reports state the load of `stale_ms` ago.
     Stale,
-    /// That it is idle, whatever it does.
+    /// Reports state an idle target, whatever the load is.
     Idle,
-    /// Nothing.
+    /// Answers carry no load report.
     None,
 }
 
-/// What is wrong with a target's handling of requests.
+/// Fault in a target's handling of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// The target handles requests without a fault.
     #[default]
     None,
-    /// It sheds every request.
+    /// The target sheds every request with status 503.
     Shedding,
-    /// It fails every request at once.
+    /// The target fails every request at once with status 500.
     Failing,
-    /// It begins requests and does not go on with them.
+    /// The target starts requests and does not continue them while the fault lasts.
     Frozen,
-    /// It closes the connection in the middle of each answer.
+    /// The target closes the connection in the middle of each answer.
     Cutting,
-    /// It reads each request, runs it and closes without an answer.
+    /// The target reads and runs each request, and closes the connection without an answer.
     Closing,
-    /// It sends back another attempt's identity.
+    /// The target returns the identity of another attempt in its answers.
     Confusing,
 }
 
-/// A target's behaviour.
+/// Behaviour of a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// It says that it is leaving. It still serves what it gets.
+    /// Whether answers state that the target is leaving. The target still serves requests.
     pub is_draining: bool,
-    /// What is wrong with it.
+    /// Fault in the handling of requests.
     pub fault: Fault,
-    /// For how long it asks whom it sheds to send nothing, in seconds.
+    /// Backoff that a 503 answer asks for in its `retry-after` header, in seconds.
     pub backoff_s: Option<u64>,
-    /// Factor on its service time.
+    /// Factor on the service time.
     pub slowness: f64,
-    /// It holds each answer back for this long, in milliseconds.
+    /// Delay of the answer to each served or shed request, in milliseconds.
     pub late_ms: u64,
-    /// What it reports.
+    /// Content of the load reports.
     pub reports: ReportMode,
-    /// Age of its reports if they are stale, in milliseconds.
+    /// Age of the load reports under [`ReportMode::Stale`], in milliseconds.
     pub stale_ms: u64,
-    /// For so long after its start it is slower, in milliseconds.
+    /// Length of the cold phase after the start of the target, in milliseconds.
     pub cold_ms: u64,
-    /// Factor on its service time while it is cold.
+    /// Factor on the service time during the cold phase.
     pub cold_slowness: f64,
-    /// It stalls for `stall_ms` about every `stall_every_ms`, like a noisy neighbour.
+    /// Mean interval between two stalls like those of a noisy neighbour, in milliseconds; 0 turns
+    /// stalls off.
     pub stall_every_ms: u64,
-    /// Length of a stall, in milliseconds.
+    /// Time for which a stall delays the work of starting requests, in milliseconds.
     pub stall_ms: u64,
 }
 
