--- a/crates/thymeshift_lab/src/standin/exact_sleep.rs
+++ b/crates/thymeshift_lab/src/standin/exact_sleep.rs
@@ -1,5 +1,7 @@
-//! A sleep finer than the runtime's timer, which rounds up to whole milliseconds: a service
-//! time of 8 ms would become 9 and the target's capacity a ninth smaller than stated.
+//! Sleep with a finer resolution than the runtime's timer.
+//!
+//! The runtime's timer rounds up to whole milliseconds: a service time of 8 ms would become 9 ms,
+//! and the target's capacity a ninth smaller than configured.
 
 use std::io;
 use std::time::Duration;
@@ -15,7 +17,7 @@
 use tokio::io::unix::AsyncFd;
 use tokio::time::sleep;
 
-/// Sleeps for `duration`, by the runtime's timer if no timer of its own can be had.
+/// Sleeps for `duration`; uses the runtime's timer if no timer descriptor can be created.
 pub(crate) async fn exact_sleep(duration: Duration) {
     if duration.is_zero() {
         return;
