--- a/crates/thymeshift_lab/src/standin/ledger.rs
+++ b/crates/thymeshift_lab/src/standin/ledger.rs
@@ -1,4 +1,5 @@
-//! What a target ran, and how often: the judge of "not run" and "at most once".
+//! Record of the requests that a target ran and how often it ran them. Experiments check the
+//! outcomes "not run" and "run at most once" against this record.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +7,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One request as the target saw it.
+/// Numbers of starts and completions of one request at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// How often it was begun.
+    /// Number of times that the target started the request.
     pub begun: u64,
-    /// How often it was run to its end.
+    /// Number of times that the target ran the request to its end.
     pub finished: u64,
 }
 
-/// All requests by the nonce in their query.
+/// Ledger entries by the nonce in the requests' query.
 #[derive(Debug, Default)]
 pub struct Ledger(Mutex<BTreeMap<String, LedgerEntry>>);
 
@@ -28,7 +29,7 @@
         self.0.lock().entry(nonce.to_owned()).or_default().finished += 1;
     }
 
-    /// Everything so far.
+    /// Returns a copy of all entries, by nonce.
     pub fn entries(&self) -> BTreeMap<String, LedgerEntry> {
         self.0.lock().clone()
     }
