--- a/crates/thymeshift_lab/src/standin/stated_limit.rs
+++ b/crates/thymeshift_lab/src/standin/stated_limit.rs
@@ -1,4 +1,4 @@
-//! A limit of requests a second that a target names, and how far it was exceeded.
+//! Rate limit that a target states in its answers, and how far arriving requests exceeded it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,14 +6,16 @@
 
 use parking_lot::Mutex;
 
-/// Until all processes must know a limit.
+/// Time within which a new limit must reach all processes; earlier arrivals are not evaluated.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Time over which a limit is judged, how far it may be exceeded, and by how many requests more.
+/// Length of the sliding window over which arrivals are compared with the limit.
 const WINDOW: Duration = Duration::from_secs(4);
+/// Multiple of the limit that may arrive in a window.
 const OVERSHOOT_FACTOR: f64 = 1.5;
+/// Number of requests that may arrive in a window beyond `OVERSHOOT_FACTOR`.
 const SLACK_REQUESTS: f64 = 5.0;
 
-/// A target's need.
+/// Stated limit of a target, with the arrivals since it was stated.
 #[derive(Default)]
 pub(super) struct StatedLimit {
     state: Mutex<State>,
@@ -22,16 +24,16 @@
 #[derive(Default)]
 struct State {
     limit_per_s: Option<f64>,
-    /// From when on arrivals are judged.
+    /// Time from which arrivals are evaluated; `None` if the target states no limit.
     evaluated_from: Option<Instant>,
-    /// Arrivals within the last window.
+    /// Times of the arrivals within the current window.
     arrivals: VecDeque<Instant>,
-    /// Most arrivals in a window, in parts of what is allowed.
+    /// Maximum number of arrivals in a window, divided by the allowed number.
     worst_window: f64,
 }
 
 impl StatedLimit {
-    /// From now on the target names this limit, or none.
+    /// Sets the limit that the target states from now on; `None` states no limit.
     pub(super) fn set_limit(&self, limit_per_s: Option<f64>) {
         let mut state = self.state.lock();
         state.limit_per_s = limit_per_s;
@@ -43,7 +45,7 @@
         self.state.lock().limit_per_s
     }
 
-    /// A request arrives.
+    /// Records the arrival of a request and evaluates the current window.
     pub(super) fn record_request(&self) {
         let now = Instant::now();
         let State { limit_per_s, evaluated_from, arrivals, worst_window } = &mut *self.state.lock();
@@ -61,7 +63,7 @@
         *worst_window = worst_window.max(arrivals.len() as f64 / allowed);
     }
 
-    /// Most arrivals in a window, in parts of what is allowed.
+    /// Returns the maximum number of arrivals in a window, divided by the allowed number.
     pub(super) fn worst_window(&self) -> f64 {
         self.state.lock().worst_window
     }
