--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -1,8 +1,9 @@
-//! The platform's configuration service.
+//! Stand-in for the platform's configuration service.
 //!
 //! Data port: `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`.
-//! Control port: `PUT /documents/configuration?revision=R` (or `vms`) publishes,
-//! `PUT /mode` with a [`PlatformMode`] as JSON causes faults, `GET /calls` counts.
+//! Control port: `PUT /documents/configuration?revision=R` (or `vms`) publishes a document,
+//! `PUT /mode` with a [`PlatformMode`] as JSON injects a fault, `GET /calls` returns the number of
+//! calls at the data port.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,12 +34,12 @@
 use crate::standin::server::ServerHandle;
 use crate::standin::server::serve;
 
-/// Which document.
+/// Document that the platform serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DocumentName {
-    /// The configuration.
+    /// Configuration document of the load balancer.
     Configuration,
-    /// The list of VMs.
+    /// List of entry VMs.
     Vms,
 }
 
@@ -52,24 +53,25 @@
     }
 }
 
-/// What is wrong with the platform.
+/// Fault of the platform's data port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformMode {
-    /// Nothing.
+    /// The platform answers without a fault.
     #[default]
     Normal,
-    /// It accepts calls and never answers.
+    /// The platform accepts calls and never answers.
     Silent,
-    /// It answers after so many milliseconds.
+    /// The platform delays each answer by the given number of milliseconds.
     Slow(u64),
-    /// It answers every call with what it held when this mode began, whatever was asked.
+    /// The platform answers from the documents that were published when this mode started, also to
+    /// callers that already have a newer revision.
     Stale,
-    /// It answers with the first revision it ever held.
+    /// The platform answers with the first revision that was ever published.
     Backwards,
-    /// It answers with bytes that are no document.
+    /// The platform answers with bytes that are not a valid document.
     Rubbish,
-    /// It answers status 500.
+    /// The platform answers with status 500.
     Failing,
 }
 
@@ -86,7 +88,7 @@
     last: Option<PublishedDocument>,
 }
 
-/// A platform.
+/// Platform with its published documents and current fault.
 pub struct Platform {
     documents: Mutex<BTreeMap<DocumentName, History>>,
     mode: Mutex<PlatformMode>,
@@ -95,7 +97,7 @@
 }
 
 impl Platform {
-    /// A platform without documents.
+    /// Creates a platform without documents.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             documents: Mutex::default(),
@@ -105,7 +107,7 @@
         })
     }
 
-    /// Serves on `address` (port 0 takes a free one) and on a free control port.
+    /// Serves on `address`, where port 0 selects a free port, and on a free control port.
     pub async fn start(self: &Arc<Self>, address: SocketAddr) -> std::io::Result<ServerHandle> {
         let data = TcpListener::bind(address).await?;
         let control = TcpListener::bind((address.ip(), 0)).await?;
@@ -129,7 +131,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Causes or ends a fault.
+    /// Starts a fault, or ends it with [`PlatformMode::Normal`].
     pub fn set_mode(&self, mode: PlatformMode) {
         for history in self.documents.lock().values_mut() {
             history.frozen.clone_from(&history.last);
@@ -138,7 +140,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Calls so far, a waiting one included.
+    /// Returns the number of calls at the data port, including calls that still wait.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -180,7 +182,8 @@
         }
     }
 
-    /// What a caller that has `after` is told.
+    /// Returns the document for a caller that already has revision `after`; `None` if the caller must
+    /// wait for a newer revision.
     fn document_newer_than(&self, name: DocumentName, after: u64) -> Option<PublishedDocument> {
         let documents = self.documents.lock();
         let history = documents.get(&name)?;
