--- a/crates/thymeshift_lab/src/standin/proxy.rs
+++ b/crates/thymeshift_lab/src/standin/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy on the loopback between two processes, which delays, resets, silences or cuts one
-//! way what passes through it.
+//! TCP proxy on the loopback interface between two processes. Delays or holds back the forwarded
+//! bytes, resets connections, or drops the bytes of one direction.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -18,47 +18,47 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Bytes passed on at a time.
+/// Maximum number of bytes read and forwarded at a time.
 const BUFFER_BYTES: usize = 16 * 1_024;
 
-/// What the proxy does with what passes.
+/// Fault that the proxy injects into its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Display)]
 pub enum ProxyMode {
-    /// Nothing.
+    /// The proxy forwards all bytes without delay.
     #[default]
     #[display("pass")]
     Pass,
-    /// It holds each piece back.
+    /// The proxy delays each chunk of bytes.
     #[display("delay of {_0:?}")]
     Delay(Duration),
-    /// It resets connections.
+    /// The proxy resets open and new connections.
     #[display("reset")]
     Reset,
-    /// It lets nothing through, either way.
+    /// The proxy holds back the bytes of both directions until the mode changes.
     #[display("silent")]
     Silent,
-    /// What the server says is lost.
+    /// The proxy drops all bytes that the server sends.
     #[display("answers lost")]
     AnswersLost,
 }
 
-/// The way of bytes through the proxy.
+/// Direction in which bytes are forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToServer,
     ToClient,
 }
 
-/// A running proxy; it ends when it is dropped.
+/// Running proxy; stops accepting connections when it is dropped.
 pub struct Proxy {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub address: SocketAddr,
     mode: Arc<watch::Sender<ProxyMode>>,
     accepting: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Starts a proxy to `server`.
+    /// Starts a proxy that forwards connections to `server`.
     pub async fn start(server: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -72,7 +72,7 @@
         Ok(Self { address, mode, accepting })
     }
 
-    /// Begins or ends a fault; connections that are open meet it too.
+    /// Starts or ends a fault, for open connections as well as for new ones.
     pub fn set_mode(&self, mode: ProxyMode) {
         self.mode.send_replace(mode);
     }
@@ -99,7 +99,7 @@
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
     let mut reset_watcher = mode.clone();
-    // When either way ends, or a reset begins, both connections are reset.
+    // Both connections are reset as soon as one direction ends or the mode changes to `Reset`.
     tokio::select! {
         () = forward(client_in, server_out, Direction::ToServer, mode.clone()) => {}
         () = forward(server_in, client_out, Direction::ToClient, mode) => {}
@@ -118,7 +118,7 @@
         let Ok(length @ 1..) = from.read(&mut buffer).await else {
             return;
         };
-        // What a silent link holds up arrives when it speaks again.
+        // Bytes that are held back in silent mode are forwarded when the mode changes.
         if mode.wait_for(|mode| *mode != ProxyMode::Silent).await.is_err() {
             return;
         }
