--- a/crates/thymeshift_lab/src/standin/server.rs
+++ b/crates/thymeshift_lab/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP on a free or given port until dropped.
+//! HTTP/1 server of the stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,16 +14,17 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// A stand-in that runs; dropped, it closes its ports and connections.
+/// Handle of a running stand-in; dropping it closes the ports and connections.
 pub struct ServerHandle {
-    /// Where the product connects.
+    /// Address of the data port, which entry processes connect to.
     pub address: SocketAddr,
-    /// Where tests and people connect.
+    /// Address of the control port, which tests and operators connect to.
     pub control: SocketAddr,
     pub(crate) _tasks: JoinSet<()>,
 }
 
-/// Serves `listener` with `answer`, one task a connection. No answer closes it.
+/// Serves the connections of `listener` with `answer`, one task per connection. The connection is
+/// closed if `answer` returns `None`.
 pub(crate) async fn serve<F, B>(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -47,7 +48,7 @@
                 let answered = answer(request);
                 async { answered.await.ok_or(io::Error::from(io::ErrorKind::ConnectionAborted)) }
             });
-            // A connection that breaks is the other side's business.
+            // Errors of a connection are ignored: the peer detects them and decides what to do.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
