--- a/crates/thymeshift_lab/src/standin/slots.rs
+++ b/crates/thymeshift_lab/src/standin/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a target and the requests that wait for one.
+//! Slots of a target and the bounded queue of requests that wait for a slot.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-/// Samples of past load kept for stale reports.
+/// Maximum number of past load samples that are kept for stale reports.
 const HISTORY_MAX: usize = 4_096;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -23,7 +23,7 @@
     queued: u32,
 }
 
-/// Slots, a bounded queue and what they looked like before.
+/// Slots with a bounded queue and a history of their load.
 pub(crate) struct Slots {
     semaphore: Arc<Semaphore>,
     queue_max: u32,
@@ -32,12 +32,13 @@
     history: Mutex<VecDeque<(Instant, Load)>>,
 }
 
-/// A slot in use.
+/// Slot in use; dropping it frees the slot.
 pub(crate) struct Slot {
     slots: Arc<Slots>,
     _permit: OwnedSemaphorePermit,
 }
 
+/// Guard of a queued request; dropping it removes the request from the queue length.
 struct Queued<'a>(&'a Slots);
 
 impl Slots {
@@ -51,7 +52,7 @@
         })
     }
 
-    /// A slot, after waiting for it; none if the queue is full.
+    /// Waits for a free slot; returns `None` at once if the queue is full.
     pub(crate) async fn acquire(self: &Arc<Self>) -> Option<Slot> {
         let permit = match self.semaphore.clone().try_acquire_owned() {
             Ok(permit) => permit,
@@ -68,7 +69,8 @@
         Some(Slot { slots: self.clone(), _permit: permit })
     }
 
-    /// The load as it was `age` ago, without the request that carries the report.
+    /// Returns a report of the load `age` ago. The load does not include the request that the report
+    /// is sent with, because its slot is already free.
     pub(crate) fn report(&self, age: Duration) -> LoadReport {
         let load = if age.is_zero() { self.load() } else { self.past_load(age) };
         LoadReport {
