--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -1,4 +1,4 @@
-//! What a target has said of itself to each process, and what reached it all the same.
+//! Statements that a target sent to each process, and the requests that arrived in spite of them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,24 +9,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The process that a request was sent to, as its caller names it.
+/// Header in which a caller names the process that it sends the request to.
 pub const CALLED_PROCESS_HEADER: HeaderName = HeaderName::from_static("lab-called-process");
-/// After this time without a new request a target may end that leaves.
+/// Time without new requests after which a leaving target may exit.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// Until an answer has reached the process, and requests under way have arrived.
+/// Time after a statement in which requests already in flight may still arrive.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
-/// What reached a target against what it had said.
+/// Numbers of requests that reached a target in violation of its statements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementViolations {
-    /// Requests of processes that had known for longer than the drain time that it leaves.
+    /// Number of requests from processes that were told of the target's leaving longer ago than the
+    /// drain time and the time for requests in flight.
     pub after_leaving: usize,
-    /// Most requests of one process within a backoff.
+    /// Maximum number of requests of one process within a backoff.
     pub in_backoff: usize,
 }
 
 impl StatementViolations {
-    /// The worse of two targets.
+    /// Returns the maximum of each number, to combine the violations at several targets.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -36,22 +37,24 @@
     }
 }
 
+/// Statements that one process received, and its violations.
 #[derive(Default)]
 struct ProcessStatements {
+    /// Time at which the process was first told that the target is leaving.
     leaving_since: Option<Instant>,
-    /// Beginning, end, and requests within.
+    /// Start, end and number of violating requests of each backoff.
     backoffs: Vec<(Instant, Instant, usize)>,
     violations: StatementViolations,
 }
 
-/// The statements of one target, by process.
+/// Statements of one target, by process.
 #[derive(Default)]
 pub(super) struct StatementLog {
     processes: Mutex<HashMap<String, ProcessStatements>>,
 }
 
 impl StatementLog {
-    /// A request of a process arrives.
+    /// Records the arrival of a process's request and checks it against earlier statements.
     pub(super) fn record_request(&self, process: &str) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
@@ -66,14 +69,14 @@
         }
     }
 
-    /// A process is answered that the target leaves.
+    /// Records an answer that tells a process that the target is leaving.
     pub(super) fn record_leaving(&self, process: &str) {
         let mut processes = self.processes.lock();
         let statements = processes.entry(process.to_owned()).or_default();
         statements.leaving_since.get_or_insert_with(Instant::now);
     }
 
-    /// A process is asked for a backoff.
+    /// Records an answer that asks a process for a backoff of `wait`.
     pub(super) fn record_backoff(&self, process: &str, wait: Duration) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
@@ -81,7 +84,7 @@
         statements.backoffs.push((now, now + wait, 0));
     }
 
-    /// What each process disregarded.
+    /// Returns the violations of each process.
     pub(super) fn violations(&self) -> HashMap<String, StatementViolations> {
         let processes = self.processes.lock();
         processes.iter().map(|(name, statements)| (name.clone(), statements.violations)).collect()
