--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -1,11 +1,13 @@
-//! A target: a few slots, a queue, a service time, load reports and faults.
+//! Stand-in for a target, with slots, a queue, a service time, load reports and faults.
 //!
-//! Data port: any request runs for a service time and is answered with
-//! [`expected_answer`]; `bytes=N` in the query sets the answer's length, `nonce=X` the
-//! name in the ledger; `/probe` answers after the probe's cost.
-//! Control port: `PUT /behaviour` with a [`Behaviour`] as JSON, `GET /ledger`, `PUT /limit` with the
-//! requests a second that answers name from then on, or null, and `GET /limit`, the most requests
-//! in a window over what that allows.
+//! Data port: any request occupies a slot for a service time and is answered with
+//! [`expected_answer`]. The query sets the answer's length by `bytes=N`, and the request's name in
+//! the ledger by `nonce=X`. `/probe` is answered after the configured probe time.
+//!
+//! Control port: `PUT /behaviour` with a [`Behaviour`] as JSON sets the behaviour, and `GET /ledger`
+//! returns the ledger. `PUT /limit` sets the limit that answers state, in requests per second or
+//! null. `GET /limit` returns the maximum number of requests in a window divided by the allowed
+//! number. `GET /statements` returns the violations of the target's statements by process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -64,33 +66,33 @@
 use crate::standin::statements::CALLED_PROCESS_HEADER;
 use crate::standin::statements::StatementLog;
 
-/// Length of an answer whose request does not say.
+/// Length of an answer if the request's query sets none, in bytes.
 const ANSWER_BYTES: u64 = 64;
-/// Longest answer, in bytes.
+/// Maximum length of an answer, in bytes.
 const ANSWER_BYTES_MAX: u64 = 64 * 1_024 * 1_024;
-/// Time after which an answer that is cut breaks off.
+/// Time after the first half of a truncated answer at which its connection is closed.
 const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
-/// Time between two looks of a frozen target at whether it still is.
+/// Interval between two checks whether a frozen or stalled target may continue.
 const FROZEN_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a target is.
+/// Settings of a target that stay fixed while the target runs.
 #[derive(Debug, Clone)]
 pub struct TargetSettings {
-    /// Requests run at a time.
+    /// Number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of requests that wait for a slot.
     pub queue_max: u32,
     /// Mean service time, in microseconds.
     pub service_us: u64,
-    /// Whether service times vary (exponentially) or are all the same.
+    /// Whether service times are exponentially distributed instead of constant.
     pub has_random_service_time: bool,
-    /// Seed of the service times.
+    /// Seed of the random service times and stalls.
     pub seed: u64,
-    /// Time that a probe takes, in microseconds.
+    /// Duration of a probe, in microseconds.
     pub probe_us: u64,
-    /// One way from the entry VMs, in microseconds.
+    /// One-way network delay between the entry VMs and the target, in microseconds.
     pub one_way_us: u64,
-    /// Its incarnation.
+    /// Incarnation that load reports state.
     pub incarnation: u64,
 }
 
@@ -109,11 +111,11 @@
     }
 }
 
-/// A target.
+/// Target with its current behaviour and the records of its requests.
 pub struct Target {
     settings: TargetSettings,
     behaviour: Mutex<Behaviour>,
-    /// What it ran.
+    /// Record of the requests that the target ran.
     pub ledger: Ledger,
     stated_limit: StatedLimit,
     statements: StatementLog,
@@ -126,7 +128,7 @@
 type Answer = Response<UnsyncBoxBody<Bytes, io::Error>>;
 
 impl Target {
-    /// A target that behaves well.
+    /// Creates a target with the default behaviour, which has no fault.
     pub fn new(settings: TargetSettings) -> Arc<Self> {
         let rng = SmallRng::seed_from_u64(settings.seed);
         Arc::new(Self {
@@ -142,7 +144,7 @@
         })
     }
 
-    /// Serves on `address` (port 0 takes a free one) and on a free control port.
+    /// Serves on `address`, where port 0 selects a free port, and on a free control port.
     pub async fn start(self: &Arc<Self>, address: SocketAddr) -> io::Result<ServerHandle> {
         let data = TcpListener::bind(address).await?;
         let control = TcpListener::bind((address.ip(), 0)).await?;
@@ -156,7 +158,7 @@
         Ok(ServerHandle { address, control: control_address, _tasks: tasks })
     }
 
-    /// Changes how it behaves.
+    /// Replaces the behaviour.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.behaviour.lock() = behaviour;
     }
@@ -223,7 +225,8 @@
         Some(answer)
     }
 
-    /// Notes what a process learns, and asks it for a backoff if it is refused.
+    /// Records the statements of an answer, and adds a `retry-after` header to a refusal if the
+    /// behaviour asks for a backoff.
     fn record_statements(&self, process: &str, answer: &mut Answer) {
         let behaviour = self.behaviour();
         if behaviour.is_draining {
@@ -241,7 +244,7 @@
         boxed(text_response("probed"))
     }
 
-    /// None closes the connection.
+    /// Runs a request. Returns `None` if the connection is to be closed without an answer.
     async fn run(&self, path: &str, body: &[u8]) -> Option<Answer> {
         let behaviour = self.behaviour();
         if behaviour.fault == Fault::Failing {
@@ -290,7 +293,7 @@
         sample
     }
 
-    /// A noisy neighbour, at random moments.
+    /// Stalls the target at random times, as a noisy neighbour does.
     async fn run_random_stalls(self: Arc<Self>) {
         loop {
             let behaviour = self.behaviour();
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Puts the load report and the attempt's identity on an answer.
+    /// Adds the attempt's identity, the stated limit and the load report to an answer's headers.
     fn add_headers(&self, map: &mut HeaderMap, attempt: Option<HeaderValue>) {
         let behaviour = self.behaviour();
         if let Some(attempt) = attempt {
@@ -344,7 +347,7 @@
     response.map(|body| body.map_err(|never| match never {}).boxed_unsync())
 }
 
-/// Half of the bytes, and once they are on their way the connection breaks.
+/// Returns an answer that sends the first half of the bytes and then closes the connection.
 fn truncated(mut bytes: Vec<u8>) -> Answer {
     let length = bytes.len();
     bytes.truncate(length / 2);
