--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -63,7 +63,7 @@
 
 /// The model shows the trouble: with nothing remembered, the same days end most targets.
 #[test]
-fn with_nothing_remembered_the_same_days_are_lost() {
+fn without_quarantine_targets_crash_repeatedly() {
     let forgetful = CrashPolicy { refuses: false, ..CrashPolicy::production() };
     let result = play(&CrashPattern::GUILTY, &forgetful);
     assert!(result.crashed_targets as u64 > 30 * DAYS, "{result}");
