--- a/crates/thymeshift_lab/src/replay/fleet/mod.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/mod.rs
@@ -286,7 +286,7 @@
                 self.handle_acquire(LeaseKey { holder: from, number }, to, request, &held);
             }
             Event::AcquireReply { to, number, allocation } => {
-                self.handle_acquire_reply(to, number, allocation)
+                self.handle_acquire_reply(to, number, allocation);
             }
             Event::AcquireTimeout { at, number } => self.handle_acquire_timeout(at, number),
             Event::Answer { at, number, answer } => self.handle_answer(at, number, &answer),
