--- a/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/scenario.rs
@@ -66,7 +66,7 @@
         self.pattern.fault
     }
 
-    fn names_excluded(&self) -> bool {
+    fn excludes_backing_off_targets(&self) -> bool {
         self.policy != BackoffPolicy::HolderOnly
     }
 
--- a/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
@@ -107,7 +107,7 @@
     /// Returns the backing-off targets that the allocator must not grant. Target indexes are equal in
     /// all processes.
     fn excluded(&mut self, process_index: usize) -> Excluded {
-        if !self.scenario.names_excluded() {
+        if !self.scenario.excludes_backing_off_targets() {
             return Excluded::default();
         }
         let now = self.now();
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether an acquire request excludes the targets that are in backoff at its sender.
-    fn names_excluded(&self) -> bool {
+    fn excludes_backing_off_targets(&self) -> bool {
         true
     }
 
