--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -140,8 +140,7 @@
         calls_per_s: 72.0,
         fault: FleetFault::None,
     };
-    /// Pattern in which four targets refuse for 0.5 s while the calls take two thirds of the capacity
-    /// of all targets.
+    /// Pattern in which four targets refuse for 0.5 s, at two thirds of the total capacity.
     pub const BUSY: Self = Self {
         name: "busy",
         refusing_targets: 4,
--- a/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/evaluation.rs
@@ -1,5 +1,4 @@
-//! Evaluation of the requests that reached targets during the backoffs that the targets asked for,
-//! and after the targets recovered.
+//! Evaluation of the requests that reached targets during requested backoffs and after recovery.
 
 use std::collections::HashMap;
 
@@ -14,7 +13,7 @@
 const IN_FLIGHT_GRACE_MS: u64 = 500;
 const SECOND_MS: u64 = 1_000;
 
-/// Indexes of a process and a target.
+/// Index of a process and index of a target that it sends requests to.
 type Pair = (usize, usize);
 
 /// Log of the requests that arrived at refusing targets.
--- a/crates/thymeshift_lab/src/replay/backoffs/policy.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/policy.rs
@@ -5,12 +5,11 @@
 /// Policy that applies the backoffs that targets ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum BackoffPolicy {
-    /// Policy of the load balancer: an acquire request excludes the targets that are in backoff at its
-    /// sender, and the allocator spaces out requests to targets that refuse several processes.
+    /// Policy of the load balancer: an acquire request excludes the targets that are in backoff at
+    /// its sender, and the allocator spaces out requests to targets that refuse several processes.
     #[display("named, spaced out")]
     NamedAndSpaced,
-    /// An acquire request excludes the targets that are in backoff at its sender; the allocator does
-    /// not space out requests.
+    /// An acquire request excludes targets in backoff; the allocator does not space out requests.
     #[display("named")]
     Named,
     /// Only the process that was asked for a backoff knows it, and returns grants of the target.
--- a/crates/thymeshift_lab/src/replay/crashes.rs
+++ b/crates/thymeshift_lab/src/replay/crashes.rs
@@ -1,6 +1,7 @@
-//! Simulation of a guilty request, one that crashes each target that runs it, and of targets that
-//! exit for other reasons. Measures how well the quarantine stops the guilty request, and how many
-//! innocent requests are served or wrongly refused.
+//! Simulation of a guilty request, which crashes each target that runs it, and of other exits.
+//!
+//! Measures how well the quarantine stops the guilty request and how many innocent requests are
+//! served or wrongly refused by the quarantine.
 
 mod simulation;
 
@@ -19,8 +20,8 @@
 pub struct CrashPattern {
     /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// Mean interval between two arrivals of the guilty request, from second 5 to second 50; `None`
-    /// if the pattern has no guilty request.
+    /// Mean interval between arrivals of the guilty request, from second 5 to 50; `None` if the
+    /// pattern has no guilty request.
     pub guilty_interval: Option<Duration>,
     /// Rate at which each target exits without a guilty request, per second.
     pub target_exits_per_s: f64,
@@ -50,8 +51,8 @@
     pub days: usize,
     /// Number of target crashes that the guilty request caused.
     pub crashed_targets: usize,
-    /// Number of guilty requests that reached a target more than three seconds after the third crash,
-    /// on the worst day.
+    /// Number of guilty requests sent to targets later than 3 s after the third crash, on the worst
+    /// day. Sends within 3 s after a kill of all processes are not counted.
     pub late_sends_worst: usize,
     /// Number of innocent requests.
     pub innocent_requests: usize,
--- a/crates/thymeshift_lab/src/replay/crashes/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/crashes/simulation.rs
@@ -27,7 +27,7 @@
 use crate::replay::crashes::CrashResult;
 use crate::replay::event_queue::EventQueue;
 
-/// Number of processes. The deployment models one that serves roster look-ups.
+/// Number of processes. All sizes and rates model a deployment that serves roster look-ups.
 const PROCESSES: usize = 13;
 const TARGETS: usize = 7;
 const SLOTS_PER_TARGET: usize = 3;
@@ -57,7 +57,7 @@
 /// Time after the third crash, or after all processes were killed, in which guilty requests that
 /// reach a target are not counted as late: reports of the crashes need time to reach all processes.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Number of crashes after which no process may send the guilty request to a target any more.
+/// Number of crashes by the guilty request after which further sends of it count as late.
 const CRASHES_ALLOWED: usize = 3;
 
 /// Fingerprint of the guilty request.
@@ -132,8 +132,8 @@
     runs: BTreeMap<u64, TargetRun>,
     last_id: u64,
     guilty_crashes: Vec<Timestamp>,
-    /// Time at which all processes were killed. Guilty requests that they send within
-    /// `SETTLE_TIME` afterwards are not counted as late.
+    /// Time at which all processes were killed. Guilty requests sent within `SETTLE_TIME` after the
+    /// kill are not counted as late.
     killed_at: Option<Timestamp>,
     result: CrashResult,
 }
--- a/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/acquisition.rs
@@ -28,9 +28,9 @@
 use crate::replay::fleet::process::PendingCall;
 use crate::replay::fleet::process::RunningCall;
 
-/// Time until a process gives up on an allocator that has sent no reply to an acquire request.
+/// Time until a process gives up on an allocator that sent no reply, in milliseconds.
 const ACQUIRE_TIMEOUT_MS: u64 = 25;
-/// Time past a call's wait limit during which a process still accepts the allocator's final reply.
+/// Time after a call's wait limit until a process gives up on the final reply, in milliseconds.
 const WAIT_TIMEOUT_MARGIN_MS: u64 = 25;
 /// Maximum number of allocators that one attempt asks for a target.
 const ALLOCATORS_ASKED_MAX: usize = 2;
@@ -104,8 +104,8 @@
         self.add(ACQUIRE_TIMEOUT_MS, Event::AcquireTimeout { at: process_index, number });
     }
 
-    /// Returns the backing-off targets that the allocator must not grant. Target indexes are equal in
-    /// all processes.
+    /// Returns the targets in backoff, which the allocator must not grant.
+    /// The index of a target is the same in all processes.
     fn excluded(&mut self, process_index: usize) -> Excluded {
         if !self.scenario.excludes_backing_off_targets() {
             return Excluded::default();
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -54,7 +54,7 @@
     pub(super) pending: BTreeMap<u64, PendingCall>,
     /// Calls that are running at targets, by lease number.
     pub(super) running: BTreeMap<u64, RunningCall>,
-    /// End of the passing over in milliseconds and number of consecutive timeouts, by allocator.
+    /// End of the pass-over time in milliseconds and number of consecutive timeouts, by allocator.
     passed_over: BTreeMap<usize, (u64, u32)>,
 }
 
--- a/crates/thymeshift_lab/src/replay/fleet/scenario.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/scenario.rs
@@ -24,8 +24,8 @@
     FirstKilled,
     /// The best-ranked allocator is frozen for three seconds.
     FirstFrozen,
-    /// About a third of the processes reach no other process; the two best-ranked allocators are
-    /// never among them.
+    /// About a third of the processes reach no other process.
+    /// The two best-ranked allocators are never isolated.
     Isolated,
     /// Two data halls cannot reach each other; the third data hall reaches both.
     TwoHallsPartitioned,
@@ -99,8 +99,8 @@
         true
     }
 
-    /// Handles the arrival of a request at a target. Returns the delay of the answer in milliseconds,
-    /// and the answer.
+    /// Handles the arrival of a request at a target.
+    /// Returns the delay of the answer in milliseconds, and the answer.
     fn answer(&mut self, arrival: Arrival, rng: &mut SmallRng) -> (u64, Self::Answer);
 
     /// Applies an answer to the dispatcher of the process. Returns the observation to report to the
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -36,8 +36,8 @@
 /// Result of a pattern with a policy, summed over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitResult {
-    /// Maximum number of requests that a rate-limited target received in any four seconds, divided by
-    /// the allowed number: 1.5 times its limit plus 5 requests.
+    /// Maximum number of requests that a rate-limited target received in any four seconds, divided
+    /// by the allowed number: 1.5 times its limit plus 5 requests.
     pub worst_window: f64,
     /// Number of requests that rate-limited targets received.
     pub requests_received: f64,
--- a/crates/thymeshift_lab/src/replay/limits/evaluation.rs
+++ b/crates/thymeshift_lab/src/replay/limits/evaluation.rs
@@ -17,8 +17,7 @@
 /// Number of requests that a target may receive in a window beyond `OVERSHOOT_FACTOR`.
 const SLACK_REQUESTS: f64 = 5.0;
 
-/// Returns the limit that a rate-limited target states at `now_ms`, in requests per second; `None`
-/// at times at which the target states no limit.
+/// Returns the limit in requests per second that a rate-limited target states at `now_ms`, if any.
 pub(super) fn limit_at(pattern: &LimitPattern, now_ms: u64) -> Option<f64> {
     if now_ms < STATED_AT_MS {
         return None;
@@ -27,8 +26,7 @@
     (factor > 0.0).then_some(pattern.limit_per_s * factor)
 }
 
-/// Adds the arrivals at the rate-limited targets to the result. The arrivals of each target are in
-/// the order of their times.
+/// Adds the arrivals at the rate-limited targets, ordered by time, to the result.
 pub(super) fn evaluate(pattern: &LimitPattern, arrivals_ms: &[Vec<u64>], result: &mut LimitResult) {
     let from = STATED_AT_MS + PROPAGATION_MS;
     for arrivals_at_ms in arrivals_ms {
@@ -44,8 +42,8 @@
     }
 }
 
-/// Returns the number of requests allowed in the window that starts at `first_ms`, computed from the
-/// largest limit that a process may still apply in the window.
+/// Returns the number of requests allowed in the window that starts at `first_ms`, computed from
+/// the largest limit that a process may still apply in the window.
 fn allowed_in(pattern: &LimitPattern, first_ms: u64) -> f64 {
     let before = limit_at(pattern, first_ms.saturating_sub(PROPAGATION_MS));
     let after = limit_at(pattern, first_ms + WINDOW_MS);
--- a/crates/thymeshift_lab/src/replay/quotas.rs
+++ b/crates/thymeshift_lab/src/replay/quotas.rs
@@ -21,8 +21,7 @@
     pub demand_factor: f64,
     /// Network partition between second 10 and second 16. Callers still reach all processes.
     pub partition: Partition,
-    /// Whether the process that counts the organisation's requests is killed at second 10 and restarts
-    /// one second later.
+    /// Whether the first counter process is killed at second 10 and restarts one second later.
     pub counter_killed: bool,
     /// Whether the limit drops to a third at second 12.
     pub limit_lowered: bool,
@@ -37,8 +36,8 @@
     None,
     /// The given share of the processes reaches no other process.
     Processes(f64),
-    /// Two of three data halls cannot reach each other. One holds the first counter, the other the
-    /// second counter.
+    /// The data halls of the first and the second counter cannot reach each other; the third data
+    /// hall reaches both of them.
     TwoHalls,
 }
 
@@ -56,8 +55,7 @@
     pub wrongly_refused: usize,
     /// Number of requests admitted in windows whose demand exceeded 1.5 times the allowed number.
     pub admitted_in_overload: f64,
-    /// Number of requests that the rate allowed in windows whose demand exceeded 1.5 times the allowed
-    /// number.
+    /// Number of requests that the rate allowed in the windows of `admitted_in_overload`.
     pub allowed_in_overload: f64,
     /// Number of requests on all days.
     pub requests: usize,
@@ -71,7 +69,7 @@
         self.wrongly_refused as f64 / self.requests_within_limit.max(1) as f64
     }
 
-    /// Returns the share of the limit that was used while demand exceeded the limit; 1 if it never did.
+    /// Returns the share of the limit that was used while demand exceeded it; 1 if it never did.
     pub fn used_share(&self) -> f64 {
         if self.allowed_in_overload > 0.0 {
             self.admitted_in_overload / self.allowed_in_overload
--- a/crates/thymeshift_lab/src/replay/quotas/policy.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/policy.rs
@@ -5,11 +5,10 @@
 /// Policy that enforces an organisation's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum QuotaPolicy {
-    /// Policy of the load balancer: one process counts the requests and grants tokens to the others.
+    /// Policy of the load balancer: one process counts requests and grants tokens to the others.
     #[display("counted")]
     Counted,
-    /// One process counts the requests, and each process that replaces the counter grants tokens up to
-    /// the full limit.
+    /// One process counts the requests; a process that replaces it also grants the full limit.
     #[display("each counter whole")]
     EachFullLimit,
     /// Each process enforces an equal share of the limit.
@@ -26,9 +25,10 @@
     pub const ALL: [Self; 4] =
         [Self::Counted, Self::EachFullLimit, Self::EqualParts, Self::PartsByDemand];
 
-    /// Returns the fleet sizes to simulate. `PartsByDemand` sends a message between every pair of
-    /// processes; one day with 300 processes takes four million messages, and a day with 1,000
-    /// processes takes too long for its benefit.
+    /// Returns the fleet sizes to simulate.
+    ///
+    /// `PartsByDemand` stops at 117 processes, because each process sends messages to all others.
+    /// One day with 300 processes takes four million messages; a day with 1,000 takes too long.
     pub(super) fn sizes(self) -> &'static [usize] {
         match self {
             Self::Counted | Self::EachFullLimit | Self::EqualParts => &[3, 30, 117, 300, 1_000],
--- a/crates/thymeshift_lab/src/replay/quotas/simulation.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/simulation.rs
@@ -27,7 +27,7 @@
 const CALLERS: usize = 12;
 /// Rate limit of the organisation.
 pub(super) const LIMIT: QuotaLimit = QuotaLimit { rate_per_s: 80.0, burst: 80.0 };
-/// Normal demand of the organisation, in requests per second.
+/// Normal demand of the organisation, in requests per second: 1 / 1.6 of its limit.
 const NORMAL_DEMAND_PER_S: f64 = LIMIT.rate_per_s / 1.6;
 /// Factor on the limit when the limit is lowered.
 const LOWERED_FACTOR: f64 = 1.0 / 3.0;
@@ -346,8 +346,8 @@
         to: usize,
         request: TokenRequest,
     ) -> Option<TokenGrant> {
-        // The second counter grants tokens only once it has detected that the first counter is down,
-        // or while it cannot reach the first counter.
+        // The second counter grants tokens only once it has detected that the first counter is
+        // down, or while it cannot reach the first counter.
         let first_killed_ms = if self.is_killed { KILLED_MS.start } else { u64::MAX };
         let is_first_detected_dead =
             self.now_ms >= first_killed_ms.saturating_add(FAILURE_DETECTION_MS);
@@ -363,9 +363,10 @@
         Some(counter.grant_tokens(&from, request, now))
     }
 
-    /// Returns the share of the limit that a counter may grant. All processes count as reachable: the
-    /// third data hall relays the first counter's heartbeats, and no other fault lasts long enough for
-    /// the first counter to be dropped.
+    /// Returns the share of the limit that a counter may grant.
+    ///
+    /// All processes count as reachable: the third data hall relays heartbeats between the two
+    /// partitioned data halls, and in other faults no counter is silent long enough to be dropped.
     fn share(&self, process_index: usize) -> f64 {
         if self.policy == QuotaPolicy::EachFullLimit {
             return 1.0;
