--- a/crates/thymeshift_lab/src/standin/behaviour.rs
+++ b/crates/thymeshift_lab/src/standin/behaviour.rs
@@ -50,7 +50,7 @@
     pub fault: Fault,
     /// Backoff that a 503 answer asks for in its `retry-after` header, in seconds.
     pub backoff_s: Option<u64>,
-    /// Factor on the service time.
+    /// Factor by which each service time is multiplied.
     pub slowness: f64,
     /// Delay of the answer to each served or shed request, in milliseconds.
     pub late_ms: u64,
@@ -60,10 +60,9 @@
     pub stale_ms: u64,
     /// Length of the cold phase after the start of the target, in milliseconds.
     pub cold_ms: u64,
-    /// Factor on the service time during the cold phase.
+    /// Factor by which each service time is multiplied during the cold phase.
     pub cold_slowness: f64,
-    /// Mean interval between two stalls like those of a noisy neighbour, in milliseconds; 0 turns
-    /// stalls off.
+    /// Mean interval between stalls as of a noisy neighbour, in milliseconds; 0 disables stalls.
     pub stall_every_ms: u64,
     /// Time for which a stall delays the work of starting requests, in milliseconds.
     pub stall_ms: u64,
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for the external systems of the load balancer: the platform, targets, and the network
-//! between two processes.
+//! Stand-ins for the external systems of the load balancer: platform, targets and network links.
 
 mod answer;
 mod behaviour;
--- a/crates/thymeshift_lab/src/standin/platform.rs
+++ b/crates/thymeshift_lab/src/standin/platform.rs
@@ -1,9 +1,10 @@
 //! Stand-in for the platform's configuration service.
 //!
 //! Data port: `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`.
-//! Control port: `PUT /documents/configuration?revision=R` (or `vms`) publishes a document,
-//! `PUT /mode` with a [`PlatformMode`] as JSON injects a fault, `GET /calls` returns the number of
-//! calls at the data port.
+//!
+//! Control port: `PUT /documents/configuration?revision=R` (or `vms`) publishes a document.
+//! `PUT /mode` with a [`PlatformMode`] as JSON injects a fault.
+//! `GET /calls` returns the number of calls at the data port.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -64,8 +65,8 @@
     Silent,
     /// The platform delays each answer by the given number of milliseconds.
     Slow(u64),
-    /// The platform answers from the documents that were published when this mode started, also to
-    /// callers that already have a newer revision.
+    /// The platform answers with the documents as of the start of this mode, even to callers that
+    /// already have a newer revision.
     Stale,
     /// The platform answers with the first revision that was ever published.
     Backwards,
@@ -182,8 +183,7 @@
         }
     }
 
-    /// Returns the document for a caller that already has revision `after`; `None` if the caller must
-    /// wait for a newer revision.
+    /// Returns the document for a caller that has revision `after`; `None` if the caller must wait.
     fn document_newer_than(&self, name: DocumentName, after: u64) -> Option<PublishedDocument> {
         let documents = self.documents.lock();
         let history = documents.get(&name)?;
--- a/crates/thymeshift_lab/src/standin/server.rs
+++ b/crates/thymeshift_lab/src/standin/server.rs
@@ -23,8 +23,7 @@
     pub(crate) _tasks: JoinSet<()>,
 }
 
-/// Serves the connections of `listener` with `answer`, one task per connection. The connection is
-/// closed if `answer` returns `None`.
+/// Serves `listener` with `answer`, one task per connection. `None` closes the connection.
 pub(crate) async fn serve<F, B>(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> F + Clone + Send + 'static,
--- a/crates/thymeshift_lab/src/standin/slots.rs
+++ b/crates/thymeshift_lab/src/standin/slots.rs
@@ -69,8 +69,8 @@
         Some(Slot { slots: self.clone(), _permit: permit })
     }
 
-    /// Returns a report of the load `age` ago. The load does not include the request that the report
-    /// is sent with, because its slot is already free.
+    /// Returns a report of the load `age` ago. The request that the report is sent with has already
+    /// freed its slot and is not included in the load.
     pub(crate) fn report(&self, age: Duration) -> LoadReport {
         let load = if age.is_zero() { self.load() } else { self.past_load(age) };
         LoadReport {
--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -19,8 +19,8 @@
 /// Numbers of requests that reached a target in violation of its statements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementViolations {
-    /// Number of requests from processes that were told of the target's leaving longer ago than the
-    /// drain time and the time for requests in flight.
+    /// Number of requests from processes that were told that the target is leaving, counted from
+    /// the end of the drain time and of the grace time for requests in flight.
     pub after_leaving: usize,
     /// Maximum number of requests of one process within a backoff.
     pub in_backoff: usize,
--- a/crates/thymeshift_lab/src/standin/target.rs
+++ b/crates/thymeshift_lab/src/standin/target.rs
@@ -1,13 +1,16 @@
 //! Stand-in for a target, with slots, a queue, a service time, load reports and faults.
 //!
-//! Data port: any request occupies a slot for a service time and is answered with
-//! [`expected_answer`]. The query sets the answer's length by `bytes=N`, and the request's name in
-//! the ledger by `nonce=X`. `/probe` is answered after the configured probe time.
+//! Data port:
+//! * Any request occupies a slot for a service time and is answered with [`expected_answer`].
+//! * `bytes=N` in the query sets the answer's length, `nonce=X` the request's name in the ledger.
+//! * `/probe` is answered after the configured probe time.
 //!
-//! Control port: `PUT /behaviour` with a [`Behaviour`] as JSON sets the behaviour, and `GET /ledger`
-//! returns the ledger. `PUT /limit` sets the limit that answers state, in requests per second or
-//! null. `GET /limit` returns the maximum number of requests in a window divided by the allowed
-//! number. `GET /statements` returns the violations of the target's statements by process.
+//! Control port:
+//! * `PUT /behaviour` with a [`Behaviour`] as JSON replaces the behaviour.
+//! * `GET /ledger` returns the ledger of the requests that the target ran.
+//! * `PUT /limit` sets the limit that answers state, in requests per second, or null for no limit.
+//! * `GET /limit` returns the maximum number of requests in a window over the allowed number.
+//! * `GET /statements` returns the violations of the target's statements, by process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -225,8 +228,8 @@
         Some(answer)
     }
 
-    /// Records the statements of an answer, and adds a `retry-after` header to a refusal if the
-    /// behaviour asks for a backoff.
+    /// Records the statements of an answer, and adds a `retry-after` header to a 503 answer if the
+    /// target's behaviour asks for a backoff.
     fn record_statements(&self, process: &str, answer: &mut Answer) {
         let behaviour = self.behaviour();
         if behaviour.is_draining {
