--- a/crates/thymeshift_lab/tests/replay.rs
+++ b/crates/thymeshift_lab/tests/replay.rs
@@ -1,6 +1,7 @@
-//! Simulations of load and fault patterns in virtual time. The policy of the load balancer must meet
-//! a bound on each pattern. Alternative policies must miss it on the same days, which shows that the
-//! simulations contain the problem.
+//! Simulations of load and fault patterns in virtual time.
+//!
+//! The policy of the load balancer must meet bounds on each pattern. Alternative policies must miss
+//! bounds on the same days, which shows that the simulations contain the problem.
 
 use thymeshift_lab::replay::BackoffPattern;
 use thymeshift_lab::replay::BackoffPolicy;
@@ -32,8 +33,8 @@
 /// that the quarantine refuses. Four patterns contain a guilty request, two do not.
 #[test]
 fn a_guilty_request_is_stopped_and_innocent_ones_are_served() {
-    /// Maximum number of guilty requests on one day that reach a target after all processes may know of
-    /// three crashes.
+    /// Maximum number of guilty requests per day that reach a target later than 3 s after the third
+    /// crash.
     const LATE_SENDS_MAX: usize = 3;
     /// Maximum share of the innocent requests that may be refused.
     const REFUSED_SHARE_MAX: f64 = 0.002;
@@ -92,8 +93,8 @@
 }
 
 /// Guards against processes that together admit more than an organisation's limit allows, or that
-/// refuse requests below the limit. The platform tolerates 1.25 times the limit in a window, plus a
-/// few requests.
+/// refuse requests below the limit. The platform tolerates 1.25 times the limit in a window and a
+/// few requests more.
 #[test]
 fn the_limit_of_an_organisation_holds_in_every_window_and_what_is_below_passes() {
     struct Case {
