--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -15,7 +15,7 @@
 use thymeshift_types::Timestamp;
 use thymeshift_types::VmName;
 use thymeshift_wire::AllocatorAddress;
-use thymeshift_wire::GroupRoom;
+use thymeshift_wire::GroupHeadroomReport;
 use thymeshift_wire::Message;
 use tokio::time::sleep;
 
@@ -53,7 +53,7 @@
         if !is_allocated_here(shared, service, group, now) {
             continue;
         }
-        let report = GroupRoom {
+        let report = GroupHeadroomReport {
             service: service.name().clone(),
             group: group.clone(),
             allocator: allocator.clone(),
@@ -78,7 +78,11 @@
 ///
 /// A report that the other group's allocator sent itself is forwarded to the allocator of this data
 /// hall's group, unless that allocator is this process.
-pub(crate) fn receive_spare_capacity(shared: &Shared, sender: &VmName, report: &GroupRoom) {
+pub(crate) fn receive_spare_capacity(
+    shared: &Shared,
+    sender: &VmName,
+    report: &GroupHeadroomReport,
+) {
     let routing = shared.routing();
     let Some(service) = routing.as_ref().and_then(|all| all.service(report.service.as_str()))
     else {
--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -9,7 +9,7 @@
 use spdlog::warn;
 use thymeshift_supervisor::TaskError;
 use thymeshift_telemetry::metric;
-use thymeshift_telemetry::take_unwritten_lines;
+use thymeshift_telemetry::take_dropped_lines;
 use thymeshift_types::BootClock;
 use thymeshift_types::Clock;
 use thymeshift_types::Timestamp;
@@ -59,7 +59,7 @@
     let metrics = &shared.metrics;
     gauge!(metric::TICK_LATE_SECONDS).set(late_max.as_secs_f64());
     let in_flight = metrics.requests_in_flight.load(Ordering::Relaxed);
-    gauge!(metric::IN_FLIGHT).set(in_flight as f64);
+    gauge!(metric::REQUESTS_IN_FLIGHT).set(in_flight as f64);
     gauge!(metric::PEER_BYTES, "way" => "received").set(shared.links.bytes().received() as f64);
     gauge!(metric::PEER_BYTES, "way" => "sent").set(shared.links.bytes().sent() as f64);
     let connections = metrics.caller_connections.load(Ordering::Relaxed);
@@ -80,11 +80,11 @@
 }
 
 fn run_housekeeping(shared: &Shared, now: Timestamp) {
-    let left_out = shared.request_log_budget.take_left_out();
+    let left_out = shared.request_log_budget.take_suppressed();
     if left_out > 0 {
         warn!("request_lines_left_out", kv: { count = left_out });
     }
-    let unwritten = take_unwritten_lines();
+    let unwritten = take_dropped_lines();
     if unwritten > 0 {
         warn!("log_lines_unwritten", kv: { count = unwritten });
     }
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -26,9 +26,9 @@
 use thymeshift_wire::AllocatorAddress;
 use thymeshift_wire::Message;
 use thymeshift_wire::OrganisationDump;
-use thymeshift_wire::QuestionNumber;
 use thymeshift_wire::QuotaAsk;
 use thymeshift_wire::QuotaGrant;
+use thymeshift_wire::QuotaRequestNumber;
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
@@ -148,7 +148,7 @@
     }
 
     /// Delivers the reply of another process to the waiting ask.
-    pub(crate) fn deliver(&self, number: QuestionNumber, reply: QuotaReply) {
+    pub(crate) fn deliver(&self, number: QuotaRequestNumber, reply: QuotaReply) {
         self.pending_asks.deliver(number, reply);
     }
 
--- a/crates/thymeshift_query/src/tables.rs
+++ b/crates/thymeshift_query/src/dump_tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a state dump.
+//! Conversion of state dumps to tables.
 
 use thymeshift_dispatch::ServiceDump;
 use thymeshift_dispatch::TargetDump;
@@ -9,8 +9,9 @@
 use crate::Table;
 use crate::TableName;
 
-/// One table over the dumps of one or more processes.
-pub fn tables(name: TableName, dumps: &[StateDump]) -> Table {
+/// Returns the table called `name`, with the rows of all `dumps` below each other. The first column
+/// holds the VM of the process that a row comes from.
+pub fn build_table(name: TableName, dumps: &[StateDump]) -> Table {
     let rows = dumps.iter().flat_map(|dump| {
         let vm = Cell::text(&dump.vm);
         rows(name, dump).into_iter().map(move |row| [vec![vm.clone()], row].concat())
@@ -18,7 +19,7 @@
     Table { columns: name.columns().to_vec(), rows: rows.collect() }
 }
 
-/// Rows without their first cell, the VM.
+/// Returns the rows of one dump without their first cell, the VM.
 fn rows(name: TableName, dump: &StateDump) -> Vec<Vec<Cell>> {
     match name {
         TableName::Process => vec![process(dump)],
@@ -26,11 +27,11 @@
         TableName::Halls => halls(dump),
         TableName::Services => dump.services.iter().map(service).collect(),
         TableName::Targets => {
-            let each = |service: &ServiceDump| {
-                let row = |found: &TargetDump| target(service, found);
+            let service_rows = |service: &ServiceDump| {
+                let row = |target_dump: &TargetDump| target(service, target_dump);
                 service.targets.iter().map(row).collect::<Vec<_>>()
             };
-            dump.services.iter().flat_map(each).collect()
+            dump.services.iter().flat_map(service_rows).collect()
         }
         TableName::Limits => dump.services.iter().flat_map(limits).collect(),
         TableName::Queues => dump.services.iter().flat_map(queues).collect(),
@@ -59,9 +60,9 @@
         number(dump.uptime_ms),
         number(dump.requests_in_flight),
         number(dump.caller_connections),
-        Cell::Flag(dump.platform.is_watching),
+        Cell::Bool(dump.platform.is_watching),
         number(dump.platform.calls),
-        Cell::maybe(dump.platform.last_answer_ms),
+        Cell::number_or_missing(dump.platform.last_answer_ms),
         number(dump.peer_bytes_received),
         number(dump.peer_bytes_sent),
     ]
@@ -72,11 +73,11 @@
     let head = configuration.in_force;
     let rejection = configuration.rejection.as_ref();
     vec![
-        Cell::maybe(head.map(|head| head.revision.as_u64())),
+        Cell::number_or_missing(head.map(|head| head.revision.as_u64())),
         head.map_or(Cell::Missing, |head| Cell::text(head.digest)),
         number(configuration.in_force_for_ms),
-        Cell::Flag(configuration.conflict.is_some()),
-        Cell::maybe(rejection.map(|rejection| rejection.head.revision.as_u64())),
+        Cell::Bool(configuration.conflict.is_some()),
+        Cell::number_or_missing(rejection.map(|rejection| rejection.head.revision.as_u64())),
         rejection.map_or(Cell::Missing, |rejection| Cell::text(&rejection.mistakes)),
     ]
 }
@@ -85,7 +86,7 @@
     let row = |hall: &thymeshift_wire::HallDump| {
         vec![
             Cell::text(&hall.name),
-            Cell::Flag(hall.is_drained),
+            Cell::Bool(hall.is_drained),
             number(hall.targets),
             number(hall.members),
         ]
@@ -118,15 +119,15 @@
         Cell::text(target.usability),
         number(u64::from(target.in_flight)),
         Cell::Number(target.limit),
-        Cell::maybe(load),
-        Cell::maybe(running),
-        Cell::maybe(queued),
-        Cell::maybe(target.report_age_ms),
+        Cell::number_or_missing(load),
+        Cell::number_or_missing(running),
+        Cell::number_or_missing(queued),
+        Cell::number_or_missing(target.report_age_ms),
         number(target.latency_us),
         number(target.expected_us),
         Cell::Number(target.failure_rate),
-        Cell::maybe(target.ejected_for_ms),
-        Cell::maybe(target.backoff_for_ms),
+        Cell::number_or_missing(target.ejected_for_ms),
+        Cell::number_or_missing(target.backoff_for_ms),
         number(u64::from(target.connection_share)),
     ]
 }
@@ -196,23 +197,23 @@
 }
 
 fn keys(dump: &StateDump) -> Vec<Vec<Cell>> {
-    let held = dump.organisations.iter().flat_map(|organisation| {
+    let digests = dump.organisations.iter().flat_map(|organisation| {
         organisation.key_digests.iter().map(move |digest| (digest, &organisation.name))
     });
-    held.map(|(digest, name)| vec![Cell::text(digest), Cell::text(name)]).collect()
+    digests.map(|(digest, name)| vec![Cell::text(digest), Cell::text(name)]).collect()
 }
 
 fn members(dump: &StateDump) -> Vec<Vec<Cell>> {
-    let row = |known: &thymeshift_fleet::MemberDump| {
-        let member = &known.member;
+    let row = |member_dump: &thymeshift_fleet::MemberDump| {
+        let member = &member_dump.member;
         vec![
             Cell::text(&member.vm),
-            Cell::text(known.liveness),
+            Cell::text(member_dump.liveness),
             Cell::text(member.phase),
             Cell::text(&member.data_hall),
             Cell::Number(member.capacity.processors()),
-            Cell::maybe(member.revision.map(thymeshift_types::Revision::as_u64)),
-            number(known.silent_ms),
+            Cell::number_or_missing(member.revision.map(thymeshift_types::Revision::as_u64)),
+            number(member_dump.silent_ms),
             Cell::text(member.peer_address),
             Cell::text(member.control_address),
         ]
@@ -241,7 +242,7 @@
             Cell::text(&order.operator),
             number(order.stamp.counter),
             Cell::text(&order.stamp.vm),
-            Cell::maybe(order.revision.map(thymeshift_types::Revision::as_u64)),
+            Cell::number_or_missing(order.revision.map(thymeshift_types::Revision::as_u64)),
             number(order.expires_in_ms),
         ]
     };
@@ -271,7 +272,7 @@
 
 fn tasks(dump: &StateDump) -> Vec<Vec<Cell>> {
     let row = |task: &thymeshift_wire::TaskDump| {
-        vec![Cell::text(&task.name), Cell::Flag(task.is_running), number(task.restarts)]
+        vec![Cell::text(&task.name), Cell::Bool(task.is_running), number(task.restarts)]
     };
     dump.tasks.iter().map(row).collect()
 }
--- a/crates/thymeshift_query/src/lib.rs
+++ b/crates/thymeshift_query/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' query language over a state dump.
+//! Query language that operators use on the state dumps of entry processes.
 //!
 //! ```text
 //! show TABLE [COLUMN, …] [where CONDITION] [sort by COLUMN [desc]] [limit N]
@@ -8,31 +8,33 @@
 //! tables
 //! ```
 //!
-//! A condition compares a column with a value (`=`, `!=`, `<`, `<=`, `>`, `>=`, `like`)
-//! and joins comparisons with `and`, `or`, `not` and brackets. [`parse`] reads a line,
-//! [`tables`] makes the tables of a dump, [`Query::run`] answers from one table.
+//! A condition compares a column with a value (`=`, `!=`, `<`, `<=`, `>`, `>=`, `like`).
+//! Comparisons are combined with `and`, `or`, `not` and parentheses.
+//!
+//! [`parse`] parses a command line, [`build_table`] converts state dumps to a table, and
+//! [`Query::run`] evaluates a query on a table.
 
 mod ast;
+mod dump_tables;
+mod error;
 mod evaluate;
 mod lexer;
-mod mistake;
 mod parser;
 mod render;
 mod table;
-mod tables;
 
 pub use ast::Command;
 pub use ast::Comparison;
+pub use ast::ComparisonOperator;
 pub use ast::Condition;
 pub use ast::Direction;
 pub use ast::Query;
-pub use ast::Relation;
 pub use ast::Sort;
-pub use mistake::QueryMistake;
+pub use dump_tables::build_table;
+pub use error::ParseError;
 pub use parser::parse;
 pub use render::to_json;
 pub use render::to_text;
 pub use table::Cell;
 pub use table::Table;
 pub use table::TableName;
-pub use tables::tables;
