--- a/crates/thymeshift_lab/src/replay/backoffs.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs.rs
@@ -1,79 +1,81 @@
-//! Targets that refuse and ask for backoffs, over many processes: how many requests reach them all the
-//! same, and what callers get.
+//! Simulation of targets that refuse requests and ask for backoffs, with many processes: how many
+//! requests reach the targets during the backoffs, and how many calls fail.
 
-mod day;
-mod judge;
+mod evaluation;
 mod policy;
+mod scenario;
 
 use std::fmt;
 use std::fmt::Write;
 
 use thymeshift_config::Mistakes;
 
-use crate::replay::backoffs::day::BackoffDay;
-use crate::replay::fleet::Trouble;
-use crate::replay::fleet::VirtualFleet;
+use crate::replay::backoffs::scenario::BackoffScenario;
+use crate::replay::fleet::FleetFault;
+use crate::replay::fleet::SimulatedFleet;
 
 pub use policy::BackoffPolicy;
 
-/// What happens on a day. Targets refuse from second 4 to second 16.
+/// Load, refusals and fault of a simulated day. Targets start to refuse requests at second 4.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackoffPattern {
-    /// What it is called in tables.
+    /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// Targets that refuse, of seven.
-    pub refusing: usize,
-    /// For how long they refuse, in milliseconds.
+    /// Number of targets that refuse requests, out of seven.
+    pub refusing_targets: usize,
+    /// Time for which the targets refuse requests, in milliseconds.
     pub refusing_ms: u64,
-    /// The backoff that they ask for, in milliseconds.
+    /// Backoff that a refusal asks for, in milliseconds.
     pub backoff_ms: u64,
-    /// Whether they refuse some processes only: every fourth.
+    /// Whether the targets refuse only the requests of every fourth process.
     pub is_partial: bool,
-    /// Calls a second at all processes together.
+    /// Rate of calls over all processes, per second.
     pub calls_per_s: f64,
-    /// What strikes in seconds 10 to 16.
-    pub trouble: Trouble,
+    /// Fault that is injected between second 10 and second 16.
+    pub fault: FleetFault,
 }
 
-/// What came of a pattern, over all days.
+/// Result of a pattern with a policy, over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct BackoffResult {
-    /// Most requests of one process that reached a target between half a second after it had asked
-    /// that process for a backoff and its end.
-    pub worst_backoff: usize,
-    /// Requests that were refused by targets.
+    /// Maximum number of requests of one process that reached a target during a backoff that the
+    /// target had asked that process for. The first 500 ms of the backoff are not counted.
+    pub requests_in_backoff_max: usize,
+    /// Number of requests that targets refused.
     pub refusals: usize,
-    /// Calls.
+    /// Number of calls.
     pub calls: usize,
-    /// Those that were not served.
+    /// Number of calls that were not served.
     pub failed: usize,
-    /// Those among them that a target had refused last.
-    pub failed_at_target: usize,
-    /// Most requests in a second at a target that has just stopped refusing, in even shares.
-    pub rush: f64,
-    /// Requests at targets in the second second after they have stopped refusing, in even shares; in
-    /// the mean.
-    pub back: f64,
-    /// Messages between processes.
+    /// Number of failed calls whose last attempt was refused by a target.
+    pub refused_by_target: usize,
+    /// Maximum number of requests in one second at a target that has just stopped refusing, as a
+    /// multiple of an even share of the calls.
+    pub recovery_peak: f64,
+    /// Mean number of requests at a target from one to two seconds after it stopped refusing, as a
+    /// multiple of an even share of the calls.
+    pub recovery_load: f64,
+    /// Number of messages between processes.
     pub messages: usize,
     days: usize,
 }
 
 impl BackoffResult {
-    /// Part of the calls that was not served.
+    /// Returns the share of the calls that was not served.
     pub fn failed_share(&self) -> f64 {
         self.failed as f64 / self.calls.max(1) as f64
     }
 
     fn add(&mut self, day: &Self) {
         let days = self.days as f64;
-        self.back = (self.back * days + day.back) / (days + 1.0);
-        self.worst_backoff = self.worst_backoff.max(day.worst_backoff);
-        self.rush = self.rush.max(day.rush);
+        self.recovery_load = (self.recovery_load * days + day.recovery_load) / (days + 1.0);
+        self.requests_in_backoff_max =
+            self.requests_in_backoff_max.max(day.requests_in_backoff_max);
+        self.recovery_peak = self.recovery_peak.max(day.recovery_peak);
         self.refusals += day.refusals;
         self.calls += day.calls;
         self.failed += day.failed;
-        self.failed_at_target += day.failed_at_target;
+        self.refused_by_target += day.refused_by_target;
         self.messages += day.messages;
         self.days += 1;
     }
@@ -86,16 +88,16 @@
         write!(
             f,
             "{:>7} {per_day:>9.0} {:>8.4} {:>9} {:>6.2} {:>6.2} {messages:>9.2}",
-            self.worst_backoff,
+            self.requests_in_backoff_max,
             self.failed_share(),
-            self.failed_at_target,
-            self.rush,
-            self.back
+            self.refused_by_target,
+            self.recovery_peak,
+            self.recovery_load
         )
     }
 }
 
-/// Plays a pattern on `days` seeds with so many processes.
+/// Simulates `days` days of a pattern with a policy and `processes` processes, one per seed from 0.
 pub fn replay_backoffs(
     pattern: &BackoffPattern,
     policy: BackoffPolicy,
@@ -104,14 +106,14 @@
 ) -> Result<BackoffResult, Mistakes> {
     let mut result = BackoffResult::default();
     for seed in 0..days {
-        let day = BackoffDay::new(*pattern, policy);
-        let (day, messages) = VirtualFleet::new(day, processes, seed)?.play();
-        result.add(&day.result(messages));
+        let scenario = BackoffScenario::new(*pattern, policy);
+        let (scenario, messages) = SimulatedFleet::new(scenario, processes, seed)?.run();
+        result.add(&scenario.result(messages));
     }
     Ok(result)
 }
 
-/// A table of patterns by policies and numbers of processes.
+/// Simulates all patterns with all policies and several fleet sizes and returns a text table.
 pub fn backoff_table(days: u64) -> Result<String, Mistakes> {
     let mut text = String::new();
     let columns = "processes backoff refusals/day failed at-target rush   back messages/call";
@@ -128,33 +130,38 @@
 }
 
 impl BackoffPattern {
-    /// Two targets of seven refuse each request for nine seconds.
-    pub const TWO: Self = Self {
+    /// Pattern in which two of seven targets refuse each request for nine seconds.
+    pub const TWO_REFUSING: Self = Self {
         name: "two",
-        refusing: 2,
+        refusing_targets: 2,
         refusing_ms: 9_000,
         backoff_ms: 3_000,
         is_partial: false,
         calls_per_s: 72.0,
-        trouble: Trouble::None,
+        fault: FleetFault::None,
     };
-    /// The same at two thirds of what all targets can do.
-    pub const BUSY: Self =
-        Self { name: "busy", refusing: 4, refusing_ms: 500, calls_per_s: 600.0, ..Self::TWO };
-    /// All patterns.
+    /// Pattern in which four targets refuse for 0.5 s, at two thirds of the total capacity.
+    pub const BUSY: Self = Self {
+        name: "busy",
+        refusing_targets: 4,
+        refusing_ms: 500,
+        calls_per_s: 600.0,
+        ..Self::TWO_REFUSING
+    };
+    /// Patterns of the result table.
     pub const ALL: [Self; 15] = [
-        Self { name: "one", refusing: 1, ..Self::TWO },
-        Self::TWO,
-        Self { name: "two, 0.2 s", backoff_ms: 200, ..Self::TWO },
-        Self { name: "two, 1 s", backoff_ms: 1_000, ..Self::TWO },
-        Self { name: "two, 30 s", backoff_ms: 30_000, ..Self::TWO },
-        Self { name: "two for a moment", refusing_ms: 100, ..Self::TWO },
-        Self { name: "two, some processes", is_partial: true, ..Self::TWO },
-        Self { name: "four", refusing: 4, ..Self::TWO },
-        Self { name: "all", refusing: 7, ..Self::TWO },
-        Self { name: "two, first killed", trouble: Trouble::FirstKilled, ..Self::TWO },
-        Self { name: "two, third cut off", trouble: Trouble::CutOff, ..Self::TWO },
-        Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO },
+        Self { name: "one", refusing_targets: 1, ..Self::TWO_REFUSING },
+        Self::TWO_REFUSING,
+        Self { name: "two, 0.2 s", backoff_ms: 200, ..Self::TWO_REFUSING },
+        Self { name: "two, 1 s", backoff_ms: 1_000, ..Self::TWO_REFUSING },
+        Self { name: "two, 30 s", backoff_ms: 30_000, ..Self::TWO_REFUSING },
+        Self { name: "two for a moment", refusing_ms: 100, ..Self::TWO_REFUSING },
+        Self { name: "two, some processes", is_partial: true, ..Self::TWO_REFUSING },
+        Self { name: "four", refusing_targets: 4, ..Self::TWO_REFUSING },
+        Self { name: "all", refusing_targets: 7, ..Self::TWO_REFUSING },
+        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO_REFUSING },
+        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_REFUSING },
+        Self { name: "two, 400 calls", calls_per_s: 400.0, ..Self::TWO_REFUSING },
         Self::BUSY,
         Self { name: "busy, for a moment", refusing_ms: 50, ..Self::BUSY },
         Self { name: "busy, some processes", is_partial: true, ..Self::BUSY },
--- a/crates/thymeshift_lab/src/replay/quotas/policy.rs
+++ b/crates/thymeshift_lab/src/replay/quotas/policy.rs
@@ -1,35 +1,37 @@
-//! Policies of keeping a limit over many processes.
+//! Policies that enforce an organisation's limit over many processes.
 
 use derive_more::Display;
 
-/// A policy of keeping the limit.
+/// Policy that enforces an organisation's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum QuotaPolicy {
-    /// What the product does: one process counts, the others hold tokens.
+    /// Policy of the load balancer: one process counts requests and grants tokens to the others.
     #[display("counted")]
     Counted,
-    /// The same, where each process that is asked in the counter's place hands out the whole limit.
+    /// One process counts the requests; a process that replaces it also grants the full limit.
     #[display("each counter whole")]
-    EachWhole,
-    /// Each process admits an equal part.
+    EachFullLimit,
+    /// Each process enforces an equal share of the limit.
     #[display("equal parts")]
     EqualParts,
-    /// Each process tells all others its demand four times a second, and admits its part of what
-    /// it heard.
+    /// Each process reports its demand to all others four times per second, and enforces a share of
+    /// the limit in proportion to its part of the reported demand.
     #[display("parts by demand")]
     PartsByDemand,
 }
 
 impl QuotaPolicy {
-    /// The policies that are compared.
+    /// Policies of the result table.
     pub const ALL: [Self; 4] =
-        [Self::Counted, Self::EachWhole, Self::EqualParts, Self::PartsByDemand];
+        [Self::Counted, Self::EachFullLimit, Self::EqualParts, Self::PartsByDemand];
 
-    /// Numbers of processes that it is played with. Where all tell all, a day of 300 is four
-    /// million messages, and one of 1,000 is not worth its time.
+    /// Returns the fleet sizes to simulate.
+    ///
+    /// `PartsByDemand` stops at 117 processes, because each process sends messages to all others.
+    /// One day with 300 processes takes four million messages; a day with 1,000 takes too long.
     pub(super) fn sizes(self) -> &'static [usize] {
         match self {
-            Self::Counted | Self::EachWhole | Self::EqualParts => &[3, 30, 117, 300, 1_000],
+            Self::Counted | Self::EachFullLimit | Self::EqualParts => &[3, 30, 117, 300, 1_000],
             Self::PartsByDemand => &[3, 30, 117],
         }
     }
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use thymeshift_config::Configuration;
 use thymeshift_lab::http_client::ask;
-use thymeshift_lab::standin::Running;
+use thymeshift_lab::standin::ServerHandle;
 use thymeshift_lab::standin::Target;
 use thymeshift_lab::standin::TargetSettings;
 use thymeshift_lab::standin::expected_answer;
@@ -26,7 +26,7 @@
 /// A target within the test.
 pub(crate) struct Standing {
     pub(crate) target: Arc<Target>,
-    pub(crate) ports: Running,
+    pub(crate) ports: ServerHandle,
 }
 
 /// A port at which connections are refused for as long as this lives. A port that is merely
@@ -53,7 +53,8 @@
 
 /// A target that needs 1 ms for each request.
 pub(crate) async fn quick_target() -> Standing {
-    let settings = TargetSettings { service_us: 1_000, is_random: false, ..Default::default() };
+    let settings =
+        TargetSettings { service_us: 1_000, has_random_service_time: false, ..Default::default() };
     target(settings).await
 }
 
