--- a/crates/thymeshift_lab/src/experiment/judge.rs
+++ b/crates/thymeshift_lab/src/experiment/judge.rs
@@ -6,7 +6,7 @@
 use thymeshift_types::Outcome;
 
 use crate::load::LoadResult;
-use crate::load::Told;
+use crate::load::CallResult;
 use crate::standin::LedgerEntry;
 
 /// Violations of the promises, counted. All must be 0.
@@ -62,10 +62,10 @@
             let (begun, finished) = entries.fold((0, 0), |(begun, finished), entry| {
                 (begun + entry.begun, finished + entry.finished)
             });
-            let is_not_run = *told == Told::Outcome(Outcome::NotRun);
+            let is_not_run = *told == CallResult::Outcome(Outcome::NotRun);
             judgement.ran_although_not_run += u64::from(is_not_run && begun > 0);
             judgement.unsafe_run_twice += u64::from(is_unsafe && begun > 1);
-            judgement.answered_without_run += u64::from(*told == Told::Answered && finished == 0);
+            judgement.answered_without_run += u64::from(*told == CallResult::Answered && finished == 0);
         }
     }
     judgement
--- a/crates/thymeshift_lab/src/load/caller.rs
+++ b/crates/thymeshift_lab/src/load/caller.rs
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 
 use crate::load::KindLoad;
-use crate::load::Told;
+use crate::load::CallResult;
 use crate::standin::CALLED_PROCESS;
 use crate::standin::expected_answer;
 
@@ -68,7 +68,7 @@
     }
 
     /// Sends a request and says what the caller was told.
-    pub(crate) async fn call(&self, entry: SocketAddr, kind: &KindLoad, nonce: &str) -> Told {
+    pub(crate) async fn call(&self, entry: SocketAddr, kind: &KindLoad, nonce: &str) -> CallResult {
         let path = format!("{}?nonce={nonce}&bytes={}", kind.path, kind.answer_bytes);
         let body = Bytes::from(vec![b'x'; kind.request_bytes]);
         let request = Request::builder()
@@ -78,7 +78,7 @@
             .header(CALLED_PROCESS, entry.to_string())
             .body(Full::new(body.clone()));
         let Ok(request) = request else {
-            return Told::Nothing;
+            return CallResult::Nothing;
         };
         if !self.one_way.is_zero() {
             sleep(self.one_way).await;
@@ -87,7 +87,7 @@
         if !self.one_way.is_zero() {
             sleep(self.one_way).await;
         }
-        told.unwrap_or(Told::Nothing)
+        told.unwrap_or(CallResult::Nothing)
     }
 
     async fn exchange(
@@ -97,7 +97,7 @@
         kind: &KindLoad,
         path: &str,
         body: &[u8],
-    ) -> Option<Told> {
+    ) -> Option<CallResult> {
         let link = self.link(entry);
         let _place = link.places.acquire().await.ok()?;
         let mut sender = link.sender(entry).await?;
@@ -107,20 +107,20 @@
         if let Some(outcome) = parts.headers.get(headers::OUTCOME) {
             link.put_back(sender);
             return Some(match outcome.to_str().ok()? {
-                "not_run" => Told::Outcome(Outcome::NotRun),
-                "unknown" => Told::Outcome(Outcome::Unknown),
-                _ => Told::Outcome(Outcome::Failed),
+                "not_run" => CallResult::Outcome(Outcome::NotRun),
+                "unknown" => CallResult::Outcome(Outcome::Unknown),
+                _ => CallResult::Outcome(Outcome::Failed),
             });
         }
         let Ok(collected) = collected else {
-            return Some(Told::BrokenAnswer);
+            return Some(CallResult::BrokenAnswer);
         };
         link.put_back(sender);
         if !parts.status.is_success() {
-            return Some(Told::TargetError);
+            return Some(CallResult::TargetError);
         }
         let is_own = collected.to_bytes() == expected_answer(path, body, kind.answer_bytes);
-        Some(if is_own { Told::Answered } else { Told::WrongAnswer })
+        Some(if is_own { CallResult::Answered } else { CallResult::WrongAnswer })
     }
 }
 
--- a/crates/thymeshift_lab/src/load/closed.rs
+++ b/crates/thymeshift_lab/src/load/closed.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 
 use crate::load::KindLoad;
-use crate::load::Told;
+use crate::load::CallResult;
 use crate::load::caller::Callers;
 
 /// Complete answers within `duration` over `connections` connections.
@@ -29,7 +29,7 @@
         let (answered, callers, kind) = (answered.clone(), callers.clone(), kind.clone());
         loops.spawn(async move {
             while Instant::now() < end {
-                if callers.call(address, &kind, "0").await == Told::Answered {
+                if callers.call(address, &kind, "0").await == CallResult::Answered {
                     answered.fetch_add(1, Ordering::Relaxed);
                 }
             }
--- a/crates/thymeshift_lab/src/load/mod.rs
+++ b/crates/thymeshift_lab/src/load/mod.rs
@@ -21,5 +21,5 @@
 pub use plot::draw;
 pub use result::KindResult;
 pub use result::LoadResult;
-pub use result::Told;
+pub use result::CallResult;
 pub use run::run;
--- a/crates/thymeshift_lab/src/load/result.rs
+++ b/crates/thymeshift_lab/src/load/result.rs
@@ -16,7 +16,7 @@
 
 /// What a caller was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum CallResult {
     /// The complete answer to its own request.
     Answered,
     /// A failure with an outcome.
@@ -57,7 +57,7 @@
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
     /// What each request was told, by its nonce.
-    pub told: BTreeMap<String, Told>,
+    pub told: BTreeMap<String, CallResult>,
 }
 
 impl KindResult {
@@ -81,24 +81,24 @@
     }
 
     /// Takes in what became of the request with this nonce.
-    pub fn record(&mut self, nonce: String, told: Told, taken: Duration, in_time_ms: u64) {
+    pub fn record(&mut self, nonce: String, told: CallResult, taken: Duration, in_time_ms: u64) {
         self.sent += 1;
         let taken_us = (taken.as_micros() as u64).clamp(1, LATENCY_US_MAX);
         match told {
-            Told::Answered => {
+            CallResult::Answered => {
                 self.answered += 1;
                 self.in_time += u64::from(taken.as_millis() as u64 <= in_time_ms);
                 self.latency_us.saturating_record(taken_us);
             }
-            Told::Outcome(Outcome::NotRun) => {
+            CallResult::Outcome(Outcome::NotRun) => {
                 self.not_run += 1;
                 self.refusal_us.saturating_record(taken_us);
             }
-            Told::Outcome(Outcome::Unknown) => self.unknown += 1,
-            Told::Outcome(Outcome::Failed) | Told::TargetError => self.failed += 1,
-            Told::BrokenAnswer => self.broken += 1,
-            Told::WrongAnswer => self.wrong += 1,
-            Told::Nothing => self.nothing += 1,
+            CallResult::Outcome(Outcome::Unknown) => self.unknown += 1,
+            CallResult::Outcome(Outcome::Failed) | CallResult::TargetError => self.failed += 1,
+            CallResult::BrokenAnswer => self.broken += 1,
+            CallResult::WrongAnswer => self.wrong += 1,
+            CallResult::Nothing => self.nothing += 1,
         }
         self.told.insert(nonce, told);
     }
--- a/crates/thymeshift_lab/src/load/run.rs
+++ b/crates/thymeshift_lab/src/load/run.rs
@@ -13,7 +13,7 @@
 use crate::load::KindResult;
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
-use crate::load::Told;
+use crate::load::CallResult;
 use crate::load::arrivals::Arrival;
 use crate::load::arrivals::arrivals;
 use crate::load::caller::Callers;
@@ -84,7 +84,7 @@
         };
         let nonce = format!("{}-{number}", plan.seed);
         let called = timeout(CALL_LIMIT, callers.call(entry, kind, &nonce)).await;
-        let told = called.unwrap_or(Told::Nothing);
+        let told = called.unwrap_or(CallResult::Nothing);
         let taken = due_at.elapsed();
         results.lock()[arrival.kind].record(nonce, told, taken, kind.in_time_ms);
     }
--- a/crates/thymeshift_lab/tests/soak.rs
+++ b/crates/thymeshift_lab/tests/soak.rs
@@ -13,7 +13,7 @@
 use thymeshift_lab::experiment::tariff_configuration;
 use thymeshift_lab::load::KindResult;
 use thymeshift_lab::load::LoadResult;
-use thymeshift_lab::load::Told;
+use thymeshift_lab::load::CallResult;
 use thymeshift_lab::standin::Proxy;
 use thymeshift_lab::standin::ProxyMode;
 use thymeshift_types::Outcome;
@@ -67,9 +67,9 @@
 fn results(name: &str, answered: usize, not_run: usize, unknown: usize) -> KindResult {
     let mut kind = KindResult::new(name);
     let told = [
-        (Told::Answered, answered),
-        (Told::Outcome(Outcome::NotRun), not_run),
-        (Told::Outcome(Outcome::Unknown), unknown),
+        (CallResult::Answered, answered),
+        (CallResult::Outcome(Outcome::NotRun), not_run),
+        (CallResult::Outcome(Outcome::Unknown), unknown),
     ];
     for (told, count) in told {
         for _ in 0..count {
