--- a/crates/thymeshift_lab/src/arguments.rs
+++ b/crates/thymeshift_lab/src/arguments.rs
@@ -12,7 +12,7 @@
 use thymeshift_lab::experiment::ConfigurationSize;
 use thymeshift_lab::experiment::Scenario;
 use thymeshift_lab::experiment::ScenarioPlan;
-use thymeshift_lab::load::Entries;
+use thymeshift_lab::load::EntryAddresses;
 use thymeshift_lab::load::KindLoad;
 use thymeshift_lab::load::LoadPlan;
 use thymeshift_lab::standin::TargetSettings;
@@ -151,7 +151,7 @@
     let mut json = false;
     let mut entries = Vec::new();
     let mut plan = LoadPlan {
-        entries: Entries::default(),
+        entries: EntryAddresses::default(),
         kinds: Vec::new(),
         duration: Duration::from_secs(5),
         seed: 1,
--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -14,7 +14,7 @@
 use crate::experiment::judge::Judgement;
 use crate::experiment::judge::judge;
 use crate::load;
-use crate::load::Entries;
+use crate::load::EntryAddresses;
 use crate::load::KindLoad;
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
@@ -83,7 +83,7 @@
     let plan = FleetPlan { worker_threads: 2, ..tariff_plan(PathBuf::from(folder), entries)? };
     let fleet = Fleet::start(plan).await?;
     let load = LoadPlan {
-        entries: Entries::new(fleet.caller_addresses()?),
+        entries: EntryAddresses::new(fleet.caller_addresses()?),
         kinds: tariff_load(1.0),
         duration,
         seed: 1,
--- a/crates/thymeshift_lab/src/experiment/path_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/path_cost.rs
@@ -18,7 +18,7 @@
 use crate::experiment::fleet::FleetPlan;
 use crate::experiment::single::TempFolder;
 use crate::experiment::usage::usage;
-use crate::load::Entries;
+use crate::load::EntryAddresses;
 use crate::load::KindLoad;
 use crate::load::KindResult;
 use crate::load::LoadPlan;
@@ -155,7 +155,7 @@
 async fn open_loop(address: SocketAddr, rate_per_s: f64, duration: Duration) -> KindResult {
     let kinds = vec![kind(rate_per_s)];
     let plan = LoadPlan {
-        entries: Entries::new(vec![address]),
+        entries: EntryAddresses::new(vec![address]),
         kinds,
         duration,
         seed: 7,
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -19,7 +19,7 @@
 use crate::experiment::judge::Judgement;
 use crate::experiment::judge::judge;
 use crate::load;
-use crate::load::Entries;
+use crate::load::EntryAddresses;
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
 use crate::standin::PlatformMode;
@@ -85,7 +85,7 @@
     let before_silence = publish(&mut fleet, 2).await?;
     fleet.set_platform(PlatformMode::Silent).await?;
     let replaced = entries * 2 / 3;
-    let balancer = Entries::new(fleet.caller_addresses()?);
+    let balancer = EntryAddresses::new(fleet.caller_addresses()?);
     let load = LoadPlan {
         entries: balancer.clone(),
         kinds: tariff_load(0.5),
@@ -118,7 +118,7 @@
 
 /// Replaces the oldest processes one by one. Returns the lowest revision that a new one had
 /// in force when it was ready.
-async fn replace(fleet: &mut Fleet, balancer: &Entries, count: usize) -> Result<u64, FleetError> {
+async fn replace(fleet: &mut Fleet, balancer: &EntryAddresses, count: usize) -> Result<u64, FleetError> {
     let mut lowest = u64::MAX;
     for _ in 0..count {
         let fresh = fleet.start_entry().await?;
--- a/crates/thymeshift_lab/src/experiment/scenarios.rs
+++ b/crates/thymeshift_lab/src/experiment/scenarios.rs
@@ -16,7 +16,7 @@
 use crate::experiment::scenario::Scenario;
 use crate::experiment::scenario_row::Row;
 use crate::load;
-use crate::load::Entries;
+use crate::load::EntryAddresses;
 use crate::load::KindLoad;
 use crate::load::KindResult;
 use crate::load::LoadPlan;
@@ -118,7 +118,7 @@
         let rate = capacity * run.scenario.capacity() * run.load_percent as f64 / 100.0;
         let load = |duration, seed| -> Result<LoadPlan, FleetError> {
             Ok(LoadPlan {
-                entries: Entries::new(self.fleet.caller_addresses()?),
+                entries: EntryAddresses::new(self.fleet.caller_addresses()?),
                 kinds: vec![lookup(rate)],
                 duration,
                 seed,
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -46,7 +46,7 @@
 use crate::experiment::soak_statement::draw_statements;
 use crate::experiment::soak_statement::end_refusals;
 use crate::load;
-use crate::load::Entries;
+use crate::load::EntryAddresses;
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
 use crate::standin::Behaviour;
@@ -172,7 +172,7 @@
     begin_statements(&fleet, &statements).await?;
     let needs = draw_needs(seed, fleet.targets.len());
     begin_needs(&fleet, &needs).await?;
-    let balancer = Entries::new(fleet.caller_addresses()?);
+    let balancer = EntryAddresses::new(fleet.caller_addresses()?);
     let mut revision = 1;
     let watched = Arc::new(Watched::default());
     let (result, played) = tokio::join!(
@@ -205,7 +205,7 @@
     })
 }
 
-fn load_plan(balancer: &Entries, duration: Duration, seed: u64) -> LoadPlan {
+fn load_plan(balancer: &EntryAddresses, duration: Duration, seed: u64) -> LoadPlan {
     LoadPlan {
         entries: balancer.clone(),
         kinds: tariff_load(LOAD_SHARE),
@@ -276,7 +276,7 @@
 async fn play(
     fleet: &mut Fleet,
     proxy: &Proxy,
-    balancer: &Entries,
+    balancer: &EntryAddresses,
     faults: &[Timed],
     revision: &mut u64,
     watched: &Watched,
@@ -315,7 +315,7 @@
 async fn begin_fault(
     fleet: &mut Fleet,
     proxy: &Proxy,
-    balancer: &Entries,
+    balancer: &EntryAddresses,
     fault: SoakFault,
     revision: &mut u64,
 ) -> Result<Option<Duration>, FleetError> {
--- a/crates/thymeshift_lab/src/load/mod.rs
+++ b/crates/thymeshift_lab/src/load/mod.rs
@@ -12,7 +12,7 @@
 
 pub use arrivals::arrival_times;
 pub use closed::run_closed;
-pub use plan::Entries;
+pub use plan::EntryAddresses;
 pub use plan::KindLoad;
 pub use plan::LoadPlan;
 pub use plan::PlanError;
--- a/crates/thymeshift_lab/src/load/plan.rs
+++ b/crates/thymeshift_lab/src/load/plan.rs
@@ -62,9 +62,9 @@
 
 /// The entry processes that the platform's balancer knows; may change under load.
 #[derive(Debug, Clone, Default)]
-pub struct Entries(Arc<RwLock<Vec<SocketAddr>>>);
+pub struct EntryAddresses(Arc<RwLock<Vec<SocketAddr>>>);
 
-impl Entries {
+impl EntryAddresses {
     /// These entry processes.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         Self(Arc::new(RwLock::new(addresses)))
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
     /// Where to send; requests go to them in turn, as from the platform's balancer.
-    pub entries: Entries,
+    pub entries: EntryAddresses,
     /// The kinds.
     pub kinds: Vec<KindLoad>,
     /// For how long.
