--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -58,7 +58,7 @@
 pub use scenarios::scenarios;
 pub use single::Single;
 pub use single::TempFolder;
-pub use soak::Soak;
+pub use soak::SoakReport;
 pub use soak::SoakPlan;
 pub use soak::soak;
 pub use soak_fault::SoakFault;
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -88,7 +88,7 @@
 }
 
 /// What a seed showed.
-pub struct Soak {
+pub struct SoakReport {
     seed: u64,
     faults: Vec<Timed>,
     result: LoadResult,
@@ -108,7 +108,7 @@
     closing: ClosingLoad,
 }
 
-impl Soak {
+impl SoakReport {
     /// Whether every promise held.
     pub fn is_clean(&self) -> bool {
         self.judgement.is_clean()
@@ -122,7 +122,7 @@
     }
 }
 
-impl fmt::Display for Soak {
+impl fmt::Display for SoakReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let verdict = if self.is_clean() { "clean" } else { "RED" };
         let sent: u64 = self.result.kinds.iter().map(|kind| kind.sent).sum();
@@ -155,7 +155,7 @@
 }
 
 /// Runs one seed.
-pub async fn soak(plan: SoakPlan) -> Result<Soak, FleetError> {
+pub async fn soak(plan: SoakPlan) -> Result<SoakReport, FleetError> {
     let SoakPlan { seed, entries, duration, folder } = plan;
     let mut rng = SmallRng::seed_from_u64(seed);
     let is_gentle = seed.is_multiple_of(GENTLE_EVERY);
@@ -191,7 +191,7 @@
     let pressure = processor_time(&fleet)?.pressure_since(before);
     let closing = ClosingLoad::new(result_after, &fleet.configuration.kinds, pressure);
     let lost = result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
-    Ok(Soak {
+    Ok(SoakReport {
         seed,
         judgement,
         reverted: watched.reverted(),
