--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -24,7 +24,7 @@
 const QUANTILES: [f64; 11] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.99, 0.999];
 
 /// What the demo shows.
-pub struct Demo {
+pub struct DemoReport {
     /// What callers saw.
     pub result: LoadResult,
     /// What the judge says.
@@ -79,7 +79,7 @@
 }
 
 /// Runs the demo.
-pub async fn demo(folder: &Path, entries: usize, duration: Duration) -> Result<Demo, FleetError> {
+pub async fn demo(folder: &Path, entries: usize, duration: Duration) -> Result<DemoReport, FleetError> {
     let plan = FleetPlan { worker_threads: 2, ..tariff_plan(PathBuf::from(folder), entries)? };
     let fleet = Fleet::start(plan).await?;
     let load = LoadPlan {
@@ -98,7 +98,7 @@
     let judgement = judge(&result, &ledgers, &["contract-switch"]);
     std::fs::write(folder.join("demo.json"), result.to_json().to_string())?;
     plot(&result, &folder.join("demo.svg"));
-    Ok(Demo { result, judgement })
+    Ok(DemoReport { result, judgement })
 }
 
 fn plot(result: &LoadResult, path: &Path) {
--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -31,7 +31,7 @@
 pub use control_cost::control_cost;
 pub use decision_cost::DecisionCost;
 pub use decision_cost::decision_cost;
-pub use demo::Demo;
+pub use demo::DemoReport;
 pub use demo::demo;
 pub use demo::tariff_configuration;
 pub use demo::tariff_load;
