--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -48,7 +48,7 @@
 pub use path_cost::PathCost;
 pub use path_cost::path_cost;
 pub use pressure::ProcessorTime;
-pub use recovery::Recovery;
+pub use recovery::RecoveryReport;
 pub use recovery::recovery;
 pub use rounds::RoundsError;
 pub use rounds::rounds;
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -36,7 +36,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// What the run showed.
-pub struct Recovery {
+pub struct RecoveryReport {
     before_silence: Duration,
     after_silence: Duration,
     replaced: usize,
@@ -47,7 +47,7 @@
     pub judgement: Judgement,
 }
 
-impl Recovery {
+impl RecoveryReport {
     /// Whether nothing was lost.
     pub fn is_clean(&self) -> bool {
         let lost: u64 = self.result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
@@ -55,7 +55,7 @@
     }
 }
 
-impl fmt::Display for Recovery {
+impl fmt::Display for RecoveryReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |duration: Duration| duration.as_millis();
         writeln!(
@@ -79,7 +79,7 @@
 }
 
 /// Runs it with `entries` processes.
-pub async fn recovery(folder: PathBuf, entries: usize) -> Result<Recovery, FleetError> {
+pub async fn recovery(folder: PathBuf, entries: usize) -> Result<RecoveryReport, FleetError> {
     let plan = tariff_plan(folder, entries)?;
     let mut fleet = Fleet::start(plan).await?;
     let before_silence = publish(&mut fleet, 2).await?;
@@ -105,7 +105,7 @@
     }
     let judgement = judge(&result, &ledgers, &["contract-switch"]);
     let platform_calls = fleet.platform_calls().await?;
-    Ok(Recovery {
+    Ok(RecoveryReport {
         before_silence,
         after_silence,
         replaced,
