--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -53,7 +53,7 @@
 pub use rounds::RoundsError;
 pub use rounds::rounds;
 pub use scenario::Scenario;
-pub use scenario_row::Row;
+pub use scenario_row::ScenarioRow;
 pub use scenarios::ScenarioPlan;
 pub use scenarios::scenarios;
 pub use single::Single;
--- a/crates/thymeshift_lab/src/experiment/scenario_row.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario_row.rs
@@ -10,7 +10,7 @@
 use crate::load::KindResult;
 
 /// One run.
-pub struct Row {
+pub struct ScenarioRow {
     pub(crate) scenario: Scenario,
     pub(crate) load_percent: u64,
     pub(crate) strategy: StrategyName,
@@ -23,7 +23,7 @@
     pub(crate) waited: u64,
 }
 
-impl Row {
+impl ScenarioRow {
     /// The row for programs.
     pub fn to_json(&self) -> Value {
         let kind = &self.kind;
@@ -67,7 +67,7 @@
     }
 }
 
-impl fmt::Display for Row {
+impl fmt::Display for ScenarioRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = &self.kind;
         let ms = |us: u64| us as f64 / 1_000.0;
--- a/crates/thymeshift_lab/src/experiment/scenarios.rs
+++ b/crates/thymeshift_lab/src/experiment/scenarios.rs
@@ -14,7 +14,7 @@
 use crate::experiment::fleet::dump;
 use crate::experiment::ideal::IdealQueue;
 use crate::experiment::scenario::Scenario;
-use crate::experiment::scenario_row::Row;
+use crate::experiment::scenario_row::ScenarioRow;
 use crate::load;
 use crate::load::EntryAddresses;
 use crate::load::KindLoad;
@@ -65,7 +65,7 @@
 /// Runs the plan; `on_row` hears each row as it is measured.
 pub async fn scenarios(
     plan: &ScenarioPlan,
-    mut on_row: impl FnMut(&Row),
+    mut on_row: impl FnMut(&ScenarioRow),
 ) -> Result<(), FleetError> {
     let fleet_plan = FleetPlan {
         configuration: configuration(plan)?,
@@ -111,7 +111,7 @@
 }
 
 impl Lab {
-    async fn run(&mut self, plan: &ScenarioPlan, run: Run) -> Result<Row, FleetError> {
+    async fn run(&mut self, plan: &ScenarioPlan, run: Run) -> Result<ScenarioRow, FleetError> {
         self.set_strategy(run.strategy).await?;
         self.behave(run.scenario, 0.0).await?;
         let capacity = (TARGETS * SLOTS) as f64 / (SERVICE_US as f64 / 1_000_000.0);
@@ -141,7 +141,7 @@
             service_us: SERVICE_US,
             way_us: 2 * (CALLER_ONE_WAY_US + TARGET_ONE_WAY_US),
         };
-        Ok(Row {
+        Ok(ScenarioRow {
             scenario: run.scenario,
             load_percent: run.load_percent,
             strategy: run.strategy,
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -13,7 +13,7 @@
 use thymeshift_lab::experiment;
 use thymeshift_lab::experiment::ConfigurationSize;
 use thymeshift_lab::experiment::ControlCost;
-use thymeshift_lab::experiment::Row;
+use thymeshift_lab::experiment::ScenarioRow;
 use thymeshift_lab::experiment::ScenarioPlan;
 use thymeshift_lab::experiment::SoakPlan;
 use thymeshift_lab::load;
@@ -138,7 +138,7 @@
 
 async fn scenarios(plan: ScenarioPlan) -> Result<ExitCode, Failure> {
     let mut rows = Vec::new();
-    println!("{}", Row::head());
+    println!("{}", ScenarioRow::head());
     let measured = experiment::scenarios(&plan, |row| {
         println!("{row}");
         rows.push(row.to_json());
