--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -62,7 +62,7 @@
 pub use soak::SoakPlan;
 pub use soak::soak;
 pub use soak_fault::SoakFault;
-pub use soak_fault::Timed;
+pub use soak_fault::TimedFault;
 pub use soak_fault::draw_faults;
 pub use usage::Usage;
 pub use usage::usage;
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -36,7 +36,7 @@
 use crate::experiment::judge::judge;
 use crate::experiment::pressure::ProcessorTime;
 use crate::experiment::soak_fault::SoakFault;
-use crate::experiment::soak_fault::Timed;
+use crate::experiment::soak_fault::TimedFault;
 use crate::experiment::soak_fault::draw_faults;
 use crate::experiment::soak_need::begin_needs;
 use crate::experiment::soak_need::draw_needs;
@@ -90,7 +90,7 @@
 /// What a seed showed.
 pub struct SoakReport {
     seed: u64,
-    faults: Vec<Timed>,
+    faults: Vec<TimedFault>,
     result: LoadResult,
     /// What the judge says of the load under faults.
     pub judgement: Judgement,
@@ -146,7 +146,7 @@
         )?;
         if !self.is_clean() {
             write!(f, "\nafter the faults:\n{}faults:", self.closing.result)?;
-            for Timed { at, fault } in &self.faults {
+            for TimedFault { at, fault } in &self.faults {
                 write!(f, "\n  {:>5} ms {fault}", at.as_millis())?;
             }
         }
@@ -277,13 +277,13 @@
     fleet: &mut Fleet,
     proxy: &Proxy,
     balancer: &EntryAddresses,
-    faults: &[Timed],
+    faults: &[TimedFault],
     revision: &mut u64,
     watched: &Watched,
 ) -> Result<(), FleetError> {
     let start = tokio::time::Instant::now();
     let mut ends: Vec<(tokio::time::Instant, SoakFault)> = Vec::new();
-    let mut due: Vec<Timed> = faults.to_vec();
+    let mut due: Vec<TimedFault> = faults.to_vec();
     due.reverse();
     while !due.is_empty() || !ends.is_empty() {
         let begins = due.last().map(|timed| start + timed.at);
@@ -292,7 +292,7 @@
         match (begins, ending) {
             (Some(begin), end) if end.is_none_or(|end| begin <= end) => {
                 sleep_until(begin).await;
-                let Some(Timed { fault, .. }) = due.pop() else { break };
+                let Some(TimedFault { fault, .. }) = due.pop() else { break };
                 if let Some(lasts) = begin_fault(fleet, proxy, balancer, fault, revision).await? {
                     ends.push((tokio::time::Instant::now() + lasts, fault));
                 }
--- a/crates/thymeshift_lab/src/experiment/soak_fault.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_fault.rs
@@ -101,7 +101,7 @@
 
 /// A fault with the moment at which it begins.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Timed {
+pub struct TimedFault {
     /// Time since the begin of the load.
     pub at: Duration,
     /// What happens.
@@ -115,7 +115,7 @@
     targets: usize,
     duration: Duration,
     is_gentle: bool,
-) -> Vec<Timed> {
+) -> Vec<TimedFault> {
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
     loop {
@@ -124,7 +124,7 @@
             return faults;
         }
         let fault = if is_gentle { planned(rng, entries) } else { any(rng, entries, targets) };
-        faults.push(Timed { at, fault });
+        faults.push(TimedFault { at, fault });
     }
 }
 
