--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -168,7 +168,7 @@
     let mut faults = draw_faults(&mut rng, entries, fleet.targets.len(), duration, is_gentle);
     let statements = draw_statements(seed, fleet.targets.len());
     // A target that is stopped reads what arrived long before.
-    faults.retain(|timed| !statements.iter().any(|said| timed.fault.is_at(said.target)));
+    faults.retain(|timed| !statements.iter().any(|said| timed.fault.affects_target(said.target)));
     begin_statements(&fleet, &statements).await?;
     let needs = draw_needs(seed, fleet.targets.len());
     begin_needs(&fleet, &needs).await?;
--- a/crates/thymeshift_lab/src/experiment/soak_fault.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_fault.rs
@@ -86,7 +86,7 @@
 
 impl SoakFault {
     /// Whether it strikes a target.
-    pub fn is_at(&self, index: usize) -> bool {
+    pub fn affects_target(&self, index: usize) -> bool {
         matches!(
             self,
             Self::Target { target, .. } | Self::PauseTarget { target, .. } if *target == index
