--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -158,14 +158,14 @@
 pub async fn soak(plan: SoakPlan) -> Result<SoakReport, FleetError> {
     let SoakPlan { seed, entries, duration, folder } = plan;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let is_gentle = seed.is_multiple_of(GENTLE_EVERY);
+    let is_planned_only = seed.is_multiple_of(GENTLE_EVERY);
     let logs = folder.clone();
     let fleet_plan = FleetPlan { seed, has_datagrams: true, ..tariff_plan(folder, entries)? };
     let mut fleet = Fleet::start(fleet_plan).await?;
     let proxy = Proxy::start(fleet.platform.address("data")?).await?;
     fleet.platform_seen_at = Some(proxy.address);
     replace_all(&mut fleet).await?;
-    let mut faults = draw_faults(&mut rng, entries, fleet.targets.len(), duration, is_gentle);
+    let mut faults = draw_faults(&mut rng, entries, fleet.targets.len(), duration, is_planned_only);
     let statements = draw_statements(seed, fleet.targets.len());
     // A target that is stopped reads what arrived long before.
     faults.retain(|timed| !statements.iter().any(|said| timed.fault.affects_target(said.target)));
@@ -197,7 +197,7 @@
         reverted: watched.reverted(),
         worst_window: worst_window(&fleet, &needs).await?,
         disregarded,
-        lost_by_planned_work: if is_gentle { lost } else { 0 },
+        lost_by_planned_work: if is_planned_only { lost } else { 0 },
         in_force_after,
         closing,
         faults,
--- a/crates/thymeshift_lab/src/experiment/soak_fault.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_fault.rs
@@ -108,13 +108,13 @@
     pub fault: SoakFault,
 }
 
-/// Draws faults for a load of `duration`; if `is_gentle`, planned work alone.
+/// Draws faults for a load of `duration`; if `is_planned_only`, planned work alone.
 pub fn draw_faults(
     rng: &mut SmallRng,
     entries: usize,
     targets: usize,
     duration: Duration,
-    is_gentle: bool,
+    is_planned_only: bool,
 ) -> Vec<TimedFault> {
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
@@ -123,7 +123,7 @@
         if at >= duration {
             return faults;
         }
-        let fault = if is_gentle { planned(rng, entries) } else { any(rng, entries, targets) };
+        let fault = if is_planned_only { planned(rng, entries) } else { any(rng, entries, targets) };
         faults.push(TimedFault { at, fault });
     }
 }
