--- a/crates/thymeshift_lab/tests/soak.rs
+++ b/crates/thymeshift_lab/tests/soak.rs
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_faults_again_and_a_gentle_one_planned_work_alone() {
+fn a_seed_draws_the_same_faults_again_and_a_planned_only_run_planned_work_alone() {
     let draw = |seed, is_planned_only| {
         draw_faults(&mut SmallRng::seed_from_u64(seed), 4, 30, Duration::from_secs(20), is_planned_only)
     };
