--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -56,7 +56,7 @@
 pub use scenario_row::ScenarioRow;
 pub use scenarios::ScenarioPlan;
 pub use scenarios::scenarios;
-pub use single::Single;
+pub use single::SingleEntry;
 pub use single::TempFolder;
 pub use soak::SoakReport;
 pub use soak::SoakPlan;
--- a/crates/thymeshift_lab/src/experiment/single.rs
+++ b/crates/thymeshift_lab/src/experiment/single.rs
@@ -46,7 +46,7 @@
 }
 
 /// One entry process and its platform.
-pub struct Single {
+pub struct SingleEntry {
     /// The platform.
     pub platform: Arc<Platform>,
     /// The entry process.
@@ -58,7 +58,7 @@
     entries: u32,
 }
 
-impl Single {
+impl SingleEntry {
     /// Starts both, publishes `configuration` as revision 1 and waits until the process
     /// is ready.
     pub async fn start(configuration: &Configuration) -> Result<Self, FleetError> {
@@ -67,7 +67,7 @@
         Ok(single)
     }
 
-    /// As [`Single::start`] without waiting.
+    /// As [`SingleEntry::start`] without waiting.
     pub async fn start_unready(configuration: &Configuration) -> Result<Self, FleetError> {
         let platform = Platform::new();
         let platform_ports = platform.start((std::net::Ipv4Addr::LOCALHOST, 0).into()).await?;
--- a/crates/thymeshift_lab/tests/bad_http.rs
+++ b/crates/thymeshift_lab/tests/bad_http.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use thymeshift_lab::experiment::Single;
+use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::http_client::send_raw;
 
 use crate::support::assert_serves;
@@ -112,7 +112,7 @@
 async fn bad_requests_are_answered_and_the_next_caller_is_served() {
     let target = quick_target().await;
     let configuration = configuration(&[target.ports.address], "", "");
-    let single = Single::start(&configuration).await.expect("an entry process");
+    let single = SingleEntry::start(&configuration).await.expect("an entry process");
     let caller = single.entry.address("caller").expect("an address");
     for case in cases() {
         let answer = send_raw(caller, &case.bytes, LIMIT).await.expect(case.name);
--- a/crates/thymeshift_lab/tests/fleet.rs
+++ b/crates/thymeshift_lab/tests/fleet.rs
@@ -11,7 +11,7 @@
 use thymeshift_fleet::OrderChange;
 use thymeshift_fleet::OrderSubject;
 use thymeshift_lab::experiment::Child;
-use thymeshift_lab::experiment::Single;
+use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::experiment::dump;
 use thymeshift_lab::experiment::sibling_program;
 use thymeshift_lab::experiment::wait_ready;
@@ -34,18 +34,18 @@
 
 /// Two entry processes that know each other.
 struct Pair {
-    single: Single,
+    single: SingleEntry,
     second: Child,
 }
 
 async fn pair(configuration: &Configuration) -> Pair {
-    let mut single = Single::start(configuration).await.expect("a process");
+    let mut single = SingleEntry::start(configuration).await.expect("a process");
     let second = beside(&mut single).await;
     wait_ready(&second).await.expect("ready");
     Pair { single, second }
 }
 
-async fn beside(single: &mut Single) -> Child {
+async fn beside(single: &mut SingleEntry) -> Child {
     let peer = single.entry.address("peer").expect("an address");
     single.start_another(&format!("peers: ['{peer}']\n")).await.expect("another process")
 }
@@ -131,7 +131,7 @@
 async fn a_process_without_any_source_serves_nobody_and_says_so() {
     let target = quick_target().await;
     let good = configuration(&[target.ports.address], "", "");
-    let mut single = Single::start(&good).await.expect("a process");
+    let mut single = SingleEntry::start(&good).await.expect("a process");
     single.platform.set_mode(PlatformMode::Failing);
     let alone = single.start_another("").await.expect("a process");
     let caller = alone.address("caller").expect("an address");
--- a/crates/thymeshift_lab/tests/http2.rs
+++ b/crates/thymeshift_lab/tests/http2.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper_util::rt::TokioExecutor;
 use hyper_util::rt::TokioIo;
-use thymeshift_lab::experiment::Single;
+use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::standin::expected_answer;
 use tokio::net::TcpStream;
 
@@ -19,7 +19,7 @@
 async fn many_requests_over_one_connection_each_get_their_own_answer() {
     let targets = [quick_target().await, quick_target().await];
     let addresses: Vec<_> = targets.iter().map(|target| target.ports.address).collect();
-    let single = Single::start(&configuration(&addresses, "", "")).await.expect("a process");
+    let single = SingleEntry::start(&configuration(&addresses, "", "")).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let stream = TcpStream::connect(caller).await.expect("a connection");
     let handshake =
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use http::Response;
 use rustix::process::Signal;
-use thymeshift_lab::experiment::Single;
+use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::http_client::AskError;
 use thymeshift_lab::http_client::ask;
 use thymeshift_lab::standin::Behaviour;
@@ -32,7 +32,7 @@
 async fn a_process_told_to_stop_before_it_has_a_configuration_stops() {
     let standing = quick_target().await;
     let configuration = configuration(&[standing.ports.address], "", "");
-    let mut single = Single::start_unready(&configuration).await.expect("a process");
+    let mut single = SingleEntry::start_unready(&configuration).await.expect("a process");
     single.platform.set_mode(PlatformMode::Silent);
     let mut waiting = single.start_another("").await.expect("another process");
     until("it has begun to ask", async || single.platform.calls() > 1).await;
@@ -55,7 +55,7 @@
     let settings = TargetSettings { service_us: 300_000, is_random: false, ..Default::default() };
     let standing = target(settings).await;
     let configuration = configuration(&[standing.ports.address], "", "");
-    let mut single = Single::start(&configuration).await.expect("a process");
+    let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let observe = single.entry.address("observe").expect("an address");
     // Three run at the target, the others wait there and in the process.
@@ -90,7 +90,7 @@
     standing.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
     let mut configuration = configuration(&[standing.ports.address], "", "");
     configuration.kinds[0].deadline_ms = 60_000;
-    let mut single = Single::start(&configuration).await.expect("a process");
+    let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let held = tokio::spawn(async move { read(caller, 1).await });
     until("it is begun", async || standing.target.ledger.entries().contains_key("1")).await;
@@ -104,7 +104,7 @@
 async fn a_request_that_waited_through_a_pause_is_not_sent_after_its_deadline() {
     let standing = quick_target().await;
     let configuration = configuration(&[standing.ports.address], "", "");
-    let single = Single::start(&configuration).await.expect("a process");
+    let single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     assert_serves(caller, "before").await;
     standing.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
@@ -141,7 +141,7 @@
     let settings = TargetSettings { service_us: 200_000, is_random: false, ..Default::default() };
     let standing = target(settings).await;
     let good = configuration(&[standing.ports.address], "", "");
-    let mut single = Single::start(&good).await.expect("a process");
+    let mut single = SingleEntry::start(&good).await.expect("a process");
     let other = single.start_another("").await.expect("another process");
     let (caller, other_caller) = (
         single.entry.address("caller").expect("an address"),
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use http::Method;
 use http::Response;
-use thymeshift_lab::experiment::Single;
+use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::experiment::dump;
 use thymeshift_lab::http_client::ask;
 use thymeshift_lab::http_client::send_raw;
@@ -33,12 +33,12 @@
 const SHEDS: &str = "    shed_means_not_run: true\n";
 
 struct Path {
-    single: Single,
+    single: SingleEntry,
     caller: SocketAddr,
 }
 
 async fn path(targets: &[SocketAddr], service: &str, kind: &str) -> Path {
-    let single = Single::start(&configuration(targets, service, kind)).await.expect("a process");
+    let single = SingleEntry::start(&configuration(targets, service, kind)).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     Path { single, caller }
 }
@@ -207,7 +207,7 @@
         configuration.kinds[0].hedge_after_ms = hedge_after_ms;
         let mut ran = 0;
         for process in 0..processes {
-            let single = Single::start(&configuration).await.expect("a process");
+            let single = SingleEntry::start(&configuration).await.expect("a process");
             let caller = single.entry.address("caller").expect("an address");
             for number in 0..requests {
                 let nonce = format!("n{process}-{number}");
