--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -1,7 +1,7 @@
 //! Real processes put together.
 
 mod children;
-mod closing_load;
+mod post_fault_load;
 mod control_cost;
 mod decision_cost;
 mod demo;
@@ -25,7 +25,7 @@
 pub use children::Child;
 pub use children::ChildError;
 pub use children::sibling_program;
-pub use closing_load::ClosingLoad;
+pub use post_fault_load::ClosingLoad;
 pub use control_cost::ConfigurationSize;
 pub use control_cost::ControlCost;
 pub use control_cost::control_cost;
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -25,7 +25,7 @@
 use tokio::time::timeout;
 
 use crate::experiment::children::Child;
-use crate::experiment::closing_load::ClosingLoad;
+use crate::experiment::post_fault_load::ClosingLoad;
 use crate::experiment::demo::tariff_load;
 use crate::experiment::demo::tariff_plan;
 use crate::experiment::fleet::Fleet;
