--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -25,7 +25,7 @@
 pub use children::Child;
 pub use children::ChildError;
 pub use children::sibling_program;
-pub use post_fault_load::ClosingLoad;
+pub use post_fault_load::PostFaultLoad;
 pub use control_cost::ConfigurationSize;
 pub use control_cost::ControlCost;
 pub use control_cost::control_cost;
--- a/crates/thymeshift_lab/src/experiment/post_fault_load.rs
+++ b/crates/thymeshift_lab/src/experiment/post_fault_load.rs
@@ -18,7 +18,7 @@
 
 /// The load after the faults, and what processes waited for a processor under it.
 #[derive(Debug, Clone)]
-pub struct ClosingLoad {
+pub struct PostFaultLoad {
     /// What became of it.
     pub result: LoadResult,
     /// [`crate::experiment::ProcessorTime::pressure_since`] of entry processes and targets.
@@ -27,7 +27,7 @@
     patient_kinds: Vec<String>,
 }
 
-impl ClosingLoad {
+impl PostFaultLoad {
     /// The result of a load of these kinds.
     pub fn new(result: LoadResult, kinds: &[Kind], pressure: f64) -> Self {
         let patient = kinds.iter().filter(|kind| kind.deadline_ms >= PATIENT_FROM_MS);
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -25,7 +25,7 @@
 use tokio::time::timeout;
 
 use crate::experiment::children::Child;
-use crate::experiment::post_fault_load::ClosingLoad;
+use crate::experiment::post_fault_load::PostFaultLoad;
 use crate::experiment::demo::tariff_load;
 use crate::experiment::demo::tariff_plan;
 use crate::experiment::fleet::Fleet;
@@ -105,7 +105,7 @@
     /// Time until the last revision was in force everywhere; none if it was not in time.
     pub in_force_after: Option<Duration>,
     /// The load after the faults.
-    closing: ClosingLoad,
+    closing: PostFaultLoad,
 }
 
 impl SoakReport {
@@ -189,7 +189,7 @@
     let before = processor_time(&fleet)?;
     let result_after = load::run(load_plan(&balancer, CLOSING_LOAD, rng.random())).await;
     let pressure = processor_time(&fleet)?.pressure_since(before);
-    let closing = ClosingLoad::new(result_after, &fleet.configuration.kinds, pressure);
+    let closing = PostFaultLoad::new(result_after, &fleet.configuration.kinds, pressure);
     let lost = result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
     Ok(SoakReport {
         seed,
--- a/crates/thymeshift_lab/tests/soak.rs
+++ b/crates/thymeshift_lab/tests/soak.rs
@@ -4,7 +4,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thymeshift_lab::experiment::ClosingLoad;
+use thymeshift_lab::experiment::PostFaultLoad;
 use thymeshift_lab::experiment::ProcessorTime;
 use thymeshift_lab::experiment::SoakPlan;
 use thymeshift_lab::experiment::TempFolder;
@@ -115,7 +115,7 @@
         let price_sheets = results("price-sheet", answered, not_run, unknown);
         let result =
             LoadResult { kinds: vec![look_ups, price_sheets], elapsed: Duration::from_secs(2) };
-        let closing = ClosingLoad::new(result, &configuration.kinds, pressure);
+        let closing = PostFaultLoad::new(result, &configuration.kinds, pressure);
         assert_eq!(closing.is_served(), is_served, "{note}");
     }
 }
