--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -12,7 +12,7 @@
 use crate::experiment::fleet::FleetError;
 use crate::experiment::fleet::FleetPlan;
 use crate::experiment::violations::Judgement;
-use crate::experiment::violations::judge;
+use crate::experiment::violations::count_violations;
 use crate::load;
 use crate::load::EntryAddresses;
 use crate::load::KindLoad;
@@ -95,7 +95,7 @@
     for target in &fleet.targets {
         ledgers.push(target.ledger().await?);
     }
-    let judgement = judge(&result, &ledgers, &["contract-switch"]);
+    let judgement = count_violations(&result, &ledgers, &["contract-switch"]);
     std::fs::write(folder.join("demo.json"), result.to_json().to_string())?;
     plot(&result, &folder.join("demo.svg"));
     Ok(DemoReport { result, judgement })
--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -44,7 +44,7 @@
 pub use fleet::wait_ready;
 pub use ideal::IdealQueue;
 pub use violations::Judgement;
-pub use violations::judge;
+pub use violations::count_violations;
 pub use path_cost::PathCost;
 pub use path_cost::path_cost;
 pub use pressure::ProcessorTime;
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -17,7 +17,7 @@
 use crate::experiment::fleet::FleetError;
 use crate::experiment::fleet::dump;
 use crate::experiment::violations::Judgement;
-use crate::experiment::violations::judge;
+use crate::experiment::violations::count_violations;
 use crate::load;
 use crate::load::EntryAddresses;
 use crate::load::LoadPlan;
@@ -103,7 +103,7 @@
     for target in &fleet.targets {
         ledgers.push(target.ledger().await?);
     }
-    let judgement = judge(&result, &ledgers, &["contract-switch"]);
+    let judgement = count_violations(&result, &ledgers, &["contract-switch"]);
     let platform_calls = fleet.platform_calls().await?;
     Ok(RecoveryReport {
         before_silence,
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -33,7 +33,7 @@
 use crate::experiment::fleet::FleetPlan;
 use crate::experiment::fleet::dump;
 use crate::experiment::violations::Judgement;
-use crate::experiment::violations::judge;
+use crate::experiment::violations::count_violations;
 use crate::experiment::pressure::ProcessorTime;
 use crate::experiment::soak_fault::SoakFault;
 use crate::experiment::soak_fault::TimedFault;
@@ -184,7 +184,7 @@
     proxy.set_mode(ProxyMode::Pass);
     let disregarded = disregarded(&fleet, &statements, &logs).await?;
     end_refusals(&fleet, &statements).await?;
-    let judgement = judge(&result, &ledgers(&fleet).await?, &UNSAFE_KINDS);
+    let judgement = count_violations(&result, &ledgers(&fleet).await?, &UNSAFE_KINDS);
     let in_force_after = publish_everywhere(&mut fleet, revision + 1, &watched).await?;
     let before = processor_time(&fleet)?;
     let result_after = load::run(load_plan(&balancer, CLOSING_LOAD, rng.random())).await;
--- a/crates/thymeshift_lab/src/experiment/violations.rs
+++ b/crates/thymeshift_lab/src/experiment/violations.rs
@@ -47,7 +47,7 @@
 }
 
 /// Judges a load by the targets' ledgers. `unsafe_kinds` must not run twice.
-pub fn judge(
+pub fn count_violations(
     result: &LoadResult,
     ledgers: &[BTreeMap<String, LedgerEntry>],
     unsafe_kinds: &[&str],
