--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -11,7 +11,7 @@
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::FleetError;
 use crate::experiment::fleet::FleetPlan;
-use crate::experiment::violations::Judgement;
+use crate::experiment::violations::Violations;
 use crate::experiment::violations::count_violations;
 use crate::load;
 use crate::load::EntryAddresses;
@@ -28,7 +28,7 @@
     /// What callers saw.
     pub result: LoadResult,
     /// What the judge says.
-    pub judgement: Judgement,
+    pub judgement: Violations,
 }
 
 /// The tariff example's configuration.
--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -43,7 +43,7 @@
 pub use fleet::dump;
 pub use fleet::wait_ready;
 pub use ideal::IdealQueue;
-pub use violations::Judgement;
+pub use violations::Violations;
 pub use violations::count_violations;
 pub use path_cost::PathCost;
 pub use path_cost::path_cost;
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -16,7 +16,7 @@
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::FleetError;
 use crate::experiment::fleet::dump;
-use crate::experiment::violations::Judgement;
+use crate::experiment::violations::Violations;
 use crate::experiment::violations::count_violations;
 use crate::load;
 use crate::load::EntryAddresses;
@@ -44,7 +44,7 @@
     platform_calls: u64,
     result: LoadResult,
     /// What the judge says.
-    pub judgement: Judgement,
+    pub judgement: Violations,
 }
 
 impl RecoveryReport {
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -32,7 +32,7 @@
 use crate::experiment::fleet::FleetError;
 use crate::experiment::fleet::FleetPlan;
 use crate::experiment::fleet::dump;
-use crate::experiment::violations::Judgement;
+use crate::experiment::violations::Violations;
 use crate::experiment::violations::count_violations;
 use crate::experiment::pressure::ProcessorTime;
 use crate::experiment::soak_fault::SoakFault;
@@ -93,7 +93,7 @@
     faults: Vec<TimedFault>,
     result: LoadResult,
     /// What the judge says of the load under faults.
-    pub judgement: Judgement,
+    pub judgement: Violations,
     /// Revisions that went down within one process.
     pub reverted: u64,
     /// Most requests in four seconds at a target that names a limit, in parts of what is allowed.
--- a/crates/thymeshift_lab/src/experiment/violations.rs
+++ b/crates/thymeshift_lab/src/experiment/violations.rs
@@ -11,7 +11,7 @@
 
 /// Violations of the promises, counted. All must be 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Judgement {
+pub struct Violations {
     /// Requests told "not run" that a target began.
     pub ran_although_not_run: u64,
     /// Requests of unsafe kinds that were begun more than once.
@@ -24,14 +24,14 @@
     pub unaccounted: u64,
 }
 
-impl Judgement {
+impl Violations {
     /// Whether every promise held.
     pub fn is_clean(&self) -> bool {
         *self == Self::default()
     }
 }
 
-impl fmt::Display for Judgement {
+impl fmt::Display for Violations {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -51,8 +51,8 @@
     result: &LoadResult,
     ledgers: &[BTreeMap<String, LedgerEntry>],
     unsafe_kinds: &[&str],
-) -> Judgement {
-    let mut judgement = Judgement::default();
+) -> Violations {
+    let mut judgement = Violations::default();
     for kind in &result.kinds {
         let is_unsafe = unsafe_kinds.contains(&kind.name.as_str());
         judgement.wrong_answers += kind.wrong;
