--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -28,7 +28,7 @@
     /// What callers saw.
     pub result: LoadResult,
     /// What the judge says.
-    pub judgement: Violations,
+    pub violations: Violations,
 }
 
 /// The tariff example's configuration.
@@ -95,10 +95,10 @@
     for target in &fleet.targets {
         ledgers.push(target.ledger().await?);
     }
-    let judgement = count_violations(&result, &ledgers, &["contract-switch"]);
+    let violations = count_violations(&result, &ledgers, &["contract-switch"]);
     std::fs::write(folder.join("demo.json"), result.to_json().to_string())?;
     plot(&result, &folder.join("demo.svg"));
-    Ok(DemoReport { result, judgement })
+    Ok(DemoReport { result, violations })
 }
 
 fn plot(result: &LoadResult, path: &Path) {
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -44,14 +44,14 @@
     platform_calls: u64,
     result: LoadResult,
     /// What the judge says.
-    pub judgement: Violations,
+    pub violations: Violations,
 }
 
 impl RecoveryReport {
     /// Whether nothing was lost.
     pub fn is_clean(&self) -> bool {
         let lost: u64 = self.result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
-        self.judgement.is_clean() && lost == 0 && self.lowest_after_start >= 2
+        self.violations.is_clean() && lost == 0 && self.lowest_after_start >= 2
     }
 }
 
@@ -74,7 +74,7 @@
             ms(self.after_silence)
         )?;
         writeln!(f, "calls to the platform in the whole run: {}", self.platform_calls)?;
-        write!(f, "{}{}", self.result, self.judgement)
+        write!(f, "{}{}", self.result, self.violations)
     }
 }
 
@@ -103,7 +103,7 @@
     for target in &fleet.targets {
         ledgers.push(target.ledger().await?);
     }
-    let judgement = count_violations(&result, &ledgers, &["contract-switch"]);
+    let violations = count_violations(&result, &ledgers, &["contract-switch"]);
     let platform_calls = fleet.platform_calls().await?;
     Ok(RecoveryReport {
         before_silence,
@@ -112,7 +112,7 @@
         lowest_after_start,
         platform_calls,
         result,
-        judgement,
+        violations,
     })
 }
 
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -93,7 +93,7 @@
     faults: Vec<TimedFault>,
     result: LoadResult,
     /// What the judge says of the load under faults.
-    pub judgement: Violations,
+    pub violations: Violations,
     /// Revisions that went down within one process.
     pub reverted: u64,
     /// Most requests in four seconds at a target that names a limit, in parts of what is allowed.
@@ -111,7 +111,7 @@
 impl SoakReport {
     /// Whether every promise held.
     pub fn is_clean(&self) -> bool {
-        self.judgement.is_clean()
+        self.violations.is_clean()
             && self.reverted == 0
             && self.worst_window <= 1.0
             && self.disregarded.after_leaving == 0
@@ -134,7 +134,7 @@
              {:.3}, waited for a processor {:.2}",
             self.seed,
             self.faults.len(),
-            self.judgement,
+            self.violations,
             self.reverted,
             self.worst_window,
             self.disregarded.after_leaving,
@@ -184,7 +184,7 @@
     proxy.set_mode(ProxyMode::Pass);
     let disregarded = disregarded(&fleet, &statements, &logs).await?;
     end_refusals(&fleet, &statements).await?;
-    let judgement = count_violations(&result, &ledgers(&fleet).await?, &UNSAFE_KINDS);
+    let violations = count_violations(&result, &ledgers(&fleet).await?, &UNSAFE_KINDS);
     let in_force_after = publish_everywhere(&mut fleet, revision + 1, &watched).await?;
     let before = processor_time(&fleet)?;
     let result_after = load::run(load_plan(&balancer, CLOSING_LOAD, rng.random())).await;
@@ -193,7 +193,7 @@
     let lost = result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
     Ok(SoakReport {
         seed,
-        judgement,
+        violations,
         reverted: watched.reverted(),
         worst_window: worst_window(&fleet, &needs).await?,
         disregarded,
--- a/crates/thymeshift_lab/src/experiment/violations.rs
+++ b/crates/thymeshift_lab/src/experiment/violations.rs
@@ -52,21 +52,21 @@
     ledgers: &[BTreeMap<String, LedgerEntry>],
     unsafe_kinds: &[&str],
 ) -> Violations {
-    let mut judgement = Violations::default();
+    let mut violations = Violations::default();
     for kind in &result.kinds {
         let is_unsafe = unsafe_kinds.contains(&kind.name.as_str());
-        judgement.wrong_answers += kind.wrong;
-        judgement.unaccounted += u64::from(!kind.is_accounted());
+        violations.wrong_answers += kind.wrong;
+        violations.unaccounted += u64::from(!kind.is_accounted());
         for (nonce, told) in &kind.told {
             let entries = ledgers.iter().filter_map(|ledger| ledger.get(nonce));
             let (begun, finished) = entries.fold((0, 0), |(begun, finished), entry| {
                 (begun + entry.begun, finished + entry.finished)
             });
             let is_not_run = *told == CallResult::Outcome(Outcome::NotRun);
-            judgement.ran_although_not_run += u64::from(is_not_run && begun > 0);
-            judgement.unsafe_run_twice += u64::from(is_unsafe && begun > 1);
-            judgement.answered_without_run += u64::from(*told == CallResult::Answered && finished == 0);
+            violations.ran_although_not_run += u64::from(is_not_run && begun > 0);
+            violations.unsafe_run_twice += u64::from(is_unsafe && begun > 1);
+            violations.answered_without_run += u64::from(*told == CallResult::Answered && finished == 0);
         }
     }
-    judgement
+    violations
 }
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -114,9 +114,9 @@
     println!("platform, 38 targets, {entries} entry processes, load for {seconds} s");
     let demo = experiment::demo(folder, entries, Duration::from_secs(seconds)).await?;
     print!("{}", demo.result);
-    println!("{}", demo.judgement);
+    println!("{}", demo.violations);
     println!("logs, JSON and plot: {}", folder.display());
-    Ok(if demo.judgement.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if demo.violations.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 /// Runs seeds one after the other; the exit code says whether all were clean.
