--- a/crates/thymeshift_lab/src/experiment/ideal.rs
+++ b/crates/thymeshift_lab/src/experiment/ideal.rs
@@ -22,7 +22,7 @@
     /// Mean service time, exponentially distributed, in microseconds.
     pub service_us: u64,
     /// There and back between caller and target, in microseconds.
-    pub way_us: u64,
+    pub round_trip_us: u64,
 }
 
 impl IdealQueue {
@@ -40,7 +40,7 @@
             let service = Duration::from_micros(self.service_us).mul_f64(sample);
             let done = free.max(at) + service;
             free_at.push(Reverse(done));
-            let taken_us = done.saturating_sub(at).as_micros() as u64 + self.way_us;
+            let taken_us = done.saturating_sub(at).as_micros() as u64 + self.round_trip_us;
             if let Some(latencies) = &mut latencies {
                 latencies.saturating_record(taken_us);
             }
--- a/crates/thymeshift_lab/src/experiment/scenarios.rs
+++ b/crates/thymeshift_lab/src/experiment/scenarios.rs
@@ -139,7 +139,7 @@
         let ideal = IdealQueue {
             slots: ((TARGETS * SLOTS) as f64 * run.scenario.capacity()).round() as usize,
             service_us: SERVICE_US,
-            way_us: 2 * (CALLER_ONE_WAY_US + TARGET_ONE_WAY_US),
+            round_trip_us: 2 * (CALLER_ONE_WAY_US + TARGET_ONE_WAY_US),
         };
         Ok(ScenarioRow {
             scenario: run.scenario,
