--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -140,7 +140,7 @@
     /// The configuration with the stand-ins' addresses.
     pub configuration: Configuration,
     /// Where entry processes that start from now on reach the platform, if not directly.
-    pub platform_seen_at: Option<SocketAddr>,
+    pub platform_address_override: Option<SocketAddr>,
     plan: FleetPlan,
     started: usize,
 }
@@ -181,7 +181,7 @@
             targets,
             entries: Vec::new(),
             configuration,
-            platform_seen_at: None,
+            platform_address_override: None,
             plan,
             started: 0,
         };
@@ -203,7 +203,7 @@
         let peers = self.entries.iter().rev().take(PEERS_TOLD);
         let peers: Result<Vec<String>, ChildError> =
             peers.map(|peer| Ok(peer.address("peer")?.to_string())).collect();
-        let platform = match self.platform_seen_at {
+        let platform = match self.platform_address_override {
             Some(address) => address,
             None => self.platform.address("data")?,
         };
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -163,7 +163,7 @@
     let fleet_plan = FleetPlan { seed, has_datagrams: true, ..tariff_plan(folder, entries)? };
     let mut fleet = Fleet::start(fleet_plan).await?;
     let proxy = Proxy::start(fleet.platform.address("data")?).await?;
-    fleet.platform_seen_at = Some(proxy.address);
+    fleet.platform_address_override = Some(proxy.address);
     replace_all(&mut fleet).await?;
     let mut faults = draw_faults(&mut rng, entries, fleet.targets.len(), duration, is_planned_only);
     let statements = draw_statements(seed, fleet.targets.len());
