--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -256,7 +256,7 @@
     }
 
     /// Causes or ends a fault of the platform.
-    pub async fn set_platform(&self, mode: PlatformMode) -> Result<(), FleetError> {
+    pub async fn set_platform_mode(&self, mode: PlatformMode) -> Result<(), FleetError> {
         let body = serde_json::to_vec(&mode)?;
         ask(self.platform.address("control")?, Method::PUT, "/mode", body).await?;
         Ok(())
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -83,7 +83,7 @@
     let plan = tariff_plan(folder, entries)?;
     let mut fleet = Fleet::start(plan).await?;
     let before_silence = publish(&mut fleet, 2).await?;
-    fleet.set_platform(PlatformMode::Silent).await?;
+    fleet.set_platform_mode(PlatformMode::Silent).await?;
     let replaced = entries * 2 / 3;
     let balancer = EntryAddresses::new(fleet.caller_addresses()?);
     let load = LoadPlan {
@@ -97,7 +97,7 @@
     let (result, replacing) =
         tokio::join!(load::run(load), replace(&mut fleet, &balancer, replaced));
     let lowest_after_start = replacing?;
-    fleet.set_platform(PlatformMode::Normal).await?;
+    fleet.set_platform_mode(PlatformMode::Normal).await?;
     let after_silence = publish(&mut fleet, 3).await?;
     let mut ledgers = Vec::new();
     for target in &fleet.targets {
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -180,7 +180,7 @@
         play(&mut fleet, &proxy, &balancer, &faults, &mut revision, &watched)
     );
     played?;
-    fleet.set_platform(PlatformMode::Normal).await?;
+    fleet.set_platform_mode(PlatformMode::Normal).await?;
     proxy.set_mode(ProxyMode::Pass);
     let disregarded = disregarded(&fleet, &statements, &logs).await?;
     end_refusals(&fleet, &statements).await?;
@@ -365,7 +365,7 @@
             Ok(None)
         }
         SoakFault::Platform { mode, lasts } => {
-            fleet.set_platform(mode).await?;
+            fleet.set_platform_mode(mode).await?;
             Ok(Some(lasts))
         }
         SoakFault::Link { mode, lasts } => {
@@ -393,7 +393,7 @@
             }
             Ok(())
         }
-        SoakFault::Platform { .. } => fleet.set_platform(PlatformMode::Normal).await,
+        SoakFault::Platform { .. } => fleet.set_platform_mode(PlatformMode::Normal).await,
         SoakFault::Link { .. } => {
             proxy.set_mode(ProxyMode::Pass);
             Ok(())
