--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -104,7 +104,7 @@
     }
 
     /// Has its answers name a limit of requests a second, or none.
-    pub async fn name_limit(&self, limit_per_s: Option<f64>) -> Result<(), FleetError> {
+    pub async fn set_stated_limit(&self, limit_per_s: Option<f64>) -> Result<(), FleetError> {
         let body = serde_json::to_vec(&limit_per_s)?;
         ask(self.child.address("control")?, Method::PUT, "/limit", body).await?;
         Ok(())
--- a/crates/thymeshift_lab/src/experiment/soak_need.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_need.rs
@@ -38,7 +38,7 @@
 /// The targets name their limits from now on.
 pub(super) async fn begin_needs(fleet: &Fleet, needs: &[SoakNeed]) -> Result<(), FleetError> {
     for need in needs {
-        fleet.targets[need.target].name_limit(Some(need.limit_per_s)).await?;
+        fleet.targets[need.target].set_stated_limit(Some(need.limit_per_s)).await?;
     }
     Ok(())
 }
