--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -18,7 +18,7 @@
 mod single;
 mod soak;
 mod soak_fault;
-mod soak_need;
+mod soak_rate_limit;
 mod soak_statement;
 mod usage;
 
