--- a/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
@@ -17,18 +17,18 @@
 
 /// A target in need.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct SoakNeed {
+pub(super) struct SoakRateLimit {
     target: usize,
     limit_per_s: f64,
 }
 
 /// The needs of a seed; none for most.
-pub(super) fn draw_needs(seed: u64, targets: usize) -> Vec<SoakNeed> {
+pub(super) fn draw_needs(seed: u64, targets: usize) -> Vec<SoakRateLimit> {
     if !seed.is_multiple_of(NEEDY_EVERY) {
         return Vec::new();
     }
     let mut rng = SmallRng::seed_from_u64(seed ^ SEED_OF_NEEDS);
-    let need = |_| SoakNeed {
+    let need = |_| SoakRateLimit {
         target: rng.random_range(0..targets),
         limit_per_s: rng.random_range(LIMIT_PER_S),
     };
@@ -36,7 +36,7 @@
 }
 
 /// The targets name their limits from now on.
-pub(super) async fn begin_needs(fleet: &Fleet, needs: &[SoakNeed]) -> Result<(), FleetError> {
+pub(super) async fn begin_needs(fleet: &Fleet, needs: &[SoakRateLimit]) -> Result<(), FleetError> {
     for need in needs {
         fleet.targets[need.target].set_stated_limit(Some(need.limit_per_s)).await?;
     }
@@ -44,7 +44,7 @@
 }
 
 /// Most requests that a target in need got in a window, in parts of what is allowed.
-pub(super) async fn worst_window(fleet: &Fleet, needs: &[SoakNeed]) -> Result<f64, FleetError> {
+pub(super) async fn worst_window(fleet: &Fleet, needs: &[SoakRateLimit]) -> Result<f64, FleetError> {
     let mut worst: f64 = 0.0;
     for need in needs {
         worst = worst.max(fleet.targets[need.target].worst_window().await?);
