--- a/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
@@ -23,7 +23,7 @@
 }
 
 /// The needs of a seed; none for most.
-pub(super) fn draw_needs(seed: u64, targets: usize) -> Vec<SoakRateLimit> {
+pub(super) fn draw_rate_limits(seed: u64, targets: usize) -> Vec<SoakRateLimit> {
     if !seed.is_multiple_of(NEEDY_EVERY) {
         return Vec::new();
     }
