--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -38,7 +38,7 @@
 use crate::experiment::soak_fault::SoakFault;
 use crate::experiment::soak_fault::TimedFault;
 use crate::experiment::soak_fault::draw_faults;
-use crate::experiment::soak_rate_limit::begin_needs;
+use crate::experiment::soak_rate_limit::apply_rate_limits;
 use crate::experiment::soak_rate_limit::draw_rate_limits;
 use crate::experiment::soak_rate_limit::worst_window;
 use crate::experiment::soak_statement::begin_statements;
@@ -171,7 +171,7 @@
     faults.retain(|timed| !statements.iter().any(|said| timed.fault.affects_target(said.target)));
     begin_statements(&fleet, &statements).await?;
     let needs = draw_rate_limits(seed, fleet.targets.len());
-    begin_needs(&fleet, &needs).await?;
+    apply_rate_limits(&fleet, &needs).await?;
     let balancer = EntryAddresses::new(fleet.caller_addresses()?);
     let mut revision = 1;
     let watched = Arc::new(Watched::default());
--- a/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
@@ -36,7 +36,7 @@
 }
 
 /// The targets name their limits from now on.
-pub(super) async fn begin_needs(fleet: &Fleet, needs: &[SoakRateLimit]) -> Result<(), FleetError> {
+pub(super) async fn apply_rate_limits(fleet: &Fleet, needs: &[SoakRateLimit]) -> Result<(), FleetError> {
     for need in needs {
         fleet.targets[need.target].set_stated_limit(Some(need.limit_per_s)).await?;
     }
