--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -41,7 +41,7 @@
 use crate::experiment::soak_rate_limit::apply_rate_limits;
 use crate::experiment::soak_rate_limit::draw_rate_limits;
 use crate::experiment::soak_rate_limit::worst_window;
-use crate::experiment::soak_statement::begin_statements;
+use crate::experiment::soak_statement::apply_statements;
 use crate::experiment::soak_statement::disregarded;
 use crate::experiment::soak_statement::draw_statements;
 use crate::experiment::soak_statement::end_refusals;
@@ -169,7 +169,7 @@
     let statements = draw_statements(seed, fleet.targets.len());
     // A target that is stopped reads what arrived long before.
     faults.retain(|timed| !statements.iter().any(|said| timed.fault.affects_target(said.target)));
-    begin_statements(&fleet, &statements).await?;
+    apply_statements(&fleet, &statements).await?;
     let needs = draw_rate_limits(seed, fleet.targets.len());
     apply_rate_limits(&fleet, &needs).await?;
     let balancer = EntryAddresses::new(fleet.caller_addresses()?);
--- a/crates/thymeshift_lab/src/experiment/soak_statement.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_statement.rs
@@ -51,7 +51,7 @@
 }
 
 /// The targets say so from now on.
-pub(super) async fn begin_statements(
+pub(super) async fn apply_statements(
     fleet: &Fleet,
     statements: &[SoakStatement],
 ) -> Result<(), FleetError> {
