--- a/crates/thymeshift_lab/src/arguments.rs
+++ b/crates/thymeshift_lab/src/arguments.rs
@@ -247,7 +247,7 @@
 
 fn control_cost(mut parser: Parser) -> Result<Command, Error> {
     let mut entries = vec![4, 8, 16, 32];
-    let mut size = ConfigurationSize::Today;
+    let mut size = ConfigurationSize::TariffExample;
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Long("target-size") => size = ConfigurationSize::Target,
--- a/crates/thymeshift_lab/src/experiment/control_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/control_cost.rs
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationSize {
     /// The tariff example's services, without targets.
-    Today,
+    TariffExample,
     /// 100 services of 23 targets each.
     Target,
 }
@@ -103,7 +103,7 @@
     size: ConfigurationSize,
 ) -> Result<ControlCost, FleetError> {
     let configuration = match size {
-        ConfigurationSize::Today => without_targets(tariff_configuration()?),
+        ConfigurationSize::TariffExample => without_targets(tariff_configuration()?),
         ConfigurationSize::Target => target_size()?,
     };
     let plan = FleetPlan {
