--- a/crates/thymeshift_lab/src/arguments.rs
+++ b/crates/thymeshift_lab/src/arguments.rs
@@ -250,7 +250,7 @@
     let mut size = ConfigurationSize::TariffExample;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("target-size") => size = ConfigurationSize::Target,
+            Arg::Long("target-size") => size = ConfigurationSize::TargetSize,
             Arg::Long("entries") => entries = numbers(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
--- a/crates/thymeshift_lab/src/experiment/control_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/control_cost.rs
@@ -93,7 +93,7 @@
     /// The tariff example's services, without targets.
     TariffExample,
     /// 100 services of 23 targets each.
-    Target,
+    TargetSize,
 }
 
 /// Measures one size. Targets are listed and not run: nothing calls them.
@@ -104,7 +104,7 @@
 ) -> Result<ControlCost, FleetError> {
     let configuration = match size {
         ConfigurationSize::TariffExample => without_targets(tariff_configuration()?),
-        ConfigurationSize::Target => target_size()?,
+        ConfigurationSize::TargetSize => target_size()?,
     };
     let plan = FleetPlan {
         configuration: without_targets(configuration.clone()),
