--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -20,7 +20,7 @@
     /// Noisy neighbours, and reports 100 ms old.
     NoisyAndStale,
     /// One target says that it is idle and is three times slower.
-    Liar,
+    MisreportingTarget,
     /// One target fails at once.
     FastFailer,
     /// One target gets slower and slower.
@@ -39,7 +39,7 @@
         Self::Stale(100),
         Self::Stale(500),
         Self::NoisyAndStale,
-        Self::Liar,
+        Self::MisreportingTarget,
         Self::FastFailer,
         Self::SlowDeath,
         Self::Drain,
@@ -54,7 +54,7 @@
             Self::NoisyNeighbours => noisy,
             Self::Stale(stale_ms) => Behaviour { reports: Reports::Stale, stale_ms, ..good },
             Self::NoisyAndStale => Behaviour { reports: Reports::Stale, stale_ms: 100, ..noisy },
-            Self::Liar if index == 0 => Behaviour { reports: Reports::Idle, slowness: 3.0, ..good },
+            Self::MisreportingTarget if index == 0 => Behaviour { reports: Reports::Idle, slowness: 3.0, ..good },
             Self::FastFailer if index == 0 => Behaviour { fault: Fault::Failing, ..good },
             Self::SlowDeath if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
             Self::Drain if index == 0 => Behaviour { is_draining: share > 0.4, ..good },
@@ -68,7 +68,7 @@
             Self::TwoSpeeds => 0.75,
             Self::NoisyNeighbours | Self::NoisyAndStale => 1.0 - 30.0 / 430.0,
             Self::FastFailer | Self::Drain | Self::SlowDeath => 0.9,
-            Self::Liar => 0.9 + 0.1 / 3.0,
+            Self::MisreportingTarget => 0.9 + 0.1 / 3.0,
             Self::Even | Self::Stale(_) => 1.0,
         }
     }
@@ -87,7 +87,7 @@
             Self::NoisyNeighbours => f.pad("noisy neighbours"),
             Self::Stale(ms) => f.pad(&format!("stale {ms} ms")),
             Self::NoisyAndStale => f.pad("noisy and stale"),
-            Self::Liar => f.pad("liar"),
+            Self::MisreportingTarget => f.pad("liar"),
             Self::FastFailer => f.pad("fast failer"),
             Self::SlowDeath => f.pad("slow death"),
             Self::Drain => f.pad("drain"),
