--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -24,7 +24,7 @@
     /// One target fails at once.
     FastFailer,
     /// One target gets slower and slower.
-    SlowDeath,
+    GradualSlowdown,
     /// One target drains in the middle.
     Drain,
 }
@@ -41,7 +41,7 @@
         Self::NoisyAndStale,
         Self::MisreportingTarget,
         Self::FastFailer,
-        Self::SlowDeath,
+        Self::GradualSlowdown,
         Self::Drain,
     ];
 
@@ -56,7 +56,7 @@
             Self::NoisyAndStale => Behaviour { reports: Reports::Stale, stale_ms: 100, ..noisy },
             Self::MisreportingTarget if index == 0 => Behaviour { reports: Reports::Idle, slowness: 3.0, ..good },
             Self::FastFailer if index == 0 => Behaviour { fault: Fault::Failing, ..good },
-            Self::SlowDeath if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
+            Self::GradualSlowdown if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
             Self::Drain if index == 0 => Behaviour { is_draining: share > 0.4, ..good },
             _ => good,
         }
@@ -67,7 +67,7 @@
         match self {
             Self::TwoSpeeds => 0.75,
             Self::NoisyNeighbours | Self::NoisyAndStale => 1.0 - 30.0 / 430.0,
-            Self::FastFailer | Self::Drain | Self::SlowDeath => 0.9,
+            Self::FastFailer | Self::Drain | Self::GradualSlowdown => 0.9,
             Self::MisreportingTarget => 0.9 + 0.1 / 3.0,
             Self::Even | Self::Stale(_) => 1.0,
         }
@@ -75,7 +75,7 @@
 
     /// Whether it changes while the load runs.
     pub(crate) fn changes(self) -> bool {
-        matches!(self, Self::SlowDeath | Self::Drain)
+        matches!(self, Self::GradualSlowdown | Self::Drain)
     }
 }
 
@@ -89,7 +89,7 @@
             Self::NoisyAndStale => f.pad("noisy and stale"),
             Self::MisreportingTarget => f.pad("liar"),
             Self::FastFailer => f.pad("fast failer"),
-            Self::SlowDeath => f.pad("slow death"),
+            Self::GradualSlowdown => f.pad("slow death"),
             Self::Drain => f.pad("drain"),
         }
     }
