--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
     /// Nothing.
-    Even,
+    NoFault,
     /// Half of the targets are half as fast.
     TwoSpeeds,
     /// Each target stalls for 30 ms about every 400 ms.
@@ -32,7 +32,7 @@
 impl Scenario {
     /// All scenarios. The drain is last: leaving is sticky, so the target stays out.
     pub const ALL: [Self; 11] = [
-        Self::Even,
+        Self::NoFault,
         Self::TwoSpeeds,
         Self::NoisyNeighbours,
         Self::Stale(20),
@@ -69,7 +69,7 @@
             Self::NoisyNeighbours | Self::NoisyAndStale => 1.0 - 30.0 / 430.0,
             Self::FastFailer | Self::Drain | Self::GradualSlowdown => 0.9,
             Self::MisreportingTarget => 0.9 + 0.1 / 3.0,
-            Self::Even | Self::Stale(_) => 1.0,
+            Self::NoFault | Self::Stale(_) => 1.0,
         }
     }
 
@@ -82,7 +82,7 @@
 impl fmt::Display for Scenario {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Even => f.pad("even"),
+            Self::NoFault => f.pad("even"),
             Self::TwoSpeeds => f.pad("two speeds"),
             Self::NoisyNeighbours => f.pad("noisy neighbours"),
             Self::Stale(ms) => f.pad(&format!("stale {ms} ms")),
