--- a/crates/thymeshift_lab/src/experiment/control_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/control_cost.rs
@@ -44,7 +44,7 @@
 
 impl ControlCost {
     /// Head of the table.
-    pub fn head() -> String {
+    pub fn table_header() -> String {
         format!(
             "{:>8}{:>10}{:>10}{:>12}{:>14}{:>10}{:>14}{:>14}{:>16}",
             "entries",
--- a/crates/thymeshift_lab/src/experiment/scenario_row.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario_row.rs
@@ -45,7 +45,7 @@
     }
 
     /// Head of the table.
-    pub fn head() -> String {
+    pub fn table_header() -> String {
         format!(
             "{:<17}{:>5} {:<20}{:>5}{:>8}{:>8}{:>8}{:>8}{:>7}{:>8}{:>9}{:>8}{:>8}{:>8}{:>9}",
             "scenario",
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -138,7 +138,7 @@
 
 async fn scenarios(plan: ScenarioPlan) -> Result<ExitCode, Failure> {
     let mut rows = Vec::new();
-    println!("{}", ScenarioRow::head());
+    println!("{}", ScenarioRow::table_header());
     let measured = experiment::scenarios(&plan, |row| {
         println!("{row}");
         rows.push(row.to_json());
@@ -151,7 +151,7 @@
 }
 
 async fn control_cost(entries: Vec<usize>, size: ConfigurationSize) -> Result<ExitCode, Failure> {
-    println!("{}", ControlCost::head());
+    println!("{}", ControlCost::table_header());
     for count in entries {
         let folder = Path::new("out/control-cost").join(count.to_string());
         println!("{}", experiment::control_cost(&folder, count, size).await?);
