--- a/crates/thymeshift_lab/src/experiment/scenario_row.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario_row.rs
@@ -18,7 +18,7 @@
     pub(crate) kind: KindResult,
     pub(crate) ideal_p99_us: u64,
     /// Share of the requests that the odd target (number 0) began or failed.
-    pub(crate) odd_share: f64,
+    pub(crate) faulty_target_share: f64,
     pub(crate) retries: u64,
     pub(crate) waited: u64,
 }
@@ -34,7 +34,7 @@
             "not_run": kind.not_run, "unknown": kind.unknown, "failed": kind.failed,
             "p50_us": kind.latency_us(0.5), "p99_us": kind.latency_us(0.99),
             "p999_us": kind.latency_us(0.999), "ideal_p99_us": self.ideal_p99_us,
-            "odd_share": self.odd_share, "retries": self.retries, "waited": self.waited,
+            "odd_share": self.faulty_target_share, "retries": self.retries, "waited": self.waited,
             "attempts_per_request": self.attempts(),
         })
     }
@@ -88,7 +88,7 @@
             kind.not_run,
             kind.failed + kind.unknown,
             self.waited,
-            self.odd_share * 100.0,
+            self.faulty_target_share * 100.0,
             self.attempts()
         )
     }
--- a/crates/thymeshift_lab/src/experiment/scenarios.rs
+++ b/crates/thymeshift_lab/src/experiment/scenarios.rs
@@ -147,7 +147,7 @@
             strategy: run.strategy,
             seed: run.seed,
             ideal_p99_us: ideal.latency_us(&measured, 0.99),
-            odd_share: odd / (kind.sent as f64).max(1.0),
+            faulty_target_share: odd / (kind.sent as f64).max(1.0),
             retries: after.retries - before.retries,
             waited: after.waited - before.waited,
             kind,
