--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -20,7 +20,7 @@
 use crate::experiment::children::ChildError;
 use crate::experiment::children::sibling_program;
 use crate::http_client::AskError;
-use crate::http_client::ask;
+use crate::http_client::send_request;
 use crate::standin::Behaviour;
 use crate::standin::Disregarded;
 use crate::standin::LedgerEntry;
@@ -99,32 +99,32 @@
     /// Changes how it behaves.
     pub async fn set_behaviour(&self, behaviour: &Behaviour) -> Result<(), FleetError> {
         let body = serde_json::to_vec(behaviour)?;
-        ask(self.child.address("control")?, Method::PUT, "/behaviour", body).await?;
+        send_request(self.child.address("control")?, Method::PUT, "/behaviour", body).await?;
         Ok(())
     }
 
     /// Has its answers name a limit of requests a second, or none.
     pub async fn set_stated_limit(&self, limit_per_s: Option<f64>) -> Result<(), FleetError> {
         let body = serde_json::to_vec(&limit_per_s)?;
-        ask(self.child.address("control")?, Method::PUT, "/limit", body).await?;
+        send_request(self.child.address("control")?, Method::PUT, "/limit", body).await?;
         Ok(())
     }
 
     /// Most requests that it got in a window, in parts of what its limit allows.
     pub async fn worst_window(&self) -> Result<f64, FleetError> {
-        let answer = ask(self.child.address("control")?, Method::GET, "/limit", "").await?;
+        let answer = send_request(self.child.address("control")?, Method::GET, "/limit", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
     /// What reached it against what it had said, by the process that sent it.
     pub async fn disregarded(&self) -> Result<HashMap<String, Disregarded>, FleetError> {
-        let answer = ask(self.child.address("control")?, Method::GET, "/statements", "").await?;
+        let answer = send_request(self.child.address("control")?, Method::GET, "/statements", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
     /// What it ran.
     pub async fn ledger(&self) -> Result<BTreeMap<String, LedgerEntry>, FleetError> {
-        let answer = ask(self.child.address("control")?, Method::GET, "/ledger", "").await?;
+        let answer = send_request(self.child.address("control")?, Method::GET, "/ledger", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 }
@@ -251,20 +251,20 @@
         text: Vec<u8>,
     ) -> Result<(), FleetError> {
         let path = format!("/documents/{name}?revision={revision}");
-        ask(self.platform.address("control")?, Method::PUT, &path, text).await?;
+        send_request(self.platform.address("control")?, Method::PUT, &path, text).await?;
         Ok(())
     }
 
     /// Causes or ends a fault of the platform.
     pub async fn set_platform_mode(&self, mode: PlatformMode) -> Result<(), FleetError> {
         let body = serde_json::to_vec(&mode)?;
-        ask(self.platform.address("control")?, Method::PUT, "/mode", body).await?;
+        send_request(self.platform.address("control")?, Method::PUT, "/mode", body).await?;
         Ok(())
     }
 
     /// Calls to the platform so far.
     pub async fn platform_calls(&self) -> Result<u64, FleetError> {
-        let answer = ask(self.platform.address("control")?, Method::GET, "/calls", "").await?;
+        let answer = send_request(self.platform.address("control")?, Method::GET, "/calls", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
@@ -279,7 +279,7 @@
 pub async fn wait_ready(entry: &Child) -> Result<(), FleetError> {
     let observe = entry.address("observe")?;
     let waiting = async {
-        while !ask(observe, Method::GET, "/ready", "").await?.status().is_success() {
+        while !send_request(observe, Method::GET, "/ready", "").await?.status().is_success() {
             sleep(READY_LOOK).await;
         }
         Ok(())
--- a/crates/thymeshift_lab/src/http_client.rs
+++ b/crates/thymeshift_lab/src/http_client.rs
@@ -71,7 +71,7 @@
 }
 
 /// Sends `method path` with `body`.
-pub async fn ask(
+pub async fn send_request(
     address: SocketAddr,
     method: Method,
     path: &str,
--- a/crates/thymeshift_lab/tests/fleet.rs
+++ b/crates/thymeshift_lab/tests/fleet.rs
@@ -15,7 +15,7 @@
 use thymeshift_lab::experiment::dump;
 use thymeshift_lab::experiment::sibling_program;
 use thymeshift_lab::experiment::wait_ready;
-use thymeshift_lab::http_client::ask;
+use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::standin::Behaviour;
 use thymeshift_lab::standin::DocumentName;
 use thymeshift_lab::standin::PlatformMode;
@@ -136,13 +136,13 @@
     let alone = single.start_another("").await.expect("a process");
     let caller = alone.address("caller").expect("an address");
     let observe = alone.address("observe").expect("an address");
-    let answer = ask(caller, Method::GET, "/r", "").await.expect("an answer");
+    let answer = send_request(caller, Method::GET, "/r", "").await.expect("an answer");
     assert_eq!(
         (answer.status().as_u16(), &answer.headers()["thymeshift-reason"]),
         (503, &"not_ready".parse().expect("a value"))
     );
-    let ready = ask(observe, Method::GET, "/ready", "").await.expect("an answer");
-    let live = ask(observe, Method::GET, "/live", "").await.expect("an answer");
+    let ready = send_request(observe, Method::GET, "/ready", "").await.expect("an answer");
+    let live = send_request(observe, Method::GET, "/live", "").await.expect("an answer");
     assert_eq!((ready.status().as_u16(), live.status().as_u16()), (503, 200));
     single.platform.set_mode(PlatformMode::Normal);
     wait_ready(&alone).await.expect("ready");
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -12,7 +12,7 @@
 use rustix::process::Signal;
 use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::http_client::AskError;
-use thymeshift_lab::http_client::ask;
+use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::standin::Behaviour;
 use thymeshift_lab::standin::Fault;
 use thymeshift_lab::standin::PlatformMode;
@@ -43,7 +43,7 @@
 }
 
 async fn read(caller: SocketAddr, nonce: usize) -> Result<Response<Bytes>, AskError> {
-    ask(caller, Method::GET, &path(nonce), "").await
+    send_request(caller, Method::GET, &path(nonce), "").await
 }
 
 fn path(nonce: usize) -> String {
@@ -66,7 +66,7 @@
     until("all are on their way", async || standing.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::TERM);
     until("it says that it is not ready", async || {
-        ask(observe, Method::GET, "/ready", "").await.is_ok_and(|answer| answer.status() == 503)
+        send_request(observe, Method::GET, "/ready", "").await.is_ok_and(|answer| answer.status() == 503)
     })
     .await;
     // The balancer has not noticed yet: a new request is still served.
@@ -111,12 +111,12 @@
     let mut held = JoinSet::new();
     for number in 0..3 {
         held.spawn(
-            async move { ask(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await },
+            async move { send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await },
         );
     }
     until("the target is full", async || standing.target.ledger.entries().len() == 4).await;
     let waiting =
-        tokio::spawn(async move { ask(caller, Method::POST, "/w?nonce=waits", "").await });
+        tokio::spawn(async move { send_request(caller, Method::POST, "/w?nonce=waits", "").await });
     tokio::time::sleep(Duration::from_millis(200)).await;
     single.entry.signal(Signal::STOP);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
@@ -150,7 +150,7 @@
     let mut held = JoinSet::new();
     for number in 0..6 {
         held.spawn(
-            async move { ask(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await },
+            async move { send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await },
         );
     }
     until("some are begun", async || standing.target.ledger.entries().len() >= 3).await;
@@ -160,7 +160,7 @@
         assert!(answered.is_err(), "nobody is left who could answer");
     }
     until("the other process serves", async || {
-        ask(other_caller, Method::GET, "/r", "").await.is_ok_and(|answer| answer.status() == 200)
+        send_request(other_caller, Method::GET, "/r", "").await.is_ok_and(|answer| answer.status() == 200)
     })
     .await;
     let entries = standing.target.ledger.entries();
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -12,7 +12,7 @@
 use http::Response;
 use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::experiment::dump;
-use thymeshift_lab::http_client::ask;
+use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::http_client::send_raw;
 use thymeshift_lab::standin::Behaviour;
 use thymeshift_lab::standin::Fault;
@@ -45,7 +45,7 @@
 
 async fn write(caller: SocketAddr, nonce: &str) -> Response<Bytes> {
     let path = format!("/w?nonce={nonce}");
-    ask(caller, Method::POST, &path, "body").await.expect("an answer")
+    send_request(caller, Method::POST, &path, "body").await.expect("an answer")
 }
 
 fn header<'a>(response: &'a Response<Bytes>, name: &str) -> &'a str {
@@ -212,7 +212,7 @@
             for number in 0..requests {
                 let nonce = format!("n{process}-{number}");
                 let line = format!("/r?nonce={nonce}");
-                let answer = ask(caller, Method::GET, &line, "").await.expect("an answer");
+                let answer = send_request(caller, Method::GET, &line, "").await.expect("an answer");
                 assert_ne!(answer.status(), 200, "{note}");
                 if begun(&closing, &nonce) > 0 {
                     ran += 1;
@@ -301,7 +301,7 @@
     let address = raw_target(twice, Then::ReadOn).await;
     let path = path(&[address], "", "").await;
     for number in 0..50 {
-        let answer = ask(path.caller, Method::GET, "/r", "").await.expect("an answer");
+        let answer = send_request(path.caller, Method::GET, "/r", "").await.expect("an answer");
         assert_eq!(answer.body().as_ref(), b"own", "request {number}");
     }
 }
@@ -425,7 +425,7 @@
     let targets =
         [raw_target(refusal, Then::ReadOn).await, raw_target(refusal, Then::ReadOn).await];
     let path = path(&targets, SHEDS, "").await;
-    let answer = ask(path.caller, Method::GET, "/r", "").await.expect("an answer");
+    let answer = send_request(path.caller, Method::GET, "/r", "").await.expect("an answer");
     assert_eq!(answer.status(), 503);
     assert_eq!(header(&answer, "thymeshift-reason"), "queue_full", "the deeper layer's own");
     let dump = dump(&path.single.entry).await.expect("a dump");
