--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -19,7 +19,7 @@
 use crate::experiment::children::Child;
 use crate::experiment::children::ChildError;
 use crate::experiment::children::sibling_program;
-use crate::http_client::AskError;
+use crate::http_client::RequestError;
 use crate::http_client::send_request;
 use crate::standin::Behaviour;
 use crate::standin::Disregarded;
@@ -41,7 +41,7 @@
     Child(ChildError),
     /// A request to a stand-in or entry process.
     #[display("{_0}")]
-    Ask(AskError),
+    Ask(RequestError),
     /// A file.
     #[display("{_0}")]
     Io(std::io::Error),
--- a/crates/thymeshift_lab/src/http_client.rs
+++ b/crates/thymeshift_lab/src/http_client.rs
@@ -25,7 +25,7 @@
 
 /// A request that got no complete answer.
 #[derive(Debug, Display, Error, From)]
-pub enum AskError {
+pub enum RequestError {
     /// The connection could not be opened.
     #[display("connecting: {_0}")]
     Connect(std::io::Error),
@@ -44,7 +44,7 @@
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<Response<Bytes>, AskError> {
+) -> Result<Response<Bytes>, RequestError> {
     send_from(Ipv4Addr::UNSPECIFIED, address, request).await
 }
 
@@ -53,7 +53,7 @@
     own: Ipv4Addr,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<Response<Bytes>, AskError> {
+) -> Result<Response<Bytes>, RequestError> {
     let exchange = async {
         let socket = TcpSocket::new_v4()?;
         socket.bind((own, 0).into())?;
@@ -67,7 +67,7 @@
         driver.abort();
         Ok(Response::from_parts(parts, body))
     };
-    timeout(LIMIT, exchange).await.unwrap_or(Err(AskError::TimedOut))
+    timeout(LIMIT, exchange).await.unwrap_or(Err(RequestError::TimedOut))
 }
 
 /// Sends `method path` with `body`.
@@ -76,7 +76,7 @@
     method: Method,
     path: &str,
     body: impl Into<Bytes>,
-) -> Result<Response<Bytes>, AskError> {
+) -> Result<Response<Bytes>, RequestError> {
     let request = Request::builder().method(method).uri(path);
     let request = request.header(http::header::HOST, address.to_string());
     send(address, request.body(Full::new(body.into()))?).await
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -11,7 +11,7 @@
 use http::Response;
 use rustix::process::Signal;
 use thymeshift_lab::experiment::SingleEntry;
-use thymeshift_lab::http_client::AskError;
+use thymeshift_lab::http_client::RequestError;
 use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::standin::Behaviour;
 use thymeshift_lab::standin::Fault;
@@ -42,7 +42,7 @@
     single.entry.signal(Signal::KILL);
 }
 
-async fn read(caller: SocketAddr, nonce: usize) -> Result<Response<Bytes>, AskError> {
+async fn read(caller: SocketAddr, nonce: usize) -> Result<Response<Bytes>, RequestError> {
     send_request(caller, Method::GET, &path(nonce), "").await
 }
 
