--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -41,7 +41,7 @@
     Child(ChildError),
     /// A request to a stand-in or entry process.
     #[display("{_0}")]
-    Ask(RequestError),
+    Request(RequestError),
     /// A file.
     #[display("{_0}")]
     Io(std::io::Error),
--- a/crates/thymeshift_lab/src/http_client.rs
+++ b/crates/thymeshift_lab/src/http_client.rs
@@ -31,7 +31,7 @@
     Connect(std::io::Error),
     /// The exchange broke.
     #[display("asking: {_0}")]
-    Ask(hyper::Error),
+    Exchange(hyper::Error),
     /// The request could not be made.
     #[display("the request: {_0}")]
     Request(http::Error),
