--- a/crates/thymeshift_lab/src/load/caller.rs
+++ b/crates/thymeshift_lab/src/load/caller.rs
@@ -78,7 +78,7 @@
             .header(CALLED_PROCESS, entry.to_string())
             .body(Full::new(body.clone()));
         let Ok(request) = request else {
-            return CallResult::Nothing;
+            return CallResult::NoAnswer;
         };
         if !self.one_way.is_zero() {
             sleep(self.one_way).await;
@@ -87,7 +87,7 @@
         if !self.one_way.is_zero() {
             sleep(self.one_way).await;
         }
-        told.unwrap_or(CallResult::Nothing)
+        told.unwrap_or(CallResult::NoAnswer)
     }
 
     async fn exchange(
--- a/crates/thymeshift_lab/src/load/result.rs
+++ b/crates/thymeshift_lab/src/load/result.rs
@@ -9,12 +9,12 @@
 use serde_json::json;
 use thymeshift_types::Outcome;
 
-/// Largest latency told apart, in microseconds.
+/// Largest latency results_by_nonce apart, in microseconds.
 const LATENCY_US_MAX: u64 = 120_000_000;
 /// Digits of latency kept.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What a caller was told.
+/// What a caller was results_by_nonce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
     /// The complete answer to its own request.
@@ -28,7 +28,7 @@
     /// A complete answer that is not its own.
     WrongAnswer,
     /// Nothing: no connection, or it broke before any answer.
-    Nothing,
+    NoAnswer,
 }
 
 /// Results of one kind.
@@ -56,8 +56,8 @@
     pub nothing: u64,
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
-    /// What each request was told, by its nonce.
-    pub told: BTreeMap<String, CallResult>,
+    /// What each request was results_by_nonce, by its nonce.
+    pub results_by_nonce: BTreeMap<String, CallResult>,
 }
 
 impl KindResult {
@@ -76,7 +76,7 @@
             nothing: 0,
             latency_us: histogram(),
             refusal_us: histogram(),
-            told: BTreeMap::new(),
+            results_by_nonce: BTreeMap::new(),
         }
     }
 
@@ -98,7 +98,7 @@
             CallResult::Outcome(Outcome::Failed) | CallResult::TargetError => self.failed += 1,
             CallResult::BrokenAnswer => self.broken += 1,
             CallResult::WrongAnswer => self.wrong += 1,
-            CallResult::Nothing => self.nothing += 1,
+            CallResult::NoAnswer => self.nothing += 1,
         }
         self.told.insert(nonce, told);
     }
@@ -108,7 +108,7 @@
         self.latency_us.value_at_quantile(quantile)
     }
 
-    /// Time until refusals were told, at a quantile, in microseconds.
+    /// Time until refusals were results_by_nonce, at a quantile, in microseconds.
     pub fn refusal_us(&self, quantile: f64) -> u64 {
         self.refusal_us.value_at_quantile(quantile)
     }
@@ -121,7 +121,7 @@
     /// Whether every request is accounted for.
     pub fn is_accounted(&self) -> bool {
         let sum = self.answered + self.not_run + self.unknown + self.failed + self.broken;
-        sum + self.wrong + self.nothing == self.sent && self.told.len() as u64 == self.sent
+        sum + self.wrong + self.nothing == self.sent && self.results_by_nonce.len() as u64 == self.sent
     }
 
     fn to_json(&self) -> Value {
--- a/crates/thymeshift_lab/src/load/run.rs
+++ b/crates/thymeshift_lab/src/load/run.rs
@@ -84,7 +84,7 @@
         };
         let nonce = format!("{}-{number}", plan.seed);
         let called = timeout(CALL_LIMIT, callers.call(entry, kind, &nonce)).await;
-        let told = called.unwrap_or(CallResult::Nothing);
+        let told = called.unwrap_or(CallResult::NoAnswer);
         let taken = due_at.elapsed();
         results.lock()[arrival.kind].record(nonce, told, taken, kind.in_time_ms);
     }
