--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -24,7 +24,7 @@
 }
 
 /// A target within the test.
-pub(crate) struct Standing {
+pub(crate) struct TargetStandIn {
     pub(crate) target: Arc<Target>,
     pub(crate) ports: Running,
 }
@@ -45,14 +45,14 @@
     }
 }
 
-pub(crate) async fn target(settings: TargetSettings) -> Standing {
+pub(crate) async fn target(settings: TargetSettings) -> TargetStandIn {
     let target = Target::new(settings);
     let ports = target.start(free()).await.expect("a target");
-    Standing { target, ports }
+    TargetStandIn { target, ports }
 }
 
 /// A target that needs 1 ms for each request.
-pub(crate) async fn quick_target() -> Standing {
+pub(crate) async fn quick_target() -> TargetStandIn {
     let settings = TargetSettings { service_us: 1_000, is_random: false, ..Default::default() };
     target(settings).await
 }
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -23,7 +23,7 @@
 use tokio::net::TcpStream;
 
 use crate::support::RefusingPort;
-use crate::support::Standing;
+use crate::support::TargetStandIn;
 use crate::support::assert_serves;
 use crate::support::configuration;
 use crate::support::quick_target;
@@ -52,7 +52,7 @@
     response.headers().get(name).map_or("", |value| value.to_str().unwrap_or(""))
 }
 
-fn begun(standing: &Standing, nonce: &str) -> u64 {
+fn begun(standing: &TargetStandIn, nonce: &str) -> u64 {
     standing.target.ledger.entries().get(nonce).map_or(0, |entry| entry.begun)
 }
 
