--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -30,8 +30,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_process_told_to_stop_before_it_has_a_configuration_stops() {
-    let standing = quick_target().await;
-    let configuration = configuration(&[standing.ports.address], "", "");
+    let stand_in = quick_target().await;
+    let configuration = configuration(&[stand_in.ports.address], "", "");
     let mut single = SingleEntry::start_unready(&configuration).await.expect("a process");
     single.platform.set_mode(PlatformMode::Silent);
     let mut waiting = single.start_another("").await.expect("another process");
@@ -53,8 +53,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_loses_no_answer() {
     let settings = TargetSettings { service_us: 300_000, is_random: false, ..Default::default() };
-    let standing = target(settings).await;
-    let configuration = configuration(&[standing.ports.address], "", "");
+    let stand_in = target(settings).await;
+    let configuration = configuration(&[stand_in.ports.address], "", "");
     let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let observe = single.entry.address("observe").expect("an address");
@@ -63,7 +63,7 @@
     for number in 0..10 {
         answers.spawn(async move { (number, read(caller, number).await) });
     }
-    until("all are on their way", async || standing.target.ledger.entries().len() >= 3).await;
+    until("all are on their way", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::TERM);
     until("it says that it is not ready", async || {
         send_request(observe, Method::GET, "/ready", "").await.is_ok_and(|answer| answer.status() == 503)
@@ -86,14 +86,14 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_whose_bound_passes_says_so() {
-    let standing = quick_target().await;
-    standing.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
-    let mut configuration = configuration(&[standing.ports.address], "", "");
+    let stand_in = quick_target().await;
+    stand_in.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
+    let mut configuration = configuration(&[stand_in.ports.address], "", "");
     configuration.kinds[0].deadline_ms = 60_000;
     let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let held = tokio::spawn(async move { read(caller, 1).await });
-    until("it is begun", async || standing.target.ledger.entries().contains_key("1")).await;
+    until("it is begun", async || stand_in.target.ledger.entries().contains_key("1")).await;
     single.entry.signal(Signal::TERM);
     let ended = timeout(Duration::from_secs(15), single.entry.wait()).await;
     assert_eq!(ended.expect("it ends").expect("a status").code(), Some(3));
@@ -102,25 +102,25 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_waited_through_a_pause_is_not_sent_after_its_deadline() {
-    let standing = quick_target().await;
-    let configuration = configuration(&[standing.ports.address], "", "");
+    let stand_in = quick_target().await;
+    let configuration = configuration(&[stand_in.ports.address], "", "");
     let single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     assert_serves(caller, "before").await;
-    standing.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
+    stand_in.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
     let mut held = JoinSet::new();
     for number in 0..3 {
         held.spawn(
             async move { send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await },
         );
     }
-    until("the target is full", async || standing.target.ledger.entries().len() == 4).await;
+    until("the target is full", async || stand_in.target.ledger.entries().len() == 4).await;
     let waiting =
         tokio::spawn(async move { send_request(caller, Method::POST, "/w?nonce=waits", "").await });
     tokio::time::sleep(Duration::from_millis(200)).await;
     single.entry.signal(Signal::STOP);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    standing.target.set_behaviour(Behaviour::default());
+    stand_in.target.set_behaviour(Behaviour::default());
     tokio::time::sleep(Duration::from_millis(200)).await;
     single.entry.signal(Signal::CONT);
     let resumed = Instant::now();
@@ -128,7 +128,7 @@
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.headers()["thymeshift-outcome"], "not_run");
     assert!(resumed.elapsed() < Duration::from_secs(1), "told at once");
-    assert!(!standing.target.ledger.entries().contains_key("waits"), "and it did not run");
+    assert!(!stand_in.target.ledger.entries().contains_key("waits"), "and it did not run");
     until("the pause was noticed", async || {
         single.log().is_ok_and(|log| log.contains("event=process_was_paused"))
     })
@@ -139,8 +139,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_process_loses_its_own_requests_and_nothing_runs_twice() {
     let settings = TargetSettings { service_us: 200_000, is_random: false, ..Default::default() };
-    let standing = target(settings).await;
-    let good = configuration(&[standing.ports.address], "", "");
+    let stand_in = target(settings).await;
+    let good = configuration(&[stand_in.ports.address], "", "");
     let mut single = SingleEntry::start(&good).await.expect("a process");
     let other = single.start_another("").await.expect("another process");
     let (caller, other_caller) = (
@@ -153,7 +153,7 @@
             async move { send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await },
         );
     }
-    until("some are begun", async || standing.target.ledger.entries().len() >= 3).await;
+    until("some are begun", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::KILL);
     while let Some(answered) = held.join_next().await {
         let answered = answered.expect("no panic");
@@ -163,7 +163,7 @@
         send_request(other_caller, Method::GET, "/r", "").await.is_ok_and(|answer| answer.status() == 200)
     })
     .await;
-    let entries = standing.target.ledger.entries();
+    let entries = stand_in.target.ledger.entries();
     let unsafe_runs = entries.iter().filter(|(nonce, _)| nonce.starts_with('k'));
     assert!(unsafe_runs.clone().all(|(_, entry)| entry.begun == 1), "{entries:?}");
     assert!(unsafe_runs.count() >= 3);
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -52,8 +52,8 @@
     response.headers().get(name).map_or("", |value| value.to_str().unwrap_or(""))
 }
 
-fn begun(standing: &TargetStandIn, nonce: &str) -> u64 {
-    standing.target.ledger.entries().get(nonce).map_or(0, |entry| entry.begun)
+fn begun(stand_in: &TargetStandIn, nonce: &str) -> u64 {
+    stand_in.target.ledger.entries().get(nonce).map_or(0, |entry| entry.begun)
 }
 
 fn fault(fault: Fault) -> Behaviour {
@@ -114,20 +114,20 @@
             begun: 0,
         },
     ];
-    let standing = quick_target().await;
+    let stand_in = quick_target().await;
     let other = quick_target().await;
-    let path = path(&[standing.ports.address, other.ports.address], "", "").await;
+    let path = path(&[stand_in.ports.address, other.ports.address], "", "").await;
     for case in cases {
-        standing.target.set_behaviour(fault(case.fault));
+        stand_in.target.set_behaviour(fault(case.fault));
         other.target.set_behaviour(fault(case.fault));
         let nonce = case.name.replace([' ', ','], "_");
         let answer = write(path.caller, &nonce).await;
         assert_eq!(answer.status(), case.status, "{}", case.name);
         assert_eq!(header(&answer, "thymeshift-outcome"), case.outcome, "{}", case.name);
         assert_eq!(header(&answer, "thymeshift-reason"), case.reason, "{}", case.name);
-        let runs = begun(&standing, &nonce) + begun(&other, &nonce);
+        let runs = begun(&stand_in, &nonce) + begun(&other, &nonce);
         assert_eq!(runs, case.begun, "{}", case.name);
-        standing.target.set_behaviour(Behaviour::default());
+        stand_in.target.set_behaviour(Behaviour::default());
         other.target.set_behaviour(Behaviour::default());
         assert_serves(path.caller, case.name).await;
     }
@@ -239,9 +239,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_answer_cut_short_reaches_the_caller_as_a_broken_one() {
-    let standing = quick_target().await;
-    standing.target.set_behaviour(fault(Fault::Cutting));
-    let path = path(&[standing.ports.address], "", "").await;
+    let stand_in = quick_target().await;
+    stand_in.target.set_behaviour(fault(Fault::Cutting));
+    let path = path(&[stand_in.ports.address], "", "").await;
     let request = "GET /r?bytes=1000 HTTP/1.1\r\nhost: x\r\n\r\n";
     let limit = Duration::from_secs(5);
     let started = Instant::now();
@@ -309,15 +309,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_late_answer_reaches_nobody_else() {
     let settings = TargetSettings { service_us: 1_000, is_random: false, ..Default::default() };
-    let standing = target(settings).await;
-    standing.target.set_behaviour(Behaviour { late_ms: 300, ..Behaviour::default() });
-    let path = path(&[standing.ports.address], "", "").await;
+    let stand_in = target(settings).await;
+    stand_in.target.set_behaviour(Behaviour { late_ms: 300, ..Behaviour::default() });
+    let path = path(&[stand_in.ports.address], "", "").await;
     let request = "GET /r?nonce=late HTTP/1.1\r\nhost: x\r\nthymeshift-timeout-ms: 100\r\n\r\n";
     let limit = Duration::from_millis(250);
     let answer = send_raw(path.caller, request.as_bytes(), limit).await.expect("an answer");
     let text = String::from_utf8_lossy(&answer);
     assert!(text.contains("504") && text.contains("thymeshift-outcome: unknown"), "{text}");
-    standing.target.set_behaviour(Behaviour::default());
+    stand_in.target.set_behaviour(Behaviour::default());
     for _ in 0..20 {
         assert_serves(path.caller, "after a late answer").await;
     }
@@ -345,19 +345,19 @@
     for Leaving { note, behind, is_reset } in cases {
         let settings =
             TargetSettings { service_us: 1_500_000, is_random: false, ..Default::default() };
-        let standing = target(settings).await;
-        let path = path(&[standing.ports.address], "", "").await;
+        let stand_in = target(settings).await;
+        let path = path(&[stand_in.ports.address], "", "").await;
         let mut caller = TcpStream::connect(path.caller).await.expect("a connection");
         let first = b"GET /r?nonce=gone HTTP/1.1\r\nhost: x\r\n\r\n";
         caller.write_all(first).await.expect("sent");
         caller.write_all(behind.as_bytes()).await.expect("sent");
-        until("the request is begun", async || begun(&standing, "gone") == 1).await;
+        until("the request is begun", async || begun(&stand_in, "gone") == 1).await;
         if is_reset {
             caller.set_zero_linger().expect("an option");
         }
         drop(caller);
         tokio::time::sleep(Duration::from_millis(1_800)).await;
-        let entries = standing.target.ledger.entries();
+        let entries = stand_in.target.ledger.entries();
         let entry = entries["gone"];
         assert_eq!((entry.begun, entry.finished), (1, 0), "{note}: the target was told to stop");
         // What may be repeated may have been begun; it is taken back, too.
@@ -394,15 +394,15 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_full_queue_is_refused_at_once_with_a_time_to_come_back() {
-    let standing = quick_target().await;
-    standing.target.set_behaviour(fault(Fault::Frozen));
-    let path = path(&[standing.ports.address], "", "    queue_max: 1\n").await;
+    let stand_in = quick_target().await;
+    stand_in.target.set_behaviour(fault(Fault::Frozen));
+    let path = path(&[stand_in.ports.address], "", "    queue_max: 1\n").await;
     let caller = path.caller;
     // The slots of the target are taken, and so is the only place in the queue.
     for number in 0..3 {
         tokio::spawn(async move { write(caller, &format!("held{number}")).await });
     }
-    until("the target is full", async || standing.target.ledger.entries().len() == 3).await;
+    until("the target is full", async || stand_in.target.ledger.entries().len() == 3).await;
     tokio::spawn(async move { write(caller, "waits").await });
     until("the queue is full", async || {
         let dump = dump(&path.single.entry).await.expect("a dump");
