--- a/crates/thymeshift_lab/tests/fleet.rs
+++ b/crates/thymeshift_lab/tests/fleet.rs
@@ -30,7 +30,7 @@
 use crate::support::assert_serves;
 use crate::support::configuration;
 use crate::support::quick_target;
-use crate::support::until;
+use crate::support::wait_until;
 
 /// Two entry processes that know each other.
 struct Pair {
@@ -69,7 +69,7 @@
     let Pair { mut single, second } = pair(&configuration).await;
     configuration.limits.depth_max = 8;
     single.platform.publish(DocumentName::Configuration, 5, json(&configuration));
-    until("both run revision 5", async || {
+    wait_until("both run revision 5", async || {
         revision(&single.entry).await == 5 && revision(&second).await == 5
     })
     .await;
@@ -83,7 +83,7 @@
     for mode in faults {
         single.platform.set_mode(mode);
         let calls = single.platform.calls();
-        until("the platform was asked", async || single.platform.calls() > calls).await;
+        wait_until("the platform was asked", async || single.platform.calls() > calls).await;
         // A process that starts now asks its peers and runs what they run.
         let fresh = beside(&mut single).await;
         wait_ready(&fresh).await.expect("ready");
@@ -100,7 +100,7 @@
     let good = configuration(&[target.ports.address], "", "");
     let Pair { single, second } = pair(&good).await;
     single.platform.publish(DocumentName::Configuration, 2, "entry_vms_max: none\n");
-    until("a rejection is reported", async || {
+    wait_until("a rejection is reported", async || {
         let (first, second) = (state(&single.entry).await, state(&second).await);
         first.configuration.rejection.or(second.configuration.rejection).is_some_and(|rejection| {
             rejection.mistakes.contains("line 1, column 16: entry_vms_max: found 'none'")
@@ -111,7 +111,7 @@
     let mut mended = good.clone();
     mended.limits.depth_max = 7;
     single.platform.publish(DocumentName::Configuration, 3, json(&mended));
-    until("both run revision 3", async || {
+    wait_until("both run revision 3", async || {
         revision(&single.entry).await == 3 && revision(&second).await == 3
     })
     .await;
@@ -159,12 +159,12 @@
     single.platform.set_mode(PlatformMode::Silent);
     leaving.target.set_behaviour(Behaviour { is_draining: true, ..Behaviour::default() });
     let first_caller = single.entry.address("caller").expect("an address");
-    until("the first process has heard of it", async || {
+    wait_until("the first process has heard of it", async || {
         assert_serves(first_caller, "while it drains").await;
         !state(&single.entry).await.leaving.is_empty()
     })
     .await;
-    until("the second one as well", async || !state(&second).await.leaving.is_empty()).await;
+    wait_until("the second one as well", async || !state(&second).await.leaving.is_empty()).await;
     let begun = || leaving.target.ledger.entries().get("good").map_or(0, |entry| entry.begun);
     let before = begun();
     let second_caller = second.address("caller").expect("an address");
@@ -200,7 +200,7 @@
             let held = [state(&single.entry).await.orders, state(&second).await.orders];
             held.map(|orders| orders.first().map(|order| (order.stamp.clone(), order.change)))
         };
-        until("both hold the same order", async || {
+        wait_until("both hold the same order", async || {
             let [first, second] = stamps().await;
             first.is_some() && first == second
         })
@@ -209,7 +209,7 @@
             panic!("round {round}: no order");
         };
         let expected = if change == OrderChange::Stop { "stopped" } else { "open" };
-        until("and both act on it", async || {
+        wait_until("and both act on it", async || {
             let dumps = [state(&single.entry).await, state(&second).await];
             dumps.iter().all(|dump| dump.services[0].targets[0].usability.to_string() == expected)
         })
@@ -221,7 +221,7 @@
 async fn the_operators_program_asks_and_tells() {
     let target = quick_target().await;
     let Pair { single, second } = pair(&configuration(&[target.ports.address], "", "")).await;
-    until("they know each other", async || state(&single.entry).await.members.len() == 1).await;
+    wait_until("they know each other", async || state(&single.entry).await.members.len() == 1).await;
     let control = single.entry.address("control").expect("an address").to_string();
     let program = sibling_program("thymeshiftctl").expect("a program");
     let run = |arguments: Vec<&str>| {
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -26,7 +26,7 @@
 use crate::support::configuration;
 use crate::support::quick_target;
 use crate::support::target;
-use crate::support::until;
+use crate::support::wait_until;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_process_told_to_stop_before_it_has_a_configuration_stops() {
@@ -35,7 +35,7 @@
     let mut single = SingleEntry::start_unready(&configuration).await.expect("a process");
     single.platform.set_mode(PlatformMode::Silent);
     let mut waiting = single.start_another("").await.expect("another process");
-    until("it has begun to ask", async || single.platform.calls() > 1).await;
+    wait_until("it has begun to ask", async || single.platform.calls() > 1).await;
     waiting.signal(Signal::TERM);
     let ended = timeout(LIMIT, waiting.wait()).await.expect("it ends").expect("a status");
     assert_eq!(ended.code(), Some(0));
@@ -63,9 +63,9 @@
     for number in 0..10 {
         answers.spawn(async move { (number, read(caller, number).await) });
     }
-    until("all are on their way", async || stand_in.target.ledger.entries().len() >= 3).await;
+    wait_until("all are on their way", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::TERM);
-    until("it says that it is not ready", async || {
+    wait_until("it says that it is not ready", async || {
         send_request(observe, Method::GET, "/ready", "").await.is_ok_and(|answer| answer.status() == 503)
     })
     .await;
@@ -93,7 +93,7 @@
     let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let held = tokio::spawn(async move { read(caller, 1).await });
-    until("it is begun", async || stand_in.target.ledger.entries().contains_key("1")).await;
+    wait_until("it is begun", async || stand_in.target.ledger.entries().contains_key("1")).await;
     single.entry.signal(Signal::TERM);
     let ended = timeout(Duration::from_secs(15), single.entry.wait()).await;
     assert_eq!(ended.expect("it ends").expect("a status").code(), Some(3));
@@ -114,7 +114,7 @@
             async move { send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await },
         );
     }
-    until("the target is full", async || stand_in.target.ledger.entries().len() == 4).await;
+    wait_until("the target is full", async || stand_in.target.ledger.entries().len() == 4).await;
     let waiting =
         tokio::spawn(async move { send_request(caller, Method::POST, "/w?nonce=waits", "").await });
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -129,7 +129,7 @@
     assert_eq!(answer.headers()["thymeshift-outcome"], "not_run");
     assert!(resumed.elapsed() < Duration::from_secs(1), "told at once");
     assert!(!stand_in.target.ledger.entries().contains_key("waits"), "and it did not run");
-    until("the pause was noticed", async || {
+    wait_until("the pause was noticed", async || {
         single.log().is_ok_and(|log| log.contains("event=process_was_paused"))
     })
     .await;
@@ -153,13 +153,13 @@
             async move { send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await },
         );
     }
-    until("some are begun", async || stand_in.target.ledger.entries().len() >= 3).await;
+    wait_until("some are begun", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::KILL);
     while let Some(answered) = held.join_next().await {
         let answered = answered.expect("no panic");
         assert!(answered.is_err(), "nobody is left who could answer");
     }
-    until("the other process serves", async || {
+    wait_until("the other process serves", async || {
         send_request(other_caller, Method::GET, "/r", "").await.is_ok_and(|answer| answer.status() == 200)
     })
     .await;
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -97,7 +97,7 @@
 }
 
 /// Waits until `is_so` holds.
-pub(crate) async fn until<F: Future<Output = bool>>(note: &str, mut is_so: impl FnMut() -> F) {
+pub(crate) async fn wait_until<F: Future<Output = bool>>(note: &str, mut is_so: impl FnMut() -> F) {
     let waiting = async {
         while !is_so().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -28,7 +28,7 @@
 use crate::support::configuration;
 use crate::support::quick_target;
 use crate::support::target;
-use crate::support::until;
+use crate::support::wait_until;
 
 const SHEDS: &str = "    shed_means_not_run: true\n";
 
@@ -351,7 +351,7 @@
         let first = b"GET /r?nonce=gone HTTP/1.1\r\nhost: x\r\n\r\n";
         caller.write_all(first).await.expect("sent");
         caller.write_all(behind.as_bytes()).await.expect("sent");
-        until("the request is begun", async || begun(&stand_in, "gone") == 1).await;
+        wait_until("the request is begun", async || begun(&stand_in, "gone") == 1).await;
         if is_reset {
             caller.set_zero_linger().expect("an option");
         }
@@ -373,7 +373,7 @@
     let staying = quick_target().await;
     let path = path(&[leaving.ports.address, staying.ports.address], "", "").await;
     leaving.target.set_behaviour(Behaviour { is_draining: true, ..Behaviour::default() });
-    until("the entry process has heard of it", async || {
+    wait_until("the entry process has heard of it", async || {
         assert_serves(path.caller, "while it drains").await;
         path.single.log().is_ok_and(|log| log.contains("event=target_leaving"))
     })
@@ -402,9 +402,9 @@
     for number in 0..3 {
         tokio::spawn(async move { write(caller, &format!("held{number}")).await });
     }
-    until("the target is full", async || stand_in.target.ledger.entries().len() == 3).await;
+    wait_until("the target is full", async || stand_in.target.ledger.entries().len() == 3).await;
     tokio::spawn(async move { write(caller, "waits").await });
-    until("the queue is full", async || {
+    wait_until("the queue is full", async || {
         let dump = dump(&path.single.entry).await.expect("a dump");
         dump.services[0].queues.first().is_some_and(|queue| queue.waiting == 1)
     })
