--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -51,10 +51,10 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Platform => {
-            single_thread(async { stand(Platform::new().start(free()).await?).await })
+            single_thread(async { stand(Platform::new().start(any_local_port()).await?).await })
         }
         Command::Target(settings) => {
-            single_thread(async { stand(Target::new(settings).start(free()).await?).await })
+            single_thread(async { stand(Target::new(settings).start(any_local_port()).await?).await })
         }
         Command::Load { plan, json } => many_threads(async {
             let result = load::run(plan).await;
@@ -97,7 +97,7 @@
     }
 }
 
-fn free() -> SocketAddr {
+fn any_local_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
