--- a/crates/thymeshift_lab/tests/fleet.rs
+++ b/crates/thymeshift_lab/tests/fleet.rs
@@ -40,12 +40,12 @@
 
 async fn pair(configuration: &Configuration) -> Pair {
     let mut single = SingleEntry::start(configuration).await.expect("a process");
-    let second = beside(&mut single).await;
+    let second = start_second_entry(&mut single).await;
     wait_ready(&second).await.expect("ready");
     Pair { single, second }
 }
 
-async fn beside(single: &mut SingleEntry) -> Child {
+async fn start_second_entry(single: &mut SingleEntry) -> Child {
     let peer = single.entry.address("peer").expect("an address");
     single.start_another(&format!("peers: ['{peer}']\n")).await.expect("another process")
 }
@@ -85,7 +85,7 @@
         let calls = single.platform.calls();
         wait_until("the platform was asked", async || single.platform.calls() > calls).await;
         // A process that starts now asks its peers and runs what they run.
-        let fresh = beside(&mut single).await;
+        let fresh = start_second_entry(&mut single).await;
         wait_ready(&fresh).await.expect("ready");
         for entry in [&single.entry, &second, &fresh] {
             assert_eq!(revision(entry).await, 5, "{mode:?}");
