--- a/crates/thymeshift_lab/src/load/plan.rs
+++ b/crates/thymeshift_lab/src/load/plan.rs
@@ -76,7 +76,7 @@
     }
 
     /// The one for request number `number`.
-    pub(crate) fn turn(&self, number: usize) -> Option<SocketAddr> {
+    pub(crate) fn entry_for_request(&self, number: usize) -> Option<SocketAddr> {
         let addresses = self.0.read();
         addresses.get(number % addresses.len().max(1)).copied()
     }
--- a/crates/thymeshift_lab/src/load/run.rs
+++ b/crates/thymeshift_lab/src/load/run.rs
@@ -79,7 +79,7 @@
     async fn run(self) {
         let Self { plan, callers, results, arrival, number, due_at } = self;
         let kind = &plan.kinds[arrival.kind];
-        let Some(entry) = plan.entries.turn(number) else {
+        let Some(entry) = plan.entries.entry_for_request(number) else {
             return;
         };
         let nonce = format!("{}-{number}", plan.seed);
