--- a/crates/thymeshift_lab/src/load/result.rs
+++ b/crates/thymeshift_lab/src/load/result.rs
@@ -9,12 +9,12 @@
 use serde_json::json;
 use thymeshift_types::Outcome;
 
-/// Largest latency results_by_nonce apart, in microseconds.
+/// Largest latency told apart, in microseconds.
 const LATENCY_US_MAX: u64 = 120_000_000;
 /// Digits of latency kept.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What a caller was results_by_nonce.
+/// What a caller was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
     /// The complete answer to its own request.
@@ -56,7 +56,7 @@
     pub nothing: u64,
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
-    /// What each request was results_by_nonce, by its nonce.
+    /// What each request was told, by its nonce.
     pub results_by_nonce: BTreeMap<String, CallResult>,
 }
 
@@ -81,10 +81,10 @@
     }
 
     /// Takes in what became of the request with this nonce.
-    pub fn record(&mut self, nonce: String, told: CallResult, taken: Duration, in_time_ms: u64) {
+    pub fn record(&mut self, nonce: String, result: CallResult, taken: Duration, in_time_ms: u64) {
         self.sent += 1;
         let taken_us = (taken.as_micros() as u64).clamp(1, LATENCY_US_MAX);
-        match told {
+        match result {
             CallResult::Answered => {
                 self.answered += 1;
                 self.in_time += u64::from(taken.as_millis() as u64 <= in_time_ms);
@@ -100,7 +100,7 @@
             CallResult::WrongAnswer => self.wrong += 1,
             CallResult::NoAnswer => self.nothing += 1,
         }
-        self.told.insert(nonce, told);
+        self.results_by_nonce.insert(nonce, result);
     }
 
     /// Latency of complete answers at a quantile, in microseconds.
@@ -108,7 +108,7 @@
         self.latency_us.value_at_quantile(quantile)
     }
 
-    /// Time until refusals were results_by_nonce, at a quantile, in microseconds.
+    /// Time until refusals were told, at a quantile, in microseconds.
     pub fn refusal_us(&self, quantile: f64) -> u64 {
         self.refusal_us.value_at_quantile(quantile)
     }
