--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -79,7 +79,11 @@
 }
 
 /// Runs the demo.
-pub async fn demo(folder: &Path, entries: usize, duration: Duration) -> Result<DemoReport, FleetError> {
+pub async fn demo(
+    folder: &Path,
+    entries: usize,
+    duration: Duration,
+) -> Result<DemoReport, FleetError> {
     let plan = FleetPlan { worker_threads: 2, ..tariff_plan(PathBuf::from(folder), entries)? };
     let fleet = Fleet::start(plan).await?;
     let load = LoadPlan {
--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -112,19 +112,22 @@
 
     /// Most requests that it got in a window, in parts of what its limit allows.
     pub async fn worst_window(&self) -> Result<f64, FleetError> {
-        let answer = send_request(self.child.address("control")?, Method::GET, "/limit", "").await?;
+        let answer =
+            send_request(self.child.address("control")?, Method::GET, "/limit", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
     /// What reached it against what it had said, by the process that sent it.
     pub async fn disregarded(&self) -> Result<HashMap<String, Disregarded>, FleetError> {
-        let answer = send_request(self.child.address("control")?, Method::GET, "/statements", "").await?;
+        let answer =
+            send_request(self.child.address("control")?, Method::GET, "/statements", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
     /// What it ran.
     pub async fn ledger(&self) -> Result<BTreeMap<String, LedgerEntry>, FleetError> {
-        let answer = send_request(self.child.address("control")?, Method::GET, "/ledger", "").await?;
+        let answer =
+            send_request(self.child.address("control")?, Method::GET, "/ledger", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 }
@@ -264,7 +267,8 @@
 
     /// Calls to the platform so far.
     pub async fn platform_calls(&self) -> Result<u64, FleetError> {
-        let answer = send_request(self.platform.address("control")?, Method::GET, "/calls", "").await?;
+        let answer =
+            send_request(self.platform.address("control")?, Method::GET, "/calls", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -118,7 +118,11 @@
 
 /// Replaces the oldest processes one by one. Returns the lowest revision that a new one had
 /// in force when it was ready.
-async fn replace(fleet: &mut Fleet, balancer: &EntryAddresses, count: usize) -> Result<u64, FleetError> {
+async fn replace(
+    fleet: &mut Fleet,
+    balancer: &EntryAddresses,
+    count: usize,
+) -> Result<u64, FleetError> {
     let mut lowest = u64::MAX;
     for _ in 0..count {
         let fresh = fleet.start_entry().await?;
--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -54,9 +54,13 @@
             Self::NoisyNeighbours => noisy,
             Self::Stale(stale_ms) => Behaviour { reports: Reports::Stale, stale_ms, ..good },
             Self::NoisyAndStale => Behaviour { reports: Reports::Stale, stale_ms: 100, ..noisy },
-            Self::MisreportingTarget if index == 0 => Behaviour { reports: Reports::Idle, slowness: 3.0, ..good },
+            Self::MisreportingTarget if index == 0 => {
+                Behaviour { reports: Reports::Idle, slowness: 3.0, ..good }
+            }
             Self::FastFailer if index == 0 => Behaviour { fault: Fault::Failing, ..good },
-            Self::GradualSlowdown if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
+            Self::GradualSlowdown if index == 0 => {
+                Behaviour { slowness: 1.0 + 9.0 * share, ..good }
+            }
             Self::Drain if index == 0 => Behaviour { is_draining: share > 0.4, ..good },
             _ => good,
         }
--- a/crates/thymeshift_lab/src/experiment/soak_fault.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_fault.rs
@@ -123,7 +123,8 @@
         if at >= duration {
             return faults;
         }
-        let fault = if is_planned_only { planned(rng, entries) } else { any(rng, entries, targets) };
+        let fault =
+            if is_planned_only { planned(rng, entries) } else { any(rng, entries, targets) };
         faults.push(TimedFault { at, fault });
     }
 }
--- a/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_rate_limit.rs
@@ -36,7 +36,10 @@
 }
 
 /// The targets name their limits from now on.
-pub(super) async fn apply_rate_limits(fleet: &Fleet, needs: &[SoakRateLimit]) -> Result<(), FleetError> {
+pub(super) async fn apply_rate_limits(
+    fleet: &Fleet,
+    needs: &[SoakRateLimit],
+) -> Result<(), FleetError> {
     for need in needs {
         fleet.targets[need.target].set_stated_limit(Some(need.limit_per_s)).await?;
     }
@@ -44,7 +47,10 @@
 }
 
 /// Most requests that a target in need got in a window, in parts of what is allowed.
-pub(super) async fn worst_window(fleet: &Fleet, needs: &[SoakRateLimit]) -> Result<f64, FleetError> {
+pub(super) async fn worst_window(
+    fleet: &Fleet,
+    needs: &[SoakRateLimit],
+) -> Result<f64, FleetError> {
     let mut worst: f64 = 0.0;
     for need in needs {
         worst = worst.max(fleet.targets[need.target].worst_window().await?);
--- a/crates/thymeshift_lab/src/experiment/violations.rs
+++ b/crates/thymeshift_lab/src/experiment/violations.rs
@@ -5,8 +5,8 @@
 
 use thymeshift_types::Outcome;
 
-use crate::load::LoadResult;
 use crate::load::CallResult;
+use crate::load::LoadResult;
 use crate::standin::LedgerEntry;
 
 /// Violations of the promises, counted. All must be 0.
@@ -57,15 +57,16 @@
         let is_unsafe = unsafe_kinds.contains(&kind.name.as_str());
         violations.wrong_answers += kind.wrong;
         violations.unaccounted += u64::from(!kind.is_accounted());
-        for (nonce, result) in &kind.results_by_nonce {
+        for (nonce, call_result) in &kind.results_by_nonce {
             let entries = ledgers.iter().filter_map(|ledger| ledger.get(nonce));
             let (begun, finished) = entries.fold((0, 0), |(begun, finished), entry| {
                 (begun + entry.begun, finished + entry.finished)
             });
-            let is_not_run = *result == CallResult::Outcome(Outcome::NotRun);
+            let is_not_run = *call_result == CallResult::Outcome(Outcome::NotRun);
             violations.ran_although_not_run += u64::from(is_not_run && begun > 0);
             violations.unsafe_run_twice += u64::from(is_unsafe && begun > 1);
-            violations.answered_without_run += u64::from(*result == CallResult::Answered && finished == 0);
+            violations.answered_without_run +=
+                u64::from(*call_result == CallResult::Answered && finished == 0);
         }
     }
     violations
--- a/crates/thymeshift_lab/src/load/caller.rs
+++ b/crates/thymeshift_lab/src/load/caller.rs
@@ -19,8 +19,8 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use crate::load::KindLoad;
 use crate::load::CallResult;
+use crate::load::KindLoad;
 use crate::standin::CALLED_PROCESS;
 use crate::standin::expected_answer;
 
--- a/crates/thymeshift_lab/src/load/closed.rs
+++ b/crates/thymeshift_lab/src/load/closed.rs
@@ -10,8 +10,8 @@
 
 use tokio::task::JoinSet;
 
-use crate::load::KindLoad;
 use crate::load::CallResult;
+use crate::load::KindLoad;
 use crate::load::caller::Callers;
 
 /// Complete answers within `duration` over `connections` connections.
--- a/crates/thymeshift_lab/src/load/mod.rs
+++ b/crates/thymeshift_lab/src/load/mod.rs
@@ -19,7 +19,7 @@
 pub use plot::PlotError;
 pub use plot::Series;
 pub use plot::draw;
+pub use result::CallResult;
 pub use result::KindResult;
 pub use result::LoadResult;
-pub use result::CallResult;
 pub use run::run;
--- a/crates/thymeshift_lab/src/load/result.rs
+++ b/crates/thymeshift_lab/src/load/result.rs
@@ -121,7 +121,8 @@
     /// Whether every request is accounted for.
     pub fn is_accounted(&self) -> bool {
         let sum = self.answered + self.not_run + self.unknown + self.failed + self.broken;
-        sum + self.wrong + self.nothing == self.sent && self.results_by_nonce.len() as u64 == self.sent
+        sum + self.wrong + self.nothing == self.sent
+            && self.results_by_nonce.len() as u64 == self.sent
     }
 
     fn to_json(&self) -> Value {
--- a/crates/thymeshift_lab/src/load/run.rs
+++ b/crates/thymeshift_lab/src/load/run.rs
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
+use crate::load::CallResult;
 use crate::load::KindResult;
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
-use crate::load::CallResult;
 use crate::load::arrivals::Arrival;
 use crate::load::arrivals::arrivals;
 use crate::load::caller::Callers;
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -13,8 +13,8 @@
 use thymeshift_lab::experiment;
 use thymeshift_lab::experiment::ConfigurationSize;
 use thymeshift_lab::experiment::ControlCost;
-use thymeshift_lab::experiment::ScenarioRow;
 use thymeshift_lab::experiment::ScenarioPlan;
+use thymeshift_lab::experiment::ScenarioRow;
 use thymeshift_lab::experiment::SoakPlan;
 use thymeshift_lab::load;
 use thymeshift_lab::replay;
@@ -53,9 +53,9 @@
         Command::Platform => {
             single_thread(async { stand(Platform::new().start(any_local_port()).await?).await })
         }
-        Command::Target(settings) => {
-            single_thread(async { stand(Target::new(settings).start(any_local_port()).await?).await })
-        }
+        Command::Target(settings) => single_thread(async {
+            stand(Target::new(settings).start(any_local_port()).await?).await
+        }),
         Command::Load { plan, json } => many_threads(async {
             let result = load::run(plan).await;
             let text = if json { format!("{}\n", result.to_json()) } else { result.to_string() };
--- a/crates/thymeshift_lab/tests/fleet.rs
+++ b/crates/thymeshift_lab/tests/fleet.rs
@@ -221,7 +221,8 @@
 async fn the_operators_program_asks_and_tells() {
     let target = quick_target().await;
     let Pair { single, second } = pair(&configuration(&[target.ports.address], "", "")).await;
-    wait_until("they know each other", async || state(&single.entry).await.members.len() == 1).await;
+    wait_until("they know each other", async || state(&single.entry).await.members.len() == 1)
+        .await;
     let control = single.entry.address("control").expect("an address").to_string();
     let program = sibling_program("thymeshiftctl").expect("a program");
     let run = |arguments: Vec<&str>| {
--- a/crates/thymeshift_lab/tests/soak.rs
+++ b/crates/thymeshift_lab/tests/soak.rs
@@ -11,9 +11,9 @@
 use thymeshift_lab::experiment::draw_faults;
 use thymeshift_lab::experiment::soak;
 use thymeshift_lab::experiment::tariff_configuration;
+use thymeshift_lab::load::CallResult;
 use thymeshift_lab::load::KindResult;
 use thymeshift_lab::load::LoadResult;
-use thymeshift_lab::load::CallResult;
 use thymeshift_lab::standin::Proxy;
 use thymeshift_lab::standin::ProxyMode;
 use thymeshift_types::Outcome;
@@ -147,7 +147,13 @@
 #[test]
 fn a_seed_draws_the_same_faults_again_and_a_planned_only_run_planned_work_alone() {
     let draw = |seed, is_planned_only| {
-        draw_faults(&mut SmallRng::seed_from_u64(seed), 4, 30, Duration::from_secs(20), is_planned_only)
+        draw_faults(
+            &mut SmallRng::seed_from_u64(seed),
+            4,
+            30,
+            Duration::from_secs(20),
+            is_planned_only,
+        )
     };
     for seed in 0..20 {
         let faults = draw(seed, false);
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -66,7 +66,9 @@
     wait_until("all are on their way", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::TERM);
     wait_until("it says that it is not ready", async || {
-        send_request(observe, Method::GET, "/ready", "").await.is_ok_and(|answer| answer.status() == 503)
+        send_request(observe, Method::GET, "/ready", "")
+            .await
+            .is_ok_and(|answer| answer.status() == 503)
     })
     .await;
     // The balancer has not noticed yet: a new request is still served.
@@ -110,9 +112,9 @@
     stand_in.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
     let mut held = JoinSet::new();
     for number in 0..3 {
-        held.spawn(
-            async move { send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await },
-        );
+        held.spawn(async move {
+            send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await
+        });
     }
     wait_until("the target is full", async || stand_in.target.ledger.entries().len() == 4).await;
     let waiting =
@@ -149,9 +151,9 @@
     );
     let mut held = JoinSet::new();
     for number in 0..6 {
-        held.spawn(
-            async move { send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await },
-        );
+        held.spawn(async move {
+            send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await
+        });
     }
     wait_until("some are begun", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::KILL);
@@ -160,7 +162,9 @@
         assert!(answered.is_err(), "nobody is left who could answer");
     }
     wait_until("the other process serves", async || {
-        send_request(other_caller, Method::GET, "/r", "").await.is_ok_and(|answer| answer.status() == 200)
+        send_request(other_caller, Method::GET, "/r", "")
+            .await
+            .is_ok_and(|answer| answer.status() == 200)
     })
     .await;
     let entries = stand_in.target.ledger.entries();
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -91,7 +91,8 @@
 /// Asserts that a plain request is answered in full.
 pub(crate) async fn assert_serves(caller: SocketAddr, note: &str) {
     let path = "/r?nonce=good&bytes=300";
-    let answer = send_request(caller, Method::GET, path, "").await.unwrap_or_else(|e| panic!("{note}: {e}"));
+    let answer =
+        send_request(caller, Method::GET, path, "").await.unwrap_or_else(|e| panic!("{note}: {e}"));
     assert_eq!(answer.status(), 200, "{note}");
     assert_eq!(answer.body().as_ref(), expected_answer(path, b"", 300), "{note}");
 }
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -12,8 +12,8 @@
 use http::Response;
 use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::experiment::dump;
-use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::http_client::send_raw;
+use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::standin::Behaviour;
 use thymeshift_lab::standin::Fault;
 use thymeshift_lab::standin::TargetSettings;
@@ -38,7 +38,8 @@
 }
 
 async fn path(targets: &[SocketAddr], service: &str, kind: &str) -> Path {
-    let single = SingleEntry::start(&configuration(targets, service, kind)).await.expect("a process");
+    let single =
+        SingleEntry::start(&configuration(targets, service, kind)).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     Path { single, caller }
 }
