--- a/crates/thymeshift_lab/src/load/arrivals.rs
+++ b/crates/thymeshift_lab/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals at random moments (a Poisson process), the same for the same seed.
+//! Arrival times of requests, drawn as a Poisson process from the seed of the load plan.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 
 use crate::load::LoadPlan;
 
-/// One request that is due.
+/// Scheduled request of a load plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Arrival {
-    /// When, from the start.
+    /// Due time, relative to the start of the load.
     pub(crate) at: Duration,
-    /// Index of its kind in the plan.
+    /// Index of the request kind in [`LoadPlan::kinds`].
     pub(crate) kind: usize,
 }
 
-/// All arrivals of a plan in their order.
+/// Returns all arrivals of a load plan in order of their due times.
 pub(crate) fn arrivals(plan: &LoadPlan) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let total: f64 = plan.kinds.iter().map(|kind| kind.rate_per_s).sum();
@@ -39,19 +39,19 @@
     }
 }
 
-/// The kind in whose share of the total rate `drawn` lies.
+/// Returns the index of the kind whose interval of the cumulative rate contains `drawn`.
 fn kind_at(plan: &LoadPlan, drawn: f64) -> usize {
-    let mut below = 0.0;
+    let mut cumulative_rate = 0.0;
     for (index, kind) in plan.kinds.iter().enumerate() {
-        below += kind.rate_per_s;
-        if drawn < below {
+        cumulative_rate += kind.rate_per_s;
+        if drawn < cumulative_rate {
             return index;
         }
     }
     plan.kinds.len() - 1
 }
 
-/// When the plan's requests are due, from the start.
+/// Returns the due times of the plan's requests, relative to the start of the load.
 pub fn arrival_times(plan: &LoadPlan) -> impl Iterator<Item = Duration> {
     arrivals(plan).into_iter().map(|arrival| arrival.at)
 }
--- a/crates/thymeshift_lab/src/load/caller.rs
+++ b/crates/thymeshift_lab/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request and the check of its answer.
+//! HTTP/1.1 callers with pooled connections, which verify the answer to each request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,48 +26,50 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Connections to one entry process at most, as the platform's balancer bounds them.
-/// Beyond it requests wait for one; that time counts.
+/// Maximum number of connections to one entry process, as the platform's balancer limits them.
+/// Further requests wait for a free connection, and the wait counts towards their latency.
 const CONNECTIONS_MAX: usize = 512;
 
-/// Connections to one entry process.
-struct Link {
+/// Connection pool for one entry process.
+struct ConnectionPool {
     idle: Mutex<Vec<Sender>>,
-    places: Semaphore,
+    permits: Semaphore,
 }
 
-/// Callers with their open connections.
+/// Callers of entry processes, with one connection pool for each entry process.
 pub(crate) struct Callers {
-    links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
+    pools: Mutex<HashMap<SocketAddr, Arc<ConnectionPool>>>,
     one_way: Duration,
 }
 
 impl Callers {
     pub(crate) fn new(one_way: Duration) -> Self {
-        Self { links: Mutex::default(), one_way }
+        Self { pools: Mutex::default(), one_way }
     }
 
-    fn link(&self, entry: SocketAddr) -> Arc<Link> {
+    fn pool(&self, entry: SocketAddr) -> Arc<ConnectionPool> {
         let new = || {
-            let places = Semaphore::new(CONNECTIONS_MAX);
-            Arc::new(Link { idle: Mutex::default(), places })
+            let permits = Semaphore::new(CONNECTIONS_MAX);
+            Arc::new(ConnectionPool { idle: Mutex::default(), permits })
         };
-        self.links.lock().entry(entry).or_insert_with(new).clone()
+        self.pools.lock().entry(entry).or_insert_with(new).clone()
     }
 
-    /// Opens connections before they are needed.
+    /// Opens `count` connections to each entry process, so that the first requests do not pay
+    /// for connection setup.
     pub(crate) async fn warm(&self, entries: &[SocketAddr], count: usize) {
         for entry in entries {
-            let link = self.link(*entry);
+            let pool = self.pool(*entry);
             for _ in 0..count {
                 if let Some(sender) = connect(*entry).await {
-                    link.put_back(sender);
+                    pool.return_idle(sender);
                 }
             }
         }
     }
 
-    /// Sends a request and says what the caller was told.
+    /// Sends a request of this kind to `entry` and returns its verified result. The request and
+    /// its answer are each delayed by the one-way network delay.
     pub(crate) async fn call(&self, entry: SocketAddr, kind: &KindLoad, nonce: &str) -> CallResult {
         let path = format!("{}?nonce={nonce}&bytes={}", kind.path, kind.answer_bytes);
         let body = Bytes::from(vec![b'x'; kind.request_bytes]);
@@ -83,11 +85,11 @@
         if !self.one_way.is_zero() {
             sleep(self.one_way).await;
         }
-        let told = self.exchange(entry, request, kind, &path, &body).await;
+        let result = self.exchange(entry, request, kind, &path, &body).await;
         if !self.one_way.is_zero() {
             sleep(self.one_way).await;
         }
-        told.unwrap_or(CallResult::NoAnswer)
+        result.unwrap_or(CallResult::NoAnswer)
     }
 
     async fn exchange(
@@ -98,33 +100,33 @@
         path: &str,
         body: &[u8],
     ) -> Option<CallResult> {
-        let link = self.link(entry);
-        let _place = link.places.acquire().await.ok()?;
-        let mut sender = link.sender(entry).await?;
+        let pool = self.pool(entry);
+        let _permit = pool.permits.acquire().await.ok()?;
+        let mut sender = pool.sender(entry).await?;
         let response = sender.send_request(request).await.ok()?;
         let (parts, incoming) = response.into_parts();
-        let collected = incoming.collect().await;
+        let body_result = incoming.collect().await;
         if let Some(outcome) = parts.headers.get(headers::OUTCOME) {
-            link.put_back(sender);
+            pool.return_idle(sender);
             return Some(match outcome.to_str().ok()? {
                 "not_run" => CallResult::Outcome(Outcome::NotRun),
                 "unknown" => CallResult::Outcome(Outcome::Unknown),
                 _ => CallResult::Outcome(Outcome::Failed),
             });
         }
-        let Ok(collected) = collected else {
+        let Ok(body_result) = body_result else {
             return Some(CallResult::BrokenAnswer);
         };
-        link.put_back(sender);
+        pool.return_idle(sender);
         if !parts.status.is_success() {
             return Some(CallResult::TargetError);
         }
-        let is_own = collected.to_bytes() == expected_answer(path, body, kind.answer_bytes);
+        let is_own = body_result.to_bytes() == expected_answer(path, body, kind.answer_bytes);
         Some(if is_own { CallResult::Answered } else { CallResult::WrongAnswer })
     }
 }
 
-impl Link {
+impl ConnectionPool {
     async fn sender(&self, entry: SocketAddr) -> Option<Sender> {
         loop {
             let idle = self.idle.lock().pop();
@@ -136,7 +138,7 @@
         connect(entry).await
     }
 
-    fn put_back(&self, sender: Sender) {
+    fn return_idle(&self, sender: Sender) {
         self.idle.lock().push(sender);
     }
 }
@@ -145,7 +147,7 @@
     let stream = TcpStream::connect(entry).await.ok()?;
     stream.set_nodelay(true).ok()?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-    let (sender, driving) = handshake.ok()?;
-    tokio::spawn(driving);
+    let (sender, connection) = handshake.ok()?;
+    tokio::spawn(connection);
     Some(sender)
 }
--- a/crates/thymeshift_lab/src/load/closed.rs
+++ b/crates/thymeshift_lab/src/load/closed.rs
@@ -1,5 +1,5 @@
-//! Closed loop: each of some connections sends its next request when it has its answer.
-//! Shows capacity, not latency.
+//! Closed-loop load: each connection sends its next request when it has received the answer to
+//! its previous one. Closed-loop load measures capacity; its latencies are not meaningful.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 use crate::load::KindLoad;
 use crate::load::caller::Callers;
 
-/// Complete answers within `duration` over `connections` connections.
+/// Runs a closed loop for `duration` over `connections` connections and returns the number of
+/// complete, correct answers.
 pub async fn run_closed(
     address: SocketAddr,
     kind: &KindLoad,
--- a/crates/thymeshift_lab/src/load/mod.rs
+++ b/crates/thymeshift_lab/src/load/mod.rs
@@ -1,6 +1,8 @@
-//! Open-loop load: arrivals at a set rate, whatever became of the ones before. Latency is
-//! counted from the moment at which a request was due, so that a stall of the system is
-//! not hidden by a load that waits for it (coordinated omission).
+//! Load generation and its results.
+//!
+//! The load is open loop: requests arrive at a fixed mean rate, independent of earlier answers.
+//! Latency counts from the time at which a request was due, so that a stalled system cannot hide
+//! its latency by slowing the load down (coordinated omission).
 
 mod arrivals;
 mod caller;
--- a/crates/thymeshift_lab/src/load/plan.rs
+++ b/crates/thymeshift_lab/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What load to make.
+//! Load plans: request kinds with their rates, the entry processes and the duration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,37 +9,37 @@
 use http::Method;
 use parking_lot::RwLock;
 
-/// Requests of one kind.
+/// Load of one request kind.
 #[derive(Debug, Clone)]
 pub struct KindLoad {
-    /// Its name, for the result.
+    /// Name of the kind in the result.
     pub name: String,
-    /// Method.
+    /// HTTP method of the requests.
     pub method: Method,
-    /// Path without query.
+    /// Path of the requests, without a query string.
     pub path: String,
-    /// Arrivals a second, over all entry processes.
+    /// Arrivals per second, summed over all entry processes.
     pub rate_per_s: f64,
-    /// Length of each answer, in bytes.
+    /// Length of each answer's body, in bytes.
     pub answer_bytes: usize,
     /// Length of each request's body, in bytes.
     pub request_bytes: usize,
-    /// An answer after this many milliseconds counts as late.
+    /// Latency up to which an answer counts as in time, in milliseconds.
     pub in_time_ms: u64,
 }
 
-/// A kind's load that cannot be read.
+/// Error of a `--kind` argument that cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display(
-    "'{text}' is no load: expected NAME,METHOD,PATH,RATE_PER_S,ANSWER_BYTES,REQUEST_BYTES,IN_TIME_MS"
+    "cannot parse kind '{text}': expected NAME,METHOD,PATH,RATE_PER_S,ANSWER_BYTES,REQUEST_BYTES,IN_TIME_MS"
 )]
 pub struct PlanError {
-    /// What was given.
+    /// Text of the argument.
     pub text: String,
 }
 
 impl KindLoad {
-    /// Reads `NAME,METHOD,PATH,RATE_PER_S,ANSWER_BYTES,REQUEST_BYTES,IN_TIME_MS`.
+    /// Parses `NAME,METHOD,PATH,RATE_PER_S,ANSWER_BYTES,REQUEST_BYTES,IN_TIME_MS`.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let fields: Vec<&str> = text.split(',').collect();
         let [name, method, path, rate, answer, request, in_time] = fields[..] else {
@@ -60,25 +60,27 @@
     }
 }
 
-/// The entry processes that the platform's balancer knows; may change under load.
+/// Addresses of the entry processes that the platform's balancer sends requests to. Clones share
+/// one list, which may change while the load runs.
 #[derive(Debug, Clone, Default)]
 pub struct EntryAddresses(Arc<RwLock<Vec<SocketAddr>>>);
 
 impl EntryAddresses {
-    /// These entry processes.
+    /// Creates a list of these addresses.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         Self(Arc::new(RwLock::new(addresses)))
     }
 
-    /// Others from now on.
+    /// Replaces the addresses, also in all clones of this list.
     pub fn set(&self, addresses: Vec<SocketAddr>) {
         *self.0.write() = addresses;
     }
 
-    /// The one for request number `number`.
-    pub(crate) fn entry_for_request(&self, number: usize) -> Option<SocketAddr> {
+    /// Returns the entry process for a request, round robin by request number; none if the list
+    /// is empty.
+    pub(crate) fn entry_for_request(&self, request_number: usize) -> Option<SocketAddr> {
         let addresses = self.0.read();
-        addresses.get(number % addresses.len().max(1)).copied()
+        addresses.get(request_number % addresses.len().max(1)).copied()
     }
 
     pub(crate) fn list(&self) -> Vec<SocketAddr> {
@@ -86,20 +88,20 @@
     }
 }
 
-/// The whole load.
+/// Load over all request kinds.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Where to send; requests go to them in turn, as from the platform's balancer.
+    /// Entry processes, which receive requests round robin, as from the platform's balancer.
     pub entries: EntryAddresses,
-    /// The kinds.
+    /// Request kinds with their rates.
     pub kinds: Vec<KindLoad>,
-    /// For how long.
+    /// Time within which requests arrive.
     pub duration: Duration,
-    /// Seed of the arrivals.
+    /// Seed of the arrival times and of the sequence of kinds.
     pub seed: u64,
-    /// One way between callers and entry processes, in microseconds.
+    /// One-way network delay between callers and entry processes, in microseconds.
     pub one_way_us: u64,
-    /// Connections to each entry process that are open before the first arrival, as the
-    /// platform's balancer keeps them.
+    /// Number of connections opened to each entry process before the first arrival, because the
+    /// platform's balancer also keeps connections open.
     pub warm_connections: usize,
 }
--- a/crates/thymeshift_lab/src/load/plot.rs
+++ b/crates/thymeshift_lab/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG.
+//! Line plots in SVG files.
 
 use std::path::Path;
 
@@ -6,26 +6,26 @@
 use derive_more::Error;
 use plotters::prelude::*;
 
-/// One line of a plot.
+/// Data series that a plot shows as one line.
 #[derive(Debug, Clone)]
 pub struct Series {
-    /// Its name.
+    /// Name of the series in the legend.
     pub name: String,
-    /// Its points.
+    /// Points of the line, as x and y values.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A plot that could not be drawn.
+/// Error of a plot that could not be drawn or written.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("drawing {path}: {reason}")]
 pub struct PlotError {
-    /// The file.
+    /// Path of the SVG file.
     pub path: String,
-    /// Why.
+    /// Error text of the plotting library.
     pub reason: String,
 }
 
-/// Draws lines over a logarithmic vertical axis.
+/// Draws the series as lines with a logarithmic y axis and writes the plot to `path` as SVG.
 pub fn draw(
     path: &Path,
     title: &str,
--- a/crates/thymeshift_lab/src/load/result.rs
+++ b/crates/thymeshift_lab/src/load/result.rs
@@ -1,4 +1,4 @@
-//! What became of the load.
+//! Results of a load: counts and latencies for each request kind.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,59 +9,60 @@
 use serde_json::json;
 use thymeshift_types::Outcome;
 
-/// Largest latency told apart, in microseconds.
+/// Largest latency that the histograms record, in microseconds; larger ones count as this value.
 const LATENCY_US_MAX: u64 = 120_000_000;
-/// Digits of latency kept.
+/// Significant decimal digits that the latency histograms keep.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What a caller was told.
+/// Result of a request as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
-    /// The complete answer to its own request.
+    /// The caller received the complete answer to its own request.
     Answered,
-    /// A failure with an outcome.
+    /// The balancer reported a failure and whether the request ran.
     Outcome(Outcome),
-    /// A target's own error.
+    /// The caller received an error status that the target itself produced.
     TargetError,
-    /// An answer that visibly broke off.
+    /// The connection broke before the announced end of the answer.
     BrokenAnswer,
-    /// A complete answer that is not its own.
+    /// The caller received a complete answer that does not match its request.
     WrongAnswer,
-    /// Nothing: no connection, or it broke before any answer.
+    /// The connection could not be opened or broke before any byte of an answer, or the caller
+    /// gave up waiting.
     NoAnswer,
 }
 
-/// Results of one kind.
+/// Results of the requests of one kind.
 #[derive(Debug, Clone)]
 pub struct KindResult {
-    /// Its name.
+    /// Name of the request kind.
     pub name: String,
-    /// Requests that were due.
+    /// Number of recorded requests, answered or not.
     pub sent: u64,
-    /// Complete own answers.
+    /// Requests whose caller received the complete, correct answer.
     pub answered: u64,
-    /// Of these, in time.
+    /// Answered requests whose latency is within the time limit of the kind.
     pub in_time: u64,
-    /// Told that it did not run.
+    /// Requests reported as not run.
     pub not_run: u64,
-    /// Told that nobody knows.
+    /// Requests for which the balancer reported that they may have run.
     pub unknown: u64,
-    /// Told that a target failed, by the balancer or by the target itself.
+    /// Requests for which the balancer or the target itself reported a failure of the target.
     pub failed: u64,
-    /// Answers that visibly broke off.
+    /// Requests whose answer broke off.
     pub broken: u64,
-    /// Answers to other requests. Must be 0.
+    /// Requests that were given another request's answer; any other count than 0 is a fault.
     pub wrong: u64,
-    /// Told nothing.
+    /// Requests without any answer.
     pub nothing: u64,
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
-    /// What each request was told, by its nonce.
+    /// Result of each request, by its nonce.
     pub results_by_nonce: BTreeMap<String, CallResult>,
 }
 
 impl KindResult {
-    /// Nothing sent yet.
+    /// Creates an empty result for the kind called `name`.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Takes in what became of the request with this nonce.
+    /// Records the result of the request with this nonce. `taken` is the time since the request
+    /// was due; an answer that took longer than `in_time_ms` counts as late.
     pub fn record(&mut self, nonce: String, result: CallResult, taken: Duration, in_time_ms: u64) {
         self.sent += 1;
         let taken_us = (taken.as_micros() as u64).clamp(1, LATENCY_US_MAX);
@@ -103,22 +105,22 @@
         self.results_by_nonce.insert(nonce, result);
     }
 
-    /// Latency of complete answers at a quantile, in microseconds.
+    /// Returns a quantile (0 to 1) of the latency of complete answers, in microseconds.
     pub fn latency_us(&self, quantile: f64) -> u64 {
         self.latency_us.value_at_quantile(quantile)
     }
 
-    /// Time until refusals were told, at a quantile, in microseconds.
+    /// Returns a quantile (0 to 1) of the time until a refusal arrived, in microseconds.
     pub fn refusal_us(&self, quantile: f64) -> u64 {
         self.refusal_us.value_at_quantile(quantile)
     }
 
-    /// Share of requests with a complete own answer in time.
+    /// Returns the share of requests, from 0 to 1, that were answered in time.
     pub fn in_time_share(&self) -> f64 {
         if self.sent == 0 { 0.0 } else { self.in_time as f64 / self.sent as f64 }
     }
 
-    /// Whether every request is accounted for.
+    /// Returns whether each sent request has exactly one recorded result.
     pub fn is_accounted(&self) -> bool {
         let sum = self.answered + self.not_run + self.unknown + self.failed + self.broken;
         sum + self.wrong + self.nothing == self.sent
@@ -139,26 +141,26 @@
 
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_max(LATENCY_US_MAX, LATENCY_DIGITS)
-        .expect("bound and digits are within what the library allows")
+        .expect("maximum and digits are valid for a histogram")
 }
 
-/// Results of all kinds.
+/// Results of a load over all request kinds.
 #[derive(Debug, Clone)]
 pub struct LoadResult {
-    /// In the plan's order.
+    /// Result of each request kind, in the order of the load plan.
     pub kinds: Vec<KindResult>,
-    /// From the first arrival to the last answer.
+    /// Time from the start of the load to the last answer.
     pub elapsed: Duration,
 }
 
 impl LoadResult {
-    /// The result for programs.
+    /// Returns the result as JSON, with latencies in microseconds.
     pub fn to_json(&self) -> Value {
         let kinds: Vec<Value> = self.kinds.iter().map(KindResult::to_json).collect();
         json!({ "elapsed_ms": self.elapsed.as_millis() as u64, "kinds": kinds })
     }
 
-    /// The kind called `name`.
+    /// Returns the result of the kind called `name`, if the load had one.
     pub fn kind(&self, name: &str) -> Option<&KindResult> {
         self.kinds.iter().find(|kind| kind.name == name)
     }
--- a/crates/thymeshift_lab/src/load/run.rs
+++ b/crates/thymeshift_lab/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Making the load.
+//! Runs an open-loop load.
 
 use std::sync::Arc;
 use std::thread;
@@ -18,10 +18,10 @@
 use crate::load::arrivals::arrivals;
 use crate::load::caller::Callers;
 
-/// Longest time a caller waits for anything.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
+/// Time after which a caller gives up waiting for an answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Sends everything the plan says and waits for every answer.
+/// Sends the requests of a load plan at their due times and waits for all answers.
 pub async fn run(plan: LoadPlan) -> LoadResult {
     let arrivals = arrivals(&plan);
     let results = plan.kinds.iter().map(|kind| KindResult::new(&kind.name)).collect();
@@ -29,21 +29,21 @@
     let callers = Arc::new(Callers::new(Duration::from_micros(plan.one_way_us)));
     callers.warm(&plan.entries.list(), plan.warm_connections).await;
     let start = Instant::now();
-    let mut due = pace(arrivals, start);
+    let mut due = dispatch_when_due(arrivals, start);
     let plan = Arc::new(plan);
     let mut calls = JoinSet::new();
-    let mut number = 0_usize;
+    let mut request_number = 0_usize;
     while let Some(arrival) = due.recv().await {
         let call = Call {
             plan: plan.clone(),
             callers: callers.clone(),
             results: results.clone(),
             arrival,
-            number,
+            request_number,
             due_at: start + arrival.at,
         };
         calls.spawn(call.run());
-        number += 1;
+        request_number += 1;
         while calls.try_join_next().is_some() {}
     }
     while calls.join_next().await.is_some() {}
@@ -51,9 +51,9 @@
     LoadResult { kinds, elapsed: start.elapsed() }
 }
 
-/// Hands arrivals out when they are due, from a thread of its own: its sleep is finer
-/// than the runtime's timer.
-fn pace(arrivals: Vec<Arrival>, start: Instant) -> mpsc::UnboundedReceiver<Arrival> {
+/// Sends each arrival to the returned channel when it is due. A separate thread does this, because
+/// the sleep of a thread is more precise than the timer of the async runtime.
+fn dispatch_when_due(arrivals: Vec<Arrival>, start: Instant) -> mpsc::UnboundedReceiver<Arrival> {
     let (sender, receiver) = mpsc::unbounded_channel();
     thread::spawn(move || {
         for arrival in arrivals {
@@ -71,21 +71,21 @@
     callers: Arc<Callers>,
     results: Arc<Mutex<Vec<KindResult>>>,
     arrival: Arrival,
-    number: usize,
+    request_number: usize,
     due_at: Instant,
 }
 
 impl Call {
     async fn run(self) {
-        let Self { plan, callers, results, arrival, number, due_at } = self;
+        let Self { plan, callers, results, arrival, request_number, due_at } = self;
         let kind = &plan.kinds[arrival.kind];
-        let Some(entry) = plan.entries.entry_for_request(number) else {
+        let Some(entry) = plan.entries.entry_for_request(request_number) else {
             return;
         };
-        let nonce = format!("{}-{number}", plan.seed);
-        let called = timeout(CALL_LIMIT, callers.call(entry, kind, &nonce)).await;
-        let told = called.unwrap_or(CallResult::NoAnswer);
+        let nonce = format!("{}-{request_number}", plan.seed);
+        let called = timeout(CALL_TIMEOUT, callers.call(entry, kind, &nonce)).await;
+        let result = called.unwrap_or(CallResult::NoAnswer);
         let taken = due_at.elapsed();
-        results.lock()[arrival.kind].record(nonce, told, taken, kind.in_time_ms);
+        results.lock()[arrival.kind].record(nonce, result, taken, kind.in_time_ms);
     }
 }
