--- a/crates/thymeshift_lab/src/http_client.rs
+++ b/crates/thymeshift_lab/src/http_client.rs
@@ -1,4 +1,5 @@
-//! Small HTTP requests to stand-ins and entry processes, each on a connection of its own.
+//! HTTP client for small requests to stand-ins and entry processes. Each request opens its own
+//! connection.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -20,27 +21,27 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time for one request.
-const LIMIT: Duration = Duration::from_secs(15);
+/// Timeout of one request, including the connect.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A request that got no complete answer.
+/// Reason why a request got no complete answer.
 #[derive(Debug, Display, Error, From)]
 pub enum RequestError {
     /// The connection could not be opened.
     #[display("connecting: {_0}")]
     Connect(std::io::Error),
-    /// The exchange broke.
-    #[display("asking: {_0}")]
+    /// The connection broke or the answer is not valid HTTP.
+    #[display("HTTP exchange: {_0}")]
     Exchange(hyper::Error),
-    /// The request could not be made.
-    #[display("the request: {_0}")]
+    /// The request could not be built from its method, path and headers.
+    #[display("building the request: {_0}")]
     Request(http::Error),
-    /// No answer in time.
-    #[display("no answer within {LIMIT:?}")]
+    /// The answer was not complete within the request timeout of 15 s.
+    #[display("no answer within {REQUEST_TIMEOUT:?}")]
     TimedOut,
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and returns the answer with its whole body.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -48,7 +49,7 @@
     send_from(Ipv4Addr::UNSPECIFIED, address, request).await
 }
 
-/// The same from an address of this machine.
+/// Sends a request from the local address `own` and returns the answer with its whole body.
 pub async fn send_from(
     own: Ipv4Addr,
     address: SocketAddr,
@@ -60,17 +61,17 @@
         let stream = socket.connect(address).await?;
         stream.set_nodelay(true)?;
         let io = TokioIo::new(stream);
-        let (mut sender, driving) = hyper::client::conn::http1::handshake(io).await?;
-        let driver = tokio::spawn(driving);
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
+        let driver = tokio::spawn(connection);
         let (parts, body) = sender.send_request(request).await?.into_parts();
         let body = body.collect().await?.to_bytes();
         driver.abort();
         Ok(Response::from_parts(parts, body))
     };
-    timeout(LIMIT, exchange).await.unwrap_or(Err(RequestError::TimedOut))
+    timeout(REQUEST_TIMEOUT, exchange).await.unwrap_or(Err(RequestError::TimedOut))
 }
 
-/// Sends `method path` with `body`.
+/// Sends a request with this method, path and body to `address`, which is also its host header.
 pub async fn send_request(
     address: SocketAddr,
     method: Method,
@@ -82,14 +83,15 @@
     send(address, request.body(Full::new(body.into()))?).await
 }
 
-/// Sends bytes as they are and reads until the other side closes or `limit` passes.
+/// Sends raw bytes and returns everything read until the server closes the connection or
+/// `limit` passes.
 pub async fn send_raw(
     address: SocketAddr,
     bytes: &[u8],
     limit: Duration,
 ) -> std::io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address).await?;
-    // The other side may close before it has read everything.
+    // A failed write is ignored: the server may answer and close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = timeout(limit, stream.read_to_end(&mut answer)).await;
--- a/crates/thymeshift_lab/src/lib.rs
+++ b/crates/thymeshift_lab/src/lib.rs
@@ -1,12 +1,14 @@
-//! Stand-ins, load generation and experiments; not shipped.
+//! Test stand-ins, load generation and experiments; not part of the shipped product.
 //!
-//! * [`standin`]: a platform and a target, each with a control port through which tests
-//!   and people cause faults.
-//! * [`load`]: open-loop load whose every answer is checked.
-//! * [`experiment`]: real processes put together: the demo and the measurements.
+//! * [`standin`]: a stand-in platform and a stand-in target, each with a control port through
+//!   which tests and people inject faults.
+//! * [`load`]: open-loop load generation that verifies every answer.
+//! * [`experiment`]: the demo and the measurements, which run real processes together.
+//! * [`replay`]: simulations in virtual time that compare policies.
+//! * [`http_client`]: HTTP requests to stand-ins and entry processes.
 //!
-//! The library is used by the tests of other crates; the program `thymeshift-lab` runs
-//! each part as a process.
+//! The tests of other crates use the library; the program `thymeshift-lab` runs each part as a
+//! process.
 
 pub mod experiment;
 pub mod http_client;
