--- a/crates/thymeshift_lab/src/arguments.rs
+++ b/crates/thymeshift_lab/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parser of the command line.
 
 use std::ops::Range;
 use std::str::FromStr;
@@ -18,7 +18,7 @@
 use thymeshift_lab::standin::TargetSettings;
 
 pub(crate) const HELP: &str = "\
-Stand-ins, load and experiments for thymeshift. Not shipped.
+Test stand-ins, load and experiments for thymeshift. Not part of the shipped product.
 
 Usage:
   thymeshift-lab platform
@@ -37,7 +37,8 @@
   thymeshift-lab scenarios [--entries=N] [--seconds=N] [--seeds=N] [--loads=70,85] [--no-probes]
                            [--hedge-ms=N] [--scenario=NAME…] [--strategy=NAME…]
 
-Stand-ins print where they listen and run until they are killed. Their control ports:
+Stand-ins print the addresses that they listen on and run until they are killed. Their control
+ports:
   platform  PUT /documents/configuration?revision=N, PUT /documents/vms?revision=N,
             PUT /mode (\"normal\", \"silent\", {\"slow\": MS}, \"stale\", \"backwards\",
             \"rubbish\", \"failing\"), GET /calls
@@ -53,7 +54,7 @@
     StrategyName::ExpectedTime,
 ];
 
-/// What to do.
+/// Command to run, with its options.
 #[derive(Debug)]
 pub(crate) enum Command {
     Help,
@@ -76,8 +77,8 @@
         None => Err("a command is missing".into()),
         Some(Arg::Short('h') | Arg::Long("help")) => Ok(Command::Help),
         Some(Arg::Value(word)) => match word.string()?.as_str() {
-            "platform" => alone(parser, Command::Platform),
-            "decision-cost" => alone(parser, Command::DecisionCost),
+            "platform" => without_options(parser, Command::Platform),
+            "decision-cost" => without_options(parser, Command::DecisionCost),
             "target" => target(parser),
             "load" => load(parser),
             "demo" => demo(parser),
@@ -94,35 +95,35 @@
     }
 }
 
-fn number<T: FromStr>(parser: &mut Parser) -> Result<T, Error>
+fn parse_value<T: FromStr>(parser: &mut Parser) -> Result<T, Error>
 where
     T::Err: Into<Box<dyn std::error::Error + Send + Sync + 'static>>,
 {
     parser.value()?.parse()
 }
 
-fn numbers<T: FromStr>(parser: &mut Parser) -> Result<Vec<T>, Error>
+fn parse_list<T: FromStr>(parser: &mut Parser) -> Result<Vec<T>, Error>
 where
     T::Err: Into<Box<dyn std::error::Error + Send + Sync + 'static>>,
 {
     let text = parser.value()?.string()?;
-    let numbers: Result<_, _> = text.split(',').map(str::parse).collect();
-    numbers.map_err(|error: T::Err| Error::Custom(error.into()))
+    let values: Result<_, _> = text.split(',').map(str::parse).collect();
+    values.map_err(|error: T::Err| Error::Custom(error.into()))
 }
 
 fn replay(mut parser: Parser) -> Result<Command, Error> {
     let mut days = 20;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("days") => days = number(&mut parser)?,
+            Arg::Long("days") => days = parse_value(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
     Ok(Command::Replay { days })
 }
 
-/// A command without options.
-fn alone(mut parser: Parser, command: Command) -> Result<Command, Error> {
+/// Returns `command`, or an error if any argument follows.
+fn without_options(mut parser: Parser, command: Command) -> Result<Command, Error> {
     match parser.next()? {
         None => Ok(command),
         Some(unexpected) => Err(unexpected.unexpected()),
@@ -133,14 +134,14 @@
     let mut settings = TargetSettings::default();
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("slots") => settings.slots = number(&mut parser)?,
-            Arg::Long("queue-max") => settings.queue_max = number(&mut parser)?,
-            Arg::Long("service-us") => settings.service_us = number(&mut parser)?,
+            Arg::Long("slots") => settings.slots = parse_value(&mut parser)?,
+            Arg::Long("queue-max") => settings.queue_max = parse_value(&mut parser)?,
+            Arg::Long("service-us") => settings.service_us = parse_value(&mut parser)?,
             Arg::Long("fixed") => settings.is_random = false,
-            Arg::Long("seed") => settings.seed = number(&mut parser)?,
-            Arg::Long("probe-us") => settings.probe_us = number(&mut parser)?,
-            Arg::Long("one-way-us") => settings.one_way_us = number(&mut parser)?,
-            Arg::Long("incarnation") => settings.incarnation = number(&mut parser)?,
+            Arg::Long("seed") => settings.seed = parse_value(&mut parser)?,
+            Arg::Long("probe-us") => settings.probe_us = parse_value(&mut parser)?,
+            Arg::Long("one-way-us") => settings.one_way_us = parse_value(&mut parser)?,
+            Arg::Long("incarnation") => settings.incarnation = parse_value(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
@@ -160,15 +161,15 @@
     };
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("entry") => entries.push(number(&mut parser)?),
+            Arg::Long("entry") => entries.push(parse_value(&mut parser)?),
             Arg::Long("kind") => {
                 let text = parser.value()?.string()?;
                 let kind = KindLoad::parse(&text).map_err(|error| Error::Custom(error.into()))?;
                 plan.kinds.push(kind);
             }
-            Arg::Long("seconds") => plan.duration = Duration::from_secs(number(&mut parser)?),
-            Arg::Long("seed") => plan.seed = number(&mut parser)?,
-            Arg::Long("one-way-us") => plan.one_way_us = number(&mut parser)?,
+            Arg::Long("seconds") => plan.duration = Duration::from_secs(parse_value(&mut parser)?),
+            Arg::Long("seed") => plan.seed = parse_value(&mut parser)?,
+            Arg::Long("one-way-us") => plan.one_way_us = parse_value(&mut parser)?,
             Arg::Long("json") => json = true,
             unexpected => return Err(unexpected.unexpected()),
         }
@@ -184,8 +185,8 @@
     let (mut entries, mut seconds) = (3, 6);
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("entries") => entries = number(&mut parser)?,
-            Arg::Long("seconds") => seconds = number(&mut parser)?,
+            Arg::Long("entries") => entries = parse_value(&mut parser)?,
+            Arg::Long("seconds") => seconds = parse_value(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
@@ -196,7 +197,7 @@
     let mut seconds = 4;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("seconds") => seconds = number(&mut parser)?,
+            Arg::Long("seconds") => seconds = parse_value(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
@@ -217,12 +218,12 @@
     };
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("entries") => plan.entries = number(&mut parser)?,
-            Arg::Long("seconds") => plan.duration = Duration::from_secs(number(&mut parser)?),
-            Arg::Long("seeds") => plan.seeds = (1..=number(&mut parser)?).collect(),
-            Arg::Long("hedge-ms") => plan.hedge_after_ms = number(&mut parser)?,
+            Arg::Long("entries") => plan.entries = parse_value(&mut parser)?,
+            Arg::Long("seconds") => plan.duration = Duration::from_secs(parse_value(&mut parser)?),
+            Arg::Long("seeds") => plan.seeds = (1..=parse_value(&mut parser)?).collect(),
+            Arg::Long("hedge-ms") => plan.hedge_after_ms = parse_value(&mut parser)?,
             Arg::Long("no-probes") => plan.has_probes = false,
-            Arg::Long("loads") => plan.loads_percent = numbers(&mut parser)?,
+            Arg::Long("loads") => plan.loads_percent = parse_list(&mut parser)?,
             Arg::Long("scenario") => {
                 let name = parser.value()?.string()?;
                 let found = Scenario::ALL.into_iter().find(|known| known.to_string() == name);
@@ -251,7 +252,7 @@
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Long("target-size") => size = ConfigurationSize::TargetSize,
-            Arg::Long("entries") => entries = numbers(&mut parser)?,
+            Arg::Long("entries") => entries = parse_list(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
@@ -275,10 +276,10 @@
     let (mut from, mut count, mut seconds, mut entries) = (1, 1, 8, 4);
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("from") => from = number(&mut parser)?,
-            Arg::Long("count") => count = number(&mut parser)?,
-            Arg::Long("seconds") => seconds = number(&mut parser)?,
-            Arg::Long("entries") => entries = number(&mut parser)?,
+            Arg::Long("from") => from = parse_value(&mut parser)?,
+            Arg::Long("count") => count = parse_value(&mut parser)?,
+            Arg::Long("seconds") => seconds = parse_value(&mut parser)?,
+            Arg::Long("entries") => entries = parse_value(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
@@ -292,7 +293,7 @@
     let mut entries = 16;
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("entries") => entries = number(&mut parser)?,
+            Arg::Long("entries") => entries = parse_value(&mut parser)?,
             unexpected => return Err(unexpected.unexpected()),
         }
     }
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs stand-ins, load and experiments as processes. See `--help`.
+//! Command-line program that runs stand-ins, load and experiments as processes. `--help` lists its
+//! commands.
 
 mod arguments;
 
@@ -30,8 +31,8 @@
 fn main() -> ExitCode {
     let command = match arguments::parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
-        Err(mistake) => {
-            eprintln!("thymeshift-lab: {mistake}\nTry 'thymeshift-lab --help'.");
+        Err(error) => {
+            eprintln!("thymeshift-lab: {error}\nTry 'thymeshift-lab --help'.");
             return ExitCode::from(2);
         }
     };
@@ -50,11 +51,11 @@
             print!("{HELP}");
             Ok(ExitCode::SUCCESS)
         }
-        Command::Platform => {
-            single_thread(async { stand(Platform::new().start(any_local_port()).await?).await })
-        }
+        Command::Platform => single_thread(async {
+            run_until_killed(Platform::new().start(any_local_port()).await?).await
+        }),
         Command::Target(settings) => single_thread(async {
-            stand(Target::new(settings).start(any_local_port()).await?).await
+            run_until_killed(Target::new(settings).start(any_local_port()).await?).await
         }),
         Command::Load { plan, json } => many_threads(async {
             let result = load::run(plan).await;
@@ -101,8 +102,9 @@
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Says where a stand-in listens and keeps it running until the process is killed.
-async fn stand(running: Running) -> Result<ExitCode, Failure> {
+/// Prints the addresses on which a stand-in listens and keeps it running until the process is
+/// killed.
+async fn run_until_killed(running: Running) -> Result<ExitCode, Failure> {
     println!("listening data={} control={}", running.address, running.control);
     std::future::pending::<()>().await;
     Ok(ExitCode::SUCCESS)
@@ -119,9 +121,10 @@
     Ok(if demo.violations.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Runs seeds one after the other; the exit code says whether all were clean.
+/// Runs a soak for each seed, one after the other. The exit code is a failure if any seed broke a
+/// promise.
 async fn soak(seeds: Range<u64>, entries: usize, seconds: u64) -> Result<ExitCode, Failure> {
-    let mut red = Vec::new();
+    let mut failed_seeds = Vec::new();
     let count = seeds.end - seeds.start;
     for seed in seeds {
         let duration = Duration::from_secs(seconds);
@@ -129,11 +132,11 @@
         let soak = experiment::soak(SoakPlan { seed, entries, duration, folder }).await?;
         println!("{soak}");
         if !soak.is_clean() {
-            red.push(seed);
+            failed_seeds.push(seed);
         }
     }
-    println!("{} of {count} seeds clean; red: {red:?}", count - red.len() as u64);
-    Ok(if red.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{} of {count} seeds clean; red: {failed_seeds:?}", count - failed_seeds.len() as u64);
+    Ok(if failed_seeds.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 async fn scenarios(plan: ScenarioPlan) -> Result<ExitCode, Failure> {
