--- a/crates/thymeshift_lab/src/experiment/decision_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/decision_cost.rs
@@ -1,5 +1,6 @@
-//! Cost of one decision, with the decision crate driven directly: choice, learning and
-//! release, at several numbers of targets, and at the 100 services of the target size.
+//! Processor cost of one dispatch decision, measured by calling the dispatch crate directly: the
+//! choice of a target, recording the answer and the release of the grant. Runs with several target
+//! counts, and with the 100 services of the largest supported deployment.
 
 use std::fmt;
 use std::fmt::Write;
@@ -27,12 +28,12 @@
 
 use crate::experiment::fleet::FleetError;
 
-/// Decisions measured.
+/// Number of decisions that one measurement averages over.
 const DECISIONS: u32 = 300_000;
-/// Requests kept in flight meanwhile.
-const IN_FLIGHT: usize = 8;
+/// Number of requests kept in flight during the measurement.
+const IN_FLIGHT_MAX: usize = 8;
 
-/// Cost at one shape.
+/// Mean cost of one decision for a strategy and a number of services and targets.
 pub struct DecisionCost {
     strategy: StrategyName,
     services: usize,
@@ -55,7 +56,8 @@
     }
 }
 
-/// Measures `services` services of `targets` targets each, used in turn.
+/// Measures the cost of a decision over `services` services of `targets` targets each, which
+/// receive requests round robin.
 pub fn decision_cost(
     strategy: StrategyName,
     services: usize,
@@ -67,7 +69,7 @@
         (0..services).map(|_| dispatcher(&configuration, &hall)).collect();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut now = Timestamp::from_millis(1_000);
-    let mut held = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     let mut choice = Duration::ZERO;
     let started = Instant::now();
     for step in 0..DECISIONS {
@@ -78,10 +80,10 @@
         let decision = black_box(dispatchers[service].request(request, now, &mut rng));
         choice += before.elapsed();
         if let Decision::Send(grant) = decision {
-            held.push_back((service, grant));
+            in_flight.push_back((service, grant));
         }
-        if held.len() > IN_FLIGHT
-            && let Some((service, grant)) = held.pop_front()
+        if in_flight.len() > IN_FLIGHT_MAX
+            && let Some((service, grant)) = in_flight.pop_front()
         {
             dispatchers[service].record_attempt(
                 &grant,
--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -1,4 +1,4 @@
-//! The whole path of the tariff example: platform, targets, entry processes, load.
+//! Demo of the tariff example: platform, targets, entry processes and load on one machine.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -20,24 +20,24 @@
 use crate::load::LoadResult;
 use crate::load::Series;
 
-/// Quantiles of the plot.
+/// Quantiles of latency that the plot shows.
 const QUANTILES: [f64; 11] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.99, 0.999];
 
-/// What the demo shows.
+/// Result of a demo run.
 pub struct DemoReport {
-    /// What callers saw.
+    /// Results of the load as callers saw them.
     pub result: LoadResult,
-    /// What the judge says.
+    /// Broken promises, counted from the targets' ledgers.
     pub violations: Violations,
 }
 
-/// The tariff example's configuration.
+/// Returns the configuration of the tariff example.
 pub fn tariff_configuration() -> Result<Configuration, FleetError> {
     let text = include_str!("../../../../examples/tariff/configuration.yaml");
     Ok(Configuration::parse(text)?)
 }
 
-/// The tariff example as a fleet, with one worker thread in each entry process.
+/// Returns the fleet plan of the tariff example, with one worker thread in each entry process.
 pub fn tariff_plan(folder: PathBuf, entries: usize) -> Result<FleetPlan, FleetError> {
     Ok(FleetPlan {
         configuration: tariff_configuration()?,
@@ -52,7 +52,7 @@
     })
 }
 
-/// Load of the tariff example, scaled by `factor`.
+/// Returns the load of the tariff example with all rates multiplied by `factor`.
 pub fn tariff_load(factor: f64) -> Vec<KindLoad> {
     let kind =
         |name: &str, method, path: &str, rate_per_s: f64, bytes, body, in_time_ms| KindLoad {
@@ -72,13 +72,13 @@
     ]
 }
 
-/// Mean service times of the tariff example, in microseconds.
+/// Mean service time of each service of the tariff example, in microseconds, by service name.
 fn tariff_service_us() -> BTreeMap<String, u64> {
     let times = [("calculator", 8_000), ("switching", 20_000), ("archive", 30_000)];
     times.into_iter().map(|(name, micros)| (name.to_owned(), micros)).collect()
 }
 
-/// Runs the demo.
+/// Runs the demo and writes its logs, `demo.json` and `demo.svg` into `folder`.
 pub async fn demo(
     folder: &Path,
     entries: usize,
--- a/crates/thymeshift_lab/src/experiment/ideal.rs
+++ b/crates/thymeshift_lab/src/experiment/ideal.rs
@@ -1,5 +1,6 @@
-//! A bound for every strategy: the same arrivals served by one queue that knows every
-//! slot, first come first served, with no knowledge to be stale and no way to be wrong.
+//! Lower bound for the latency of every strategy: a single first-come-first-served queue serves
+//! the same arrivals with all slots. The queue always knows which slots are free, so it never
+//! decides on stale load information.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,19 +15,20 @@
 use crate::load::LoadPlan;
 use crate::load::arrival_times;
 
-/// Slots and service times of a service.
+/// Single ideal queue over all slots of a service.
 #[derive(Debug, Clone, Copy)]
 pub struct IdealQueue {
-    /// All slots of all targets.
+    /// Number of slots, summed over all targets.
     pub slots: usize,
     /// Mean service time, exponentially distributed, in microseconds.
     pub service_us: u64,
-    /// There and back between caller and target, in microseconds.
+    /// Network round trip between caller and target, in microseconds.
     pub round_trip_us: u64,
 }
 
 impl IdealQueue {
-    /// Latency of the plan's arrivals at a quantile, in microseconds.
+    /// Simulates the plan's arrivals and returns a quantile (0 to 1) of their latency, in
+    /// microseconds.
     pub fn latency_us(&self, plan: &LoadPlan, quantile: f64) -> u64 {
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let mut free_at: BinaryHeap<Reverse<Duration>> =
--- a/crates/thymeshift_lab/src/experiment/mod.rs
+++ b/crates/thymeshift_lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes put together.
+//! Experiments that run entry processes, targets and a platform as real processes.
 
 mod children;
 mod control_cost;
--- a/crates/thymeshift_lab/src/experiment/single.rs
+++ b/crates/thymeshift_lab/src/experiment/single.rs
@@ -1,5 +1,5 @@
-//! One entry process with a platform inside the test, for tests that bring targets of
-//! their own.
+//! One entry process with a stand-in platform that runs inside the test process, for tests that
+//! start their own targets.
 
 use std::fs;
 use std::path::PathBuf;
@@ -17,22 +17,22 @@
 use crate::standin::Platform;
 use crate::standin::Running;
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FOLDER_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that is removed when it is dropped.
+/// Temporary folder that is removed when the value is dropped.
 pub struct TempFolder(PathBuf);
 
 impl TempFolder {
-    /// A new folder.
+    /// Creates an empty folder in the system's temporary folder.
     pub fn new() -> std::io::Result<Self> {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("thymeshift-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path)?;
         Ok(Self(path))
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &PathBuf {
         &self.0
     }
@@ -40,34 +40,34 @@
 
 impl Drop for TempFolder {
     fn drop(&mut self) {
-        // What cannot be removed stays in the machine's folder for such things.
+        // A folder that cannot be removed stays in the system's temporary folder.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// One entry process and its platform.
+/// Entry process with its stand-in platform.
 pub struct SingleEntry {
-    /// The platform.
+    /// Stand-in platform, which runs inside the test process.
     pub platform: Arc<Platform>,
-    /// The entry process.
+    /// Entry process that was started first.
     pub entry: Child,
-    /// The platform's ports.
+    /// Data and control ports of the platform.
     pub platform_ports: Running,
-    /// Logs and settings.
+    /// Folder with the logs and settings of the entry processes.
     pub folder: TempFolder,
     entries: u32,
 }
 
 impl SingleEntry {
-    /// Starts both, publishes `configuration` as revision 1 and waits until the process
-    /// is ready.
+    /// Starts the platform and the entry process, publishes `configuration` as revision 1 and
+    /// waits until the entry process is ready.
     pub async fn start(configuration: &Configuration) -> Result<Self, FleetError> {
         let single = Self::start_unready(configuration).await?;
         wait_ready(&single.entry).await?;
         Ok(single)
     }
 
-    /// As [`SingleEntry::start`] without waiting.
+    /// Same as [`SingleEntry::start`], but does not wait until the entry process is ready.
     pub async fn start_unready(configuration: &Configuration) -> Result<Self, FleetError> {
         let platform = Platform::new();
         let platform_ports = platform.start((std::net::Ipv4Addr::LOCALHOST, 0).into()).await?;
@@ -78,14 +78,14 @@
         Ok(Self { platform, entry, platform_ports, folder, entries: 1 })
     }
 
-    /// Starts another entry process beside the first; `more` are further lines of its
-    /// settings.
-    pub async fn start_another(&mut self, more: &str) -> Result<Child, FleetError> {
+    /// Starts another entry process without waiting until it is ready. `extra_settings` are YAML
+    /// lines that are appended to its settings.
+    pub async fn start_another(&mut self, extra_settings: &str) -> Result<Child, FleetError> {
         self.entries += 1;
-        start_entry(&self.folder, &self.platform_ports, self.entries, more).await
+        start_entry(&self.folder, &self.platform_ports, self.entries, extra_settings).await
     }
 
-    /// What the first entry process has logged so far.
+    /// Returns the log of the first entry process up to now.
     pub fn log(&self) -> std::io::Result<String> {
         fs::read_to_string(self.folder.path().join("entry-0.log"))
     }
@@ -95,13 +95,13 @@
     folder: &TempFolder,
     platform: &Running,
     number: u32,
-    more: &str,
+    extra_settings: &str,
 ) -> Result<Child, FleetError> {
     let settings = format!(
         "vm: entry-{number}\ndata_hall: a\ncaller_address: 127.0.0.1:0\n\
          peer_address: 127.0.0.1:0\ncontrol_address: 127.0.0.1:0\nobserve_address: 127.0.0.1:0\n\
          platform_address: {}\nworker_threads: 2\nstop_readiness_lag_ms: 100\n\
-         stop_bound_ms: 10000\nlog_level: debug\n{more}",
+         stop_bound_ms: 10000\nlog_level: debug\n{extra_settings}",
         platform.address
     );
     let path = folder.path().join(format!("entry-{number}.yaml"));
