--- a/crates/thymeshift_lab/src/experiment/control_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/control_cost.rs
@@ -1,5 +1,5 @@
-//! What the control plane costs at several sizes of the fleet, and how fast a revision is in
-//! force everywhere. The slopes are what `docs/CAPACITY.md` is worked out from.
+//! Cost of the control plane at several fleet sizes, and the time until a configuration revision is
+//! in force in every entry process. `docs/CAPACITY.md` extrapolates larger fleets from the slopes.
 
 use std::fmt;
 use std::fmt::Write;
@@ -19,18 +19,18 @@
 use crate::experiment::fleet::dump;
 use crate::experiment::usage::usage;
 
-/// Time until the fleet has settled.
+/// Time after the start of the fleet until its idle cost is measured.
 const SETTLE: Duration = Duration::from_secs(8);
-/// Time over which the idle cost is measured.
-const IDLE: Duration = Duration::from_secs(10);
-/// Revisions published in turn.
+/// Duration of the measurement of the idle cost.
+const IDLE_MEASUREMENT: Duration = Duration::from_secs(10);
+/// Number of configuration revisions published one after the other.
 const REVISIONS: u64 = 5;
-/// Time between two looks at who runs a revision.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest time for a revision.
+/// Interval between two checks whether all entry processes run a revision.
+const REVISION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time to wait until a revision is in force in all entry processes.
 const REVISION_LIMIT: Duration = Duration::from_secs(20);
 
-/// Cost at one size.
+/// Cost of the control plane with one number of entry processes.
 pub struct ControlCost {
     entries: usize,
     core_percent: f64,
@@ -43,7 +43,7 @@
 }
 
 impl ControlCost {
-    /// Head of the table.
+    /// Returns the column headings of the table.
     pub fn table_header() -> String {
         format!(
             "{:>8}{:>10}{:>10}{:>12}{:>14}{:>10}{:>14}{:>14}{:>16}",
@@ -87,16 +87,17 @@
     watchers: usize,
 }
 
-/// How large the configuration is.
+/// Size of the configuration that the entry processes run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationSize {
-    /// The tariff example's services, without targets.
+    /// Services of the tariff example, without their targets.
     TariffExample,
-    /// 100 services of 23 targets each.
+    /// Planned deployment size: 100 services of 23 targets each.
     TargetSize,
 }
 
-/// Measures one size. Targets are listed and not run: nothing calls them.
+/// Measures the cost with `entries` entry processes. The configured targets are not started,
+/// because no request and no probe is sent to them.
 pub async fn control_cost(
     folder: &Path,
     entries: usize,
@@ -122,7 +123,7 @@
     publish(&mut fleet, 2).await?;
     sleep(SETTLE).await;
     let before = sample(&fleet).await?;
-    sleep(IDLE).await;
+    sleep(IDLE_MEASUREMENT).await;
     let after = sample(&fleet).await?;
     let mut in_force = Vec::new();
     for revision in 3..3 + REVISIONS {
@@ -132,7 +133,7 @@
     in_force.sort();
     let last = sample(&fleet).await?;
     let each = entries as f64;
-    let idle_s = IDLE.as_secs_f64();
+    let idle_s = IDLE_MEASUREMENT.as_secs_f64();
     let bytes_per_s = (after.bytes - before.bytes) as f64 / idle_s / each;
     let busy_s: f64 =
         in_force.iter().map(Duration::as_secs_f64).sum::<f64>() + 0.5 * REVISIONS as f64;
@@ -161,12 +162,13 @@
     configuration
 }
 
-/// Services of the target size.
+/// Number of services of the planned deployment size.
 const SERVICES: usize = 100;
-/// Targets of each.
+/// Number of targets of each service of the planned deployment size.
 const TARGETS: usize = 23;
 
-/// The configuration of the target size; its targets are listed and not run.
+/// Returns the configuration of the planned deployment size. Its targets have addresses at
+/// which no process listens.
 fn target_size() -> Result<Configuration, FleetError> {
     let mut text = String::from("entry_vms_max: 2400\ndata_halls: [a]\nservices:\n");
     let mut kinds = String::from("kinds:\n");
@@ -219,19 +221,20 @@
     Ok(sample)
 }
 
-/// Publishes a small change; returns the time until every process runs it.
+/// Publishes a small change and returns the time until every entry process has it in force, at
+/// most [`REVISION_LIMIT`].
 async fn publish(fleet: &mut Fleet, revision: u64) -> Result<Duration, FleetError> {
     fleet.configuration.limits.body_bytes_max += 1;
     fleet.publish(revision).await?;
     let start = Instant::now();
     while start.elapsed() < REVISION_LIMIT {
-        let is_there = |dump: &StateDump| {
+        let is_in_force = |dump: &StateDump| {
             dump.configuration.in_force.is_some_and(|head| head.revision.as_u64() >= revision)
         };
-        if dumps(fleet).await?.iter().all(is_there) {
+        if dumps(fleet).await?.iter().all(is_in_force) {
             return Ok(start.elapsed());
         }
-        sleep(LOOK).await;
+        sleep(REVISION_CHECK_INTERVAL).await;
     }
     Ok(REVISION_LIMIT)
 }
--- a/crates/thymeshift_lab/src/experiment/decision_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/decision_cost.rs
@@ -1,6 +1,6 @@
 //! Processor cost of one dispatch decision, measured by calling the dispatch crate directly: the
 //! choice of a target, recording the answer and the release of the grant. Runs with several target
-//! counts, and with the 100 services of the largest supported deployment.
+//! counts, and with the 100 services of the planned deployment size.
 
 use std::fmt;
 use std::fmt::Write;
--- a/crates/thymeshift_lab/src/experiment/path_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/path_cost.rs
@@ -1,5 +1,5 @@
-//! Cost of the path through one entry process with one worker thread: capacity, latency
-//! beside the direct path, memory of connections.
+//! Cost of the request path through one entry process with one worker thread: throughput, added
+//! latency compared with direct requests to the target, and memory for each connection.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 use crate::load::run_closed;
 use crate::standin::Behaviour;
 
-/// Connections of the closed loop.
+/// Number of connections of the closed-loop load.
 const CLOSED_CONNECTIONS: usize = 64;
-/// Connections opened to weigh one.
-const WEIGHED_CONNECTIONS: usize = 500;
-/// Time a busy request is held by the target, in milliseconds.
-const HELD_MS: u64 = 3_000;
+/// Number of connections whose memory is measured together and divided by this count.
+const MEMORY_CONNECTIONS: usize = 500;
+/// Delay of the target's answer while the memory of busy connections is measured, in milliseconds.
+const BUSY_ANSWER_DELAY_MS: u64 = 3_000;
 
 const CONFIGURATION: &str = "
 entry_vms_max: 1
@@ -46,14 +46,14 @@
   - { name: echo, service: echo, priority: 1, deadline_ms: 10000, repeat: safe, attempts_max: 1 }
 ";
 
-/// Latency at one rate, in microseconds.
+/// Latency at one request rate, direct and through the entry process.
 struct Latency {
     rate_per_s: f64,
     direct: KindResult,
     through: KindResult,
 }
 
-/// What the path costs.
+/// Cost of the request path through an entry process.
 pub struct PathCost {
     direct_per_s: f64,
     through_per_s: f64,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Measures the path.
+/// Measures the cost of the request path; each load runs for `seconds`.
 pub async fn path_cost(seconds: u64) -> Result<PathCost, FleetError> {
     let folder = TempFolder::new()?;
     let plan = FleetPlan {
@@ -132,9 +132,9 @@
     let duration = Duration::from_secs(seconds);
     let per_s = |count: u64| count as f64 / duration.as_secs_f64();
     let direct_per_s = per_s(run_closed(target, &kind(1.0), CLOSED_CONNECTIONS, duration).await);
-    let before = used(entry)?;
+    let before = processor_time(entry)?;
     let through = run_closed(caller, &kind(1.0), CLOSED_CONNECTIONS, duration).await;
-    let spent = used(entry)?.saturating_sub(before);
+    let spent = processor_time(entry)?.saturating_sub(before);
     let through_per_s = per_s(through);
     let mut latencies = Vec::new();
     for share in [0.25, 0.75] {
@@ -148,7 +148,7 @@
     Ok(PathCost { direct_per_s, through_per_s, per_core_s, latencies, idle_kib, busy_kib })
 }
 
-fn used(child: &Child) -> Result<Duration, FleetError> {
+fn processor_time(child: &Child) -> Result<Duration, FleetError> {
     Ok(usage(child.id().unwrap_or(0))?.processor)
 }
 
@@ -165,11 +165,11 @@
     run(plan).await.kinds.remove(0)
 }
 
-/// Memory of one idle and of one busy connection, in KiB.
+/// Returns the memory of the entry process for one idle and for one busy caller connection, in KiB.
 async fn memory(fleet: &Fleet) -> Result<(f64, f64), FleetError> {
     let entry = &fleet.entries[0];
     let id = entry.id().unwrap_or(0);
-    let held = Behaviour { late_ms: HELD_MS, ..Behaviour::default() };
+    let held = Behaviour { late_ms: BUSY_ANSWER_DELAY_MS, ..Behaviour::default() };
     let address = entry.address("caller")?;
     let before = usage(id)?.memory_kib;
     let idle = tokio::spawn(hold_idle(address));
@@ -178,19 +178,20 @@
     idle.abort();
     fleet.targets[0].set_behaviour(&held).await?;
     let busy = tokio::spawn(async move {
-        run_closed(address, &kind(1.0), WEIGHED_CONNECTIONS, Duration::from_millis(100)).await
+        run_closed(address, &kind(1.0), MEMORY_CONNECTIONS, Duration::from_millis(100)).await
     });
-    sleep(Duration::from_millis(HELD_MS / 2)).await;
+    sleep(Duration::from_millis(BUSY_ANSWER_DELAY_MS / 2)).await;
     let with_busy = usage(id)?.memory_kib;
     busy.abort();
-    let each = |with: u64| with.saturating_sub(before) as f64 / WEIGHED_CONNECTIONS as f64;
-    Ok((each(with_idle), each(with_busy)))
+    let per_connection_kib =
+        |with: u64| with.saturating_sub(before) as f64 / MEMORY_CONNECTIONS as f64;
+    Ok((per_connection_kib(with_idle), per_connection_kib(with_busy)))
 }
 
-/// Connections that have each had one answer.
+/// Holds idle caller connections open until the task is aborted, each after one answered request.
 async fn hold_idle(address: SocketAddr) {
     let mut held = Vec::new();
-    for _ in 0..WEIGHED_CONNECTIONS {
+    for _ in 0..MEMORY_CONNECTIONS {
         let Ok(mut stream) = TcpStream::connect(address).await else {
             continue;
         };
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -1,5 +1,6 @@
-//! Recovery at scale: two thirds of the VMs replaced one by one under load while the platform
-//! is silent, one revision published before and one after the silence.
+//! Replacement of a fleet during a platform outage: under load, two thirds of the entry processes
+//! are replaced one by one while the platform does not answer. One configuration revision is
+//! published before the outage and one after it.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -24,18 +25,18 @@
 use crate::load::LoadResult;
 use crate::standin::PlatformMode;
 
-/// Length of the load.
-const LOAD: Duration = Duration::from_secs(20);
-/// How late the platform's balancer notices that a process stops.
+/// Duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(20);
+/// Delay after which the platform's balancer notices that an entry process is stopping.
 const BALANCER_LAG: Duration = Duration::from_millis(150);
-/// Longest time for a planned stop.
+/// Maximum duration of a planned stop.
 const STOP_LIMIT: Duration = Duration::from_secs(30);
-/// Longest time for a revision.
+/// Maximum time to wait until a revision is in force in all entry processes.
 const REVISION_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two checks whether an entry process runs a revision.
+const REVISION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the run showed.
+/// Result of the replacement of a fleet during a platform outage.
 pub struct RecoveryReport {
     before_silence: Duration,
     after_silence: Duration,
@@ -43,12 +44,13 @@
     lowest_after_start: u64,
     platform_calls: u64,
     result: LoadResult,
-    /// What the judge says.
+    /// Broken promises, counted from the targets' ledgers.
     pub violations: Violations,
 }
 
 impl RecoveryReport {
-    /// Whether nothing was lost.
+    /// Returns whether every promise held, no answer was lost or broken, and each replacement was
+    /// ready with revision 2 or later.
     pub fn is_clean(&self) -> bool {
         let lost: u64 = self.result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
         self.violations.is_clean() && lost == 0 && self.lowest_after_start >= 2
@@ -78,7 +80,7 @@
     }
 }
 
-/// Runs it with `entries` processes.
+/// Runs the experiment with `entries` entry processes; logs and settings go to `folder`.
 pub async fn recovery(folder: PathBuf, entries: usize) -> Result<RecoveryReport, FleetError> {
     let plan = tariff_plan(folder, entries)?;
     let mut fleet = Fleet::start(plan).await?;
@@ -89,7 +91,7 @@
     let load = LoadPlan {
         entries: balancer.clone(),
         kinds: tariff_load(0.5),
-        duration: LOAD,
+        duration: LOAD_DURATION,
         seed: 1,
         one_way_us: 3_000,
         warm_connections: 4,
@@ -116,8 +118,8 @@
     })
 }
 
-/// Replaces the oldest processes one by one. Returns the lowest revision that a new one had
-/// in force when it was ready.
+/// Replaces the oldest entry processes one by one. Returns the lowest configuration revision that
+/// a replacement had in force when it became ready.
 async fn replace(
     fleet: &mut Fleet,
     balancer: &EntryAddresses,
@@ -125,12 +127,12 @@
 ) -> Result<u64, FleetError> {
     let mut lowest = u64::MAX;
     for _ in 0..count {
-        let fresh = fleet.start_entry().await?;
-        lowest = lowest.min(revision(&fresh).await?);
-        fleet.entries.push(fresh);
+        let replacement = fleet.start_entry().await?;
+        lowest = lowest.min(revision(&replacement).await?);
+        fleet.entries.push(replacement);
         let mut old = fleet.entries.remove(0);
         old.signal(Signal::TERM);
-        // The balancer notices late; until then the old process still gets requests.
+        // Until the balancer notices the stop, it still sends requests to the old process.
         sleep(BALANCER_LAG).await;
         balancer.set(fleet.caller_addresses()?);
         if timeout(STOP_LIMIT, old.wait()).await.is_err() {
@@ -145,14 +147,15 @@
     Ok(head.map_or(0, |head| head.revision.as_u64()))
 }
 
-/// Publishes a small change; returns the time until every process runs it.
+/// Publishes a small change and returns the time until every entry process has it in force, or
+/// until [`REVISION_LIMIT`] has passed.
 async fn publish(fleet: &mut Fleet, number: u64) -> Result<Duration, FleetError> {
     fleet.configuration.limits.body_bytes_max += 1;
     fleet.publish(number).await?;
     let start = Instant::now();
     for entry in &fleet.entries {
         while revision(entry).await? < number && start.elapsed() < REVISION_LIMIT {
-            sleep(LOOK).await;
+            sleep(REVISION_CHECK_INTERVAL).await;
         }
     }
     Ok(start.elapsed())
--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! What is wrong with the targets during a run.
+//! Scenarios: faults and load conditions of the targets during a run.
 
 use std::fmt;
 
@@ -6,31 +6,32 @@
 use crate::standin::Fault;
 use crate::standin::Reports;
 
-/// What is wrong during a run.
+/// Fault or load condition of the targets during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// All targets work normally.
     NoFault,
-    /// Half of the targets are half as fast.
+    /// Every other target takes twice as long for each request.
     TwoSpeeds,
     /// Each target stalls for 30 ms about every 400 ms.
     NoisyNeighbours,
-    /// Reports are so many milliseconds old.
+    /// Load reports of all targets are out of date by this many milliseconds.
     Stale(u64),
-    /// Noisy neighbours, and reports 100 ms old.
+    /// Each target stalls for 30 ms about every 400 ms, and its load reports are 100 ms old.
     NoisyAndStale,
-    /// One target says that it is idle and is three times slower.
+    /// One target always reports that it is idle, and takes three times as long for each request.
     MisreportingTarget,
-    /// One target fails at once.
+    /// One target answers every request with an error immediately.
     FastFailer,
-    /// One target gets slower and slower.
+    /// One target slows down steadily over the run, towards ten times its normal service time.
     GradualSlowdown,
-    /// One target drains in the middle.
+    /// One target announces after 40 % of the run that it is leaving.
     Drain,
 }
 
 impl Scenario {
-    /// All scenarios. The drain is last: leaving is sticky, so the target stays out.
+    /// All scenarios in the order of a run. `Drain` is last, because a target that has announced
+    /// that it is leaving gets no more requests in later scenarios.
     pub const ALL: [Self; 11] = [
         Self::NoFault,
         Self::TwoSpeeds,
@@ -45,7 +46,8 @@
         Self::Drain,
     ];
 
-    /// Behaviour of target number `index` at `share` of the run.
+    /// Returns the behaviour of the target with this index when the given share of the run, from 0
+    /// to 1, has passed.
     pub(crate) fn behaviour(self, index: usize, share: f64) -> Behaviour {
         let good = Behaviour::default();
         let noisy = Behaviour { stall_every_ms: 400, stall_ms: 30, ..good.clone() };
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Share of the full capacity that is left.
+    /// Returns the share of the targets' full capacity that remains under this scenario.
     pub(crate) fn capacity(self) -> f64 {
         match self {
             Self::TwoSpeeds => 0.75,
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Whether it changes while the load runs.
-    pub(crate) fn changes(self) -> bool {
+    /// Returns whether the behaviour of a target changes while the load runs.
+    pub(crate) fn changes_during_run(self) -> bool {
         matches!(self, Self::GradualSlowdown | Self::Drain)
     }
 }
--- a/crates/thymeshift_lab/src/experiment/scenario_row.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario_row.rs
@@ -1,4 +1,4 @@
-//! One run of a strategy under a scenario, as a row.
+//! Result of one run of a strategy under a scenario, as a row of a table.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use crate::experiment::scenario::Scenario;
 use crate::load::KindResult;
 
-/// One run.
+/// Result of one run of a strategy under a scenario.
 pub struct ScenarioRow {
     pub(crate) scenario: Scenario,
     pub(crate) load_percent: u64,
@@ -17,14 +17,15 @@
     pub(crate) seed: u64,
     pub(crate) kind: KindResult,
     pub(crate) ideal_p99_us: u64,
-    /// Share of the requests that the odd target (number 0) began or failed.
+    /// Requests that target 0 began plus requests that failed, as a share of all requests. Target
+    /// 0 is the faulty target in scenarios with a single faulty target.
     pub(crate) faulty_target_share: f64,
     pub(crate) retries: u64,
     pub(crate) waited: u64,
 }
 
 impl ScenarioRow {
-    /// The row for programs.
+    /// Returns the row as JSON, with latencies in microseconds.
     pub fn to_json(&self) -> Value {
         let kind = &self.kind;
         json!({
@@ -35,16 +36,16 @@
             "p50_us": kind.latency_us(0.5), "p99_us": kind.latency_us(0.99),
             "p999_us": kind.latency_us(0.999), "ideal_p99_us": self.ideal_p99_us,
             "odd_share": self.faulty_target_share, "retries": self.retries, "waited": self.waited,
-            "attempts_per_request": self.attempts(),
+            "attempts_per_request": self.attempts_per_request(),
         })
     }
 
-    /// Attempts for each request.
-    fn attempts(&self) -> f64 {
+    /// Returns the mean number of attempts for each request.
+    fn attempts_per_request(&self) -> f64 {
         1.0 + self.retries as f64 / (self.kind.sent as f64).max(1.0)
     }
 
-    /// Head of the table.
+    /// Returns the column headings of the table.
     pub fn table_header() -> String {
         format!(
             "{:<17}{:>5} {:<20}{:>5}{:>8}{:>8}{:>8}{:>8}{:>7}{:>8}{:>9}{:>8}{:>8}{:>8}{:>9}",
@@ -89,7 +90,7 @@
             kind.failed + kind.unknown,
             self.waited,
             self.faulty_target_share * 100.0,
-            self.attempts()
+            self.attempts_per_request()
         )
     }
 }
--- a/crates/thymeshift_lab/src/experiment/scenarios.rs
+++ b/crates/thymeshift_lab/src/experiment/scenarios.rs
@@ -1,4 +1,5 @@
-//! Strategies under faults: the same arrivals, real processes, one row for each run.
+//! Compares dispatch strategies under faults of targets. Real processes serve the same arrivals
+//! with each strategy, and each run gives one row of a table.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -21,48 +22,49 @@
 use crate::load::KindResult;
 use crate::load::LoadPlan;
 
-/// Targets of the service under test, as the tariff calculator has.
+/// Number of targets of the service under test, as in the tariff example's calculator service.
 const TARGETS: usize = 10;
-/// Slots of each.
+/// Slots of each target.
 const SLOTS: usize = 3;
 /// Mean service time, in microseconds.
 const SERVICE_US: u64 = 8_000;
-/// One way between callers and entry processes, in microseconds.
+/// One-way network delay between callers and entry processes, in microseconds.
 const CALLER_ONE_WAY_US: u64 = 3_000;
-/// One way between entry processes and targets, in microseconds.
+/// One-way network delay between entry processes and targets, in microseconds.
 const TARGET_ONE_WAY_US: u64 = 1_500;
-/// An answer later than this is late, in milliseconds.
+/// Latency up to which an answer counts as in time, in milliseconds.
 const IN_TIME_MS: u64 = 100;
-/// Load before each run that is not counted.
+/// Duration of the unmeasured load before each run.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 
-/// Steps in which a scenario changes.
-const CHANGES: u32 = 10;
+/// Number of steps into which a run is divided for scenarios that change over time.
+const SCENARIO_STEPS: u32 = 10;
 
-/// What to run.
+/// Scenarios, loads, seeds and strategies to run in all combinations.
 #[derive(Debug, Clone)]
 pub struct ScenarioPlan {
-    /// Entry processes.
+    /// Number of entry processes.
     pub entries: usize,
-    /// Length of each run.
+    /// Measured duration of each run.
     pub duration: Duration,
-    /// Seeds; each is a run.
+    /// Seeds of the arrivals; each seed is a separate run.
     pub seeds: Vec<u64>,
-    /// Scenarios.
+    /// Scenarios to run.
     pub scenarios: Vec<Scenario>,
-    /// Strategies.
+    /// Dispatch strategies to compare.
     pub strategies: Vec<StrategyName>,
-    /// Loads, in percent of the capacity that is left.
+    /// Offered loads, in percent of the capacity that remains under the scenario.
     pub loads_percent: Vec<u64>,
-    /// Whether targets are probed.
+    /// Whether entry processes probe targets.
     pub has_probes: bool,
-    /// Time after which a second attempt is started, in milliseconds; 0 never does.
+    /// Hedging delay: time after which a second attempt starts, in milliseconds; 0 disables
+    /// hedging.
     pub hedge_after_ms: u64,
-    /// Where logs go.
+    /// Folder for logs and settings.
     pub folder: PathBuf,
 }
 
-/// Runs the plan; `on_row` hears each row as it is measured.
+/// Runs all combinations of the plan and calls `on_row` with each result as soon as it is measured.
 pub async fn scenarios(
     plan: &ScenarioPlan,
     mut on_row: impl FnMut(&ScenarioRow),
@@ -78,7 +80,7 @@
         worker_threads: 1,
         has_datagrams: false,
     };
-    let mut lab = Lab { fleet: Fleet::start(fleet_plan).await?, revision: 1 };
+    let mut under_test = FleetUnderTest { fleet: Fleet::start(fleet_plan).await?, revision: 1 };
     for scenario in &plan.scenarios {
         for load_percent in &plan.loads_percent {
             for seed in &plan.seeds {
@@ -89,7 +91,7 @@
                         seed: *seed,
                         strategy: *strategy,
                     };
-                    on_row(&lab.run(plan, run).await?);
+                    on_row(&under_test.run(plan, run).await?);
                 }
             }
         }
@@ -105,15 +107,15 @@
     strategy: StrategyName,
 }
 
-struct Lab {
+struct FleetUnderTest {
     fleet: Fleet,
     revision: u64,
 }
 
-impl Lab {
+impl FleetUnderTest {
     async fn run(&mut self, plan: &ScenarioPlan, run: Run) -> Result<ScenarioRow, FleetError> {
         self.set_strategy(run.strategy).await?;
-        self.behave(run.scenario, 0.0).await?;
+        self.set_behaviours(run.scenario, 0.0).await?;
         let capacity = (TARGETS * SLOTS) as f64 / (SERVICE_US as f64 / 1_000_000.0);
         let rate = capacity * run.scenario.capacity() * run.load_percent as f64 / 100.0;
         let load = |duration, seed| -> Result<LoadPlan, FleetError> {
@@ -129,13 +131,16 @@
         load::run(load(WARM_UP, run.seed + 1_000)?).await;
         let measured = load(plan.duration, run.seed)?;
         let before = self.totals().await?;
-        let result =
-            tokio::join!(load::run(measured.clone()), self.change(run.scenario, plan.duration));
+        let result = tokio::join!(
+            load::run(measured.clone()),
+            self.update_during_run(run.scenario, plan.duration)
+        );
         result.1?;
         let after = self.totals().await?;
         let kind = result.0.kinds.into_iter().next().unwrap_or_else(|| KindResult::new("none"));
         let failed = kind.failed as f64;
-        let odd = (after.odd - before.odd) as f64 + failed;
+        let faulty_target_requests =
+            (after.faulty_target_requests - before.faulty_target_requests) as f64 + failed;
         let ideal = IdealQueue {
             slots: ((TARGETS * SLOTS) as f64 * run.scenario.capacity()).round() as usize,
             service_us: SERVICE_US,
@@ -147,7 +152,7 @@
             strategy: run.strategy,
             seed: run.seed,
             ideal_p99_us: ideal.latency_us(&measured, 0.99),
-            faulty_target_share: odd / (kind.sent as f64).max(1.0),
+            faulty_target_share: faulty_target_requests / (kind.sent as f64).max(1.0),
             retries: after.retries - before.retries,
             waited: after.waited - before.waited,
             kind,
@@ -169,21 +174,25 @@
         Ok(())
     }
 
-    async fn behave(&self, scenario: Scenario, share: f64) -> Result<(), FleetError> {
+    async fn set_behaviours(&self, scenario: Scenario, share: f64) -> Result<(), FleetError> {
         for (index, target) in self.fleet.targets.iter().enumerate() {
             target.set_behaviour(&scenario.behaviour(index, share)).await?;
         }
         Ok(())
     }
 
-    /// What changes while the load runs.
-    async fn change(&self, scenario: Scenario, duration: Duration) -> Result<(), FleetError> {
-        if !scenario.changes() {
+    /// Adjusts the targets step by step while the load runs, if the scenario changes over time.
+    async fn update_during_run(
+        &self,
+        scenario: Scenario,
+        duration: Duration,
+    ) -> Result<(), FleetError> {
+        if !scenario.changes_during_run() {
             return Ok(());
         }
-        for step in 1..CHANGES {
-            tokio::time::sleep(duration / CHANGES).await;
-            self.behave(scenario, f64::from(step) / f64::from(CHANGES)).await?;
+        for step in 1..SCENARIO_STEPS {
+            tokio::time::sleep(duration / SCENARIO_STEPS).await;
+            self.set_behaviours(scenario, f64::from(step) / f64::from(SCENARIO_STEPS)).await?;
         }
         Ok(())
     }
@@ -197,7 +206,7 @@
             }
         }
         let ledger = self.fleet.targets[0].ledger().await?;
-        totals.odd = ledger.values().map(|entry| entry.begun).sum();
+        totals.faulty_target_requests = ledger.values().map(|entry| entry.begun).sum();
         Ok(totals)
     }
 }
@@ -206,7 +215,7 @@
 struct Totals {
     retries: u64,
     waited: u64,
-    odd: u64,
+    faulty_target_requests: u64,
 }
 
 fn revision(dump: &StateDump) -> u64 {
@@ -225,7 +234,8 @@
     }
 }
 
-/// The calculator alone, in one data hall.
+/// Returns the tariff example's configuration reduced to its first service and kind, with all
+/// targets in one data hall.
 fn configuration(plan: &ScenarioPlan) -> Result<Configuration, FleetError> {
     let mut configuration = crate::experiment::demo::tariff_configuration()?;
     configuration.services.truncate(1);
