--- a/crates/thymeshift_lab/src/experiment/fleet.rs
+++ b/crates/thymeshift_lab/src/experiment/fleet.rs
@@ -1,4 +1,5 @@
-//! A platform, the targets of a configuration and some entry processes, each a process.
+//! Test fleet: a stand-in platform, the targets of a configuration and entry processes, each as a
+//! process of its own.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -26,105 +27,109 @@
 use crate::standin::LedgerEntry;
 use crate::standin::PlatformMode;
 
-/// Longest time until an entry process is ready.
-const READY_LIMIT: Duration = Duration::from_secs(15);
-/// Time between two looks at it.
-const READY_LOOK: Duration = Duration::from_millis(20);
-/// Peers that a new entry process is told of.
-const PEERS_TOLD: usize = 3;
+/// Maximum time until a started entry process is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval between two readiness checks of an entry process.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of running peers that the settings of a new entry process list.
+const CONFIGURED_PEERS_MAX: usize = 3;
 
-/// A fleet that could not be put together or used.
+/// Error of starting or using a test fleet.
 #[derive(Debug, Display, Error, From)]
 pub enum FleetError {
-    /// A process.
+    /// A child process could not be started or used.
     #[display("{_0}")]
     Child(ChildError),
-    /// A request to a stand-in or entry process.
+    /// An HTTP request to a stand-in or an entry process failed.
     #[display("{_0}")]
     Request(RequestError),
-    /// A file.
+    /// A file could not be read or written.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// JSON.
+    /// JSON could not be encoded or decoded.
     #[display("{_0}")]
     Json(serde_json::Error),
-    /// A remote call.
+    /// A control connection could not be opened.
     #[display("{_0}")]
     Link(thymeshift_wire::LinkError),
-    /// A remote call.
+    /// A remote call over a control connection failed.
     #[display("{_0}")]
     Call(tarpc::client::RpcError),
-    /// A configuration.
+    /// A configuration is invalid.
     #[display("{_0}")]
     Configuration(thymeshift_config::Mistakes),
-    /// An entry process that does not become ready.
-    #[display("an entry process was not ready within {READY_LIMIT:?}, see its log")]
+    /// An entry process did not become ready, or did not stop, in time.
+    #[display("an entry process was not ready within {READY_TIMEOUT:?}, see its log")]
     NotReady,
 }
 
-/// What to put together.
+/// Composition of a test fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
-    /// The configuration; its targets' addresses are replaced by the stand-ins'.
+    /// Configuration to publish. The addresses of its targets are replaced by those of the
+    /// stand-in targets.
     pub configuration: Configuration,
     /// Number of entry processes.
     pub entries: usize,
     /// Mean service time of each service's targets, in microseconds, by name.
     pub service_us: BTreeMap<String, u64>,
-    /// Requests that may wait inside a target.
+    /// Maximum number of requests that wait in the queue of a target.
     pub target_queue_max: u32,
-    /// One way between entry processes and targets, in microseconds.
+    /// One-way network delay between entry processes and targets, in microseconds.
     pub one_way_us: u64,
-    /// Seed of service times.
+    /// Seed from which each target derives its random service times.
     pub seed: u64,
-    /// Where logs and settings are written.
+    /// Folder for logs and settings.
     pub folder: PathBuf,
-    /// Worker threads of an entry process.
+    /// Number of worker threads of each entry process.
     pub worker_threads: u64,
-    /// Whether entry processes exchange datagrams, and allocate targets to each other.
+    /// Whether entry processes exchange datagrams and act as allocators for each other.
     pub has_datagrams: bool,
 }
 
-/// A target's process.
+/// Process of a stand-in target.
 pub struct TargetChild {
-    /// Its service.
+    /// Name of the service that the target belongs to.
     pub service: String,
-    /// Its name.
+    /// Name of the target in the configuration.
     pub name: String,
-    /// Its process.
+    /// Child process with the target's data and control addresses.
     pub child: Child,
 }
 
 impl TargetChild {
-    /// Changes how it behaves.
+    /// Sets the behaviour of the target through its control port.
     pub async fn set_behaviour(&self, behaviour: &Behaviour) -> Result<(), FleetError> {
         let body = serde_json::to_vec(behaviour)?;
         send_request(self.child.address("control")?, Method::PUT, "/behaviour", body).await?;
         Ok(())
     }
 
-    /// Has its answers name a limit of requests a second, or none.
+    /// Sets the rate limit that the target states in its answers, in requests per second; none
+    /// removes the limit.
     pub async fn set_stated_limit(&self, limit_per_s: Option<f64>) -> Result<(), FleetError> {
         let body = serde_json::to_vec(&limit_per_s)?;
         send_request(self.child.address("control")?, Method::PUT, "/limit", body).await?;
         Ok(())
     }
 
-    /// Most requests that it got in a window, in parts of what its limit allows.
+    /// Returns the largest number of requests that reached the target within one window of its
+    /// stated limit, as a ratio of the allowed number.
     pub async fn worst_window(&self) -> Result<f64, FleetError> {
         let answer =
             send_request(self.child.address("control")?, Method::GET, "/limit", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
-    /// What reached it against what it had said, by the process that sent it.
+    /// Returns the requests that reached the target although it had announced that it is leaving
+    /// or had asked for a backoff, by the entry process that sent them.
     pub async fn disregarded(&self) -> Result<HashMap<String, Disregarded>, FleetError> {
         let answer =
             send_request(self.child.address("control")?, Method::GET, "/statements", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
-    /// What it ran.
+    /// Returns the ledger of the target: how often each request was begun and finished, by nonce.
     pub async fn ledger(&self) -> Result<BTreeMap<String, LedgerEntry>, FleetError> {
         let answer =
             send_request(self.child.address("control")?, Method::GET, "/ledger", "").await?;
@@ -132,24 +137,26 @@
     }
 }
 
-/// All processes.
+/// Running test fleet.
 pub struct Fleet {
-    /// The platform.
+    /// Process of the stand-in platform.
     pub platform: Child,
-    /// The targets.
+    /// Processes of the stand-in targets, in the order of the configuration.
     pub targets: Vec<TargetChild>,
-    /// The entry processes.
+    /// Entry processes, oldest first.
     pub entries: Vec<Child>,
-    /// The configuration with the stand-ins' addresses.
+    /// Configuration with the addresses of the stand-in targets.
     pub configuration: Configuration,
-    /// Where entry processes that start from now on reach the platform, if not directly.
+    /// Address, such as a proxy's, that entry processes started from now on use for the platform;
+    /// none uses the platform's own address.
     pub platform_address_override: Option<SocketAddr>,
     plan: FleetPlan,
     started: usize,
 }
 
 impl Fleet {
-    /// Starts everything and publishes revision 1.
+    /// Starts all processes of the plan and publishes the configuration and the VM list, both as
+    /// revision 1.
     pub async fn start(plan: FleetPlan) -> Result<Self, FleetError> {
         fs::create_dir_all(&plan.folder)?;
         let own = sibling_program("thymeshift-lab")?;
@@ -197,13 +204,14 @@
         Ok(fleet)
     }
 
-    /// Starts one more entry process, which is told of some of those that run.
+    /// Starts another entry process, whose settings list some of the running entry processes as
+    /// peers, and waits until it is ready. The caller adds it to [`Fleet::entries`].
     pub async fn start_entry(&mut self) -> Result<Child, FleetError> {
         self.started += 1;
         let number = self.started;
         let halls = &self.configuration.data_halls;
         let hall = &halls[number % halls.len()];
-        let peers = self.entries.iter().rev().take(PEERS_TOLD);
+        let peers = self.entries.iter().rev().take(CONFIGURED_PEERS_MAX);
         let peers: Result<Vec<String>, ChildError> =
             peers.map(|peer| Ok(peer.address("peer")?.to_string())).collect();
         let platform = match self.platform_address_override {
@@ -231,13 +239,13 @@
         Ok(child)
     }
 
-    /// Publishes the configuration as it stands in `configuration`.
+    /// Publishes the current value of [`Fleet::configuration`] under this revision.
     pub async fn publish(&self, revision: u64) -> Result<(), FleetError> {
         let text = serde_json::to_vec(&self.configuration)?;
         self.publish_document("configuration", revision, text).await
     }
 
-    /// Publishes the list of the entry processes that run.
+    /// Publishes the peer addresses of [`Fleet::entries`] as the platform's VM list.
     pub async fn publish_vms(&self, revision: u64) -> Result<(), FleetError> {
         let mut list = String::new();
         for entry in &self.entries {
@@ -258,40 +266,40 @@
         Ok(())
     }
 
-    /// Causes or ends a fault of the platform.
+    /// Sets the fault mode of the platform; [`PlatformMode::Normal`] ends a fault.
     pub async fn set_platform_mode(&self, mode: PlatformMode) -> Result<(), FleetError> {
         let body = serde_json::to_vec(&mode)?;
         send_request(self.platform.address("control")?, Method::PUT, "/mode", body).await?;
         Ok(())
     }
 
-    /// Calls to the platform so far.
+    /// Returns the number of calls that the platform has received so far.
     pub async fn platform_calls(&self) -> Result<u64, FleetError> {
         let answer =
             send_request(self.platform.address("control")?, Method::GET, "/calls", "").await?;
         Ok(serde_json::from_slice(answer.body())?)
     }
 
-    /// Where callers connect.
+    /// Returns the addresses at which the entry processes accept callers.
     pub fn caller_addresses(&self) -> Result<Vec<SocketAddr>, FleetError> {
         let addresses = self.entries.iter().map(|entry| entry.address("caller"));
         Ok(addresses.collect::<Result<_, ChildError>>()?)
     }
 }
 
-/// Waits until an entry process is ready.
+/// Waits until the readiness endpoint of an entry process reports success, or fails after 15 s.
 pub async fn wait_ready(entry: &Child) -> Result<(), FleetError> {
     let observe = entry.address("observe")?;
     let waiting = async {
         while !send_request(observe, Method::GET, "/ready", "").await?.status().is_success() {
-            sleep(READY_LOOK).await;
+            sleep(READY_CHECK_INTERVAL).await;
         }
         Ok(())
     };
-    timeout(READY_LIMIT, waiting).await.unwrap_or(Err(FleetError::NotReady))
+    timeout(READY_TIMEOUT, waiting).await.unwrap_or(Err(FleetError::NotReady))
 }
 
-/// The state dump of an entry process.
+/// Fetches the state dump of an entry process through its control port.
 pub async fn dump(entry: &Child) -> Result<StateDump, FleetError> {
     let limit = Duration::from_secs(2);
     let client = thymeshift_wire::connect_control(entry.address("control")?, limit).await?;
--- a/crates/thymeshift_lab/src/experiment/post_fault_load.rs
+++ b/crates/thymeshift_lab/src/experiment/post_fault_load.rs
@@ -1,57 +1,62 @@
-//! Whether requests are served again once all faults have ended.
+//! Load after the end of all faults of a soak, and the check that requests are served again.
 
 use thymeshift_config::Kind;
 
 use crate::load::KindResult;
 use crate::load::LoadResult;
 
-/// Part of the requests that must be answered.
-const ANSWERED_MIN: f64 = 0.98;
-/// Part of the time for which the processes could have run, and waited for a processor, from which
-/// on the machine was starved. Measured under this load on 8 processors: 0.40 to 0.53 beside a load
-/// of 10 to 15, where all was answered; 0.80 to 0.82 beside 28 more busy processes, 0.86 to 0.88 beside
-/// 48, where now and then look-ups were refused.
-const STARVED_FROM: f64 = 0.7;
-/// On a starved machine the kinds with this deadline or a longer one must be answered, in
-/// milliseconds: a shorter one passes while a process waits for a processor.
-const PATIENT_FROM_MS: u64 = 1_000;
-
-/// The load after the faults, and what processes waited for a processor under it.
+/// Minimum share of the requests that must be answered.
+const ANSWERED_SHARE_MIN: f64 = 0.98;
+/// CPU pressure from which the machine counts as starved of processors. Under this load on 8
+/// processors, the pressure is 0.40 to 0.53 at a system load of 10 to 15, where all requests are
+/// answered. It is 0.80 to 0.82 with 28 further busy processes and 0.86 to 0.88 with 48, where
+/// look-ups are occasionally refused.
+const STARVED_PRESSURE_MIN: f64 = 0.7;
+/// Shortest deadline, in milliseconds, of the kinds whose requests must be answered on a starved
+/// machine too. A shorter deadline can pass while a process waits for a processor.
+const LONG_DEADLINE_MIN_MS: u64 = 1_000;
+
+/// Load after the end of all faults, with the CPU pressure during that load.
 #[derive(Debug, Clone)]
 pub struct PostFaultLoad {
-    /// What became of it.
+    /// Results of the load.
     pub result: LoadResult,
-    /// [`crate::experiment::ProcessorTime::pressure_since`] of entry processes and targets.
+    /// CPU pressure of the entry processes and targets during the load, as
+    /// [`crate::experiment::ProcessorTime::pressure_since`] returns it.
     pub pressure: f64,
-    /// Kinds that can wait for a processor.
-    patient_kinds: Vec<String>,
+    /// Names of the kinds whose deadline is long enough to wait for a processor.
+    long_deadline_kinds: Vec<String>,
 }
 
 impl PostFaultLoad {
-    /// The result of a load of these kinds.
+    /// Combines the result of a load over `kinds` with the CPU pressure during that load.
     pub fn new(result: LoadResult, kinds: &[Kind], pressure: f64) -> Self {
-        let patient = kinds.iter().filter(|kind| kind.deadline_ms >= PATIENT_FROM_MS);
-        let patient_kinds = patient.map(|kind| kind.name.to_string()).collect();
-        Self { result, pressure, patient_kinds }
+        let long_deadline = kinds.iter().filter(|kind| kind.deadline_ms >= LONG_DEADLINE_MIN_MS);
+        let long_deadline_kinds = long_deadline.map(|kind| kind.name.to_string()).collect();
+        Self { result, pressure, long_deadline_kinds }
     }
 
-    /// Whether requests are served again. On a machine that had no processor to spare, those that
-    /// cannot wait for one may have been refused in so many words, and nothing else.
+    /// Returns whether requests are served again. On a machine starved of processors, requests of
+    /// kinds with short deadlines may instead have been refused as not run; any other failure
+    /// counts.
     pub fn is_served(&self) -> bool {
-        if self.answered() >= ANSWERED_MIN {
+        if self.answered_share() >= ANSWERED_SHARE_MIN {
             return true;
         }
-        self.pressure >= STARVED_FROM && self.result.kinds.iter().all(|kind| self.is_excused(kind))
+        self.pressure >= STARVED_PRESSURE_MIN
+            && self.result.kinds.iter().all(|kind| self.is_excused(kind))
     }
 
     fn is_excused(&self, kind: &KindResult) -> bool {
-        let is_told = kind.answered + kind.not_run == kind.sent;
-        let is_patient = self.patient_kinds.contains(&kind.name);
-        is_told && (!is_patient || answered_share(std::slice::from_ref(kind)) >= ANSWERED_MIN)
+        let has_definite_result = kind.answered + kind.not_run == kind.sent;
+        let has_long_deadline = self.long_deadline_kinds.contains(&kind.name);
+        has_definite_result
+            && (!has_long_deadline
+                || answered_share(std::slice::from_ref(kind)) >= ANSWERED_SHARE_MIN)
     }
 
-    /// Part of the requests that were answered.
-    pub fn answered(&self) -> f64 {
+    /// Returns the share of the requests, from 0 to 1, that were answered.
+    pub fn answered_share(&self) -> f64 {
         answered_share(&self.result.kinds)
     }
 }
--- a/crates/thymeshift_lab/src/experiment/pressure.rs
+++ b/crates/thymeshift_lab/src/experiment/pressure.rs
@@ -1,24 +1,25 @@
-//! How long processes waited for a processor while they could have run.
+//! CPU pressure: how long runnable processes waited for a processor.
 //!
-//! A request that is not answered in time shows a fault of the product, or a machine that had no
-//! processor to spare. The kernel counts both parts for each thread; what the processes of an
-//! experiment waited tells the two apart.
+//! A late answer is either a fault of the product or caused by a machine without a free processor.
+//! The time for which the processes of an experiment waited for a processor, which the kernel counts
+//! for each thread, distinguishes the two causes.
 
 use std::fs;
 use std::io;
 use std::time::Duration;
 
-/// Processor time of some processes together.
+/// Running and waiting time of several processes, summed over their threads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessorTime {
-    /// Time for which their threads ran.
+    /// Time for which the threads ran on a processor.
     pub ran: Duration,
-    /// Time for which their threads could have run and waited.
+    /// Time for which the threads were runnable but waited for a processor.
     pub waited: Duration,
 }
 
 impl ProcessorTime {
-    /// What the threads of these processes have had so far. One that has ended counts nothing.
+    /// Reads the times of all threads of these processes since their start. A process that has
+    /// ended counts as zero.
     pub fn of(processes: impl Iterator<Item = u32>) -> io::Result<Self> {
         let mut sum = Self::default();
         for process in processes {
@@ -39,7 +40,8 @@
         Ok(sum)
     }
 
-    /// Reads `schedstat`: nanoseconds on a processor, nanoseconds of waiting, turns.
+    /// Parses the kernel's `schedstat`: nanoseconds on a processor, nanoseconds of waiting for a
+    /// processor, number of time slices.
     fn parse(text: &str) -> io::Result<Self> {
         let unreadable =
             || io::Error::new(io::ErrorKind::InvalidData, format!("schedstat: {text}"));
@@ -55,8 +57,8 @@
         self.waited += other.waited;
     }
 
-    /// Part of the time since `before`, from 0 to 1, for which the processes waited of all the
-    /// time for which they could have run.
+    /// Returns the share of the runnable time since `before`, from 0 to 1, for which the processes
+    /// waited for a processor.
     pub fn pressure_since(self, before: Self) -> f64 {
         let ran = self.ran.saturating_sub(before.ran);
         let waited = self.waited.saturating_sub(before.waited);
--- a/crates/thymeshift_lab/src/experiment/rounds.rs
+++ b/crates/thymeshift_lab/src/experiment/rounds.rs
@@ -1,4 +1,5 @@
-//! The rounds of the users' bench, read from the journal that it leaves in the repository.
+//! Tables and a plot of the results of the external benchmark, read from the JSON journal that the
+//! benchmark writes into the repository.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,47 +16,47 @@
 use crate::load::Series;
 use crate::load::draw;
 
-/// Rounds that could not be shown.
+/// Error of reading the journal or drawing its plot.
 #[derive(Debug, Display, Error)]
 pub enum RoundsError {
     /// The folder or a file cannot be read.
     #[display("{}: {source}", path.display())]
     Read {
-        /// Which.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is not an entry of the journal.
+    /// A file is not a valid journal entry.
     #[display("{}: {source}", path.display())]
     Entry {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why, with the place.
+        /// Parse error with its line and column.
         source: serde_json::Error,
     },
     /// The plot cannot be drawn.
     #[display("{source}")]
     Plot {
-        /// Why.
+        /// Error of the plot.
         source: PlotError,
     },
 }
 
-/// Begin of the reason of a run that switches one mechanism off; the rest names it.
-const ABLATION: &str = "ablation on the final code: ";
-/// The rest for the runs with nothing switched off.
+/// Prefix of the reason of an ablation run; the rest of the reason names the disabled mechanism.
+const ABLATION_PREFIX: &str = "ablation on the final code: ";
+/// Rest of the reason of the baseline runs, which have all mechanisms enabled.
 const NOTHING_OFF: &str = "nothing switched off";
-/// Digits of a commit that are shown.
-const COMMIT_SHOWN: usize = 7;
+/// Number of digits of a commit hash shown in the tables.
+const COMMIT_DIGITS: usize = 7;
 
-/// One entry of the journal, as far as it is shown.
+/// Journal entry, with the fields that the tables use.
 #[derive(Debug, Clone, Deserialize)]
 struct Entry {
-    /// When it began and ended.
+    /// Start time of the command and, if it has ended, its end time.
     at: Vec<String>,
     cmd: String,
-    /// The commit that the copy played was made from.
+    /// Hash of the benchmarked commit.
     #[serde(default)]
     head: String,
     site: Option<String>,
@@ -70,9 +71,9 @@
     name: String,
     seed: Option<u64>,
     score: Option<f64>,
-    /// What the day was worth, as a share of all that was owed.
+    /// Earned value of the day as a share of the maximum value.
     #[serde(rename = "G")]
-    worth: Option<f64>,
+    value_share: Option<f64>,
     #[serde(default)]
     rules: serde_json::Value,
 }
@@ -87,8 +88,8 @@
     }
 }
 
-/// Reads the journal in `folder`, draws each site's scores into `plot`, and returns tables of
-/// scores, hunts and ablations in Markdown.
+/// Reads the journal in `folder`, plots the scores of each site to the file `plot`, and returns
+/// Markdown tables of scores, hunts and ablation runs.
 pub fn rounds(folder: &Path, plot: &Path) -> Result<String, RoundsError> {
     let entries = read(folder)?;
     let mut text = String::new();
@@ -113,7 +114,7 @@
             paths.push(path);
         }
     }
-    // Names begin with the moment.
+    // File names start with a timestamp, so that this order is chronological.
     paths.sort();
     let mut entries = Vec::new();
     for path in paths {
@@ -163,7 +164,7 @@
     }
 }
 
-/// Runs with one mechanism switched off, of copies of one commit.
+/// Group of runs of one commit at one site with the same mechanism disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Ablation<'a> {
     site: &'a str,
@@ -171,24 +172,24 @@
     off: &'a str,
 }
 
-/// One day with one seed.
-type Played<'a> = (&'a str, Option<u64>);
+/// Name and seed of a simulated day.
+type DayAndSeed<'a> = (&'a str, Option<u64>);
 
-/// Mean worth of the runs of each site with one mechanism switched off, and the mean difference
-/// to the runs of the same commit, day and seed with all of them.
+/// Writes a table with the mean value of each ablation, and its mean difference from the baseline
+/// runs of the same commit, day and seed.
 fn ablations(entries: &[Entry], text: &mut String) {
-    let mut worths: BTreeMap<Ablation<'_>, BTreeMap<Played<'_>, Vec<f64>>> = BTreeMap::new();
+    let mut values: BTreeMap<Ablation<'_>, BTreeMap<DayAndSeed<'_>, Vec<f64>>> = BTreeMap::new();
     for entry in entries.iter().filter(|entry| entry.cmd == "run") {
-        let off = entry.why.as_deref().and_then(|why| why.strip_prefix(ABLATION));
+        let off = entry.why.as_deref().and_then(|why| why.strip_prefix(ABLATION_PREFIX));
         let (Some(site), Some(off)) = (entry.site.as_deref(), off) else {
             continue;
         };
-        let commit = entry.head.get(..COMMIT_SHOWN).unwrap_or(&entry.head);
+        let commit = entry.head.get(..COMMIT_DIGITS).unwrap_or(&entry.head);
         let ablation = Ablation { site, commit, off };
         for day in &entry.days {
-            if let Some(worth) = day.worth {
-                let played = worths.entry(ablation).or_default();
-                played.entry((&day.name, day.seed)).or_default().push(worth);
+            if let Some(value) = day.value_share {
+                let values_by_day = values.entry(ablation).or_default();
+                values_by_day.entry((&day.name, day.seed)).or_default().push(value);
             }
         }
     }
@@ -196,29 +197,30 @@
         "\n| commit | site | switched off | runs | mean worth | difference |\n\
          | --- | --- | --- | --- | --- | --- |\n",
     );
-    for (ablation, played) in &worths {
+    for (ablation, values_by_day) in &values {
         let Ablation { site, commit, off } = ablation;
-        let whole = worths.get(&Ablation { off: NOTHING_OFF, ..*ablation });
-        let difference = whole.and_then(|whole| difference(played, whole));
-        let difference = difference.map_or("–".to_owned(), |worth| format!("{worth:+.3}"));
-        let all: Vec<f64> = played.values().flatten().copied().collect();
-        let (runs, worth) = (all.len(), mean(&all));
-        let line = format!("| {commit} | {site} | {off} | {runs} | {worth:.3} | {difference} |");
+        let baseline = values.get(&Ablation { off: NOTHING_OFF, ..*ablation });
+        let difference = baseline.and_then(|baseline| difference(values_by_day, baseline));
+        let difference = difference.map_or("–".to_owned(), |value| format!("{value:+.3}"));
+        let all: Vec<f64> = values_by_day.values().flatten().copied().collect();
+        let (runs, value) = (all.len(), mean(&all));
+        let line = format!("| {commit} | {site} | {off} | {runs} | {value:.3} | {difference} |");
         add_line(text, &line);
     }
 }
 
-/// The mean difference over the days and seeds that both have played; none if there is none.
+/// Returns the mean difference over the days and seeds that both groups have run; none if they have
+/// no day and seed in common.
 fn difference(
-    off: &BTreeMap<Played<'_>, Vec<f64>>,
-    whole: &BTreeMap<Played<'_>, Vec<f64>>,
+    off: &BTreeMap<DayAndSeed<'_>, Vec<f64>>,
+    baseline: &BTreeMap<DayAndSeed<'_>, Vec<f64>>,
 ) -> Option<f64> {
-    let pairs = off.iter().filter_map(|(played, worths)| Some((worths, whole.get(played)?)));
-    let differences: Vec<f64> = pairs.map(|(off, whole)| mean(off) - mean(whole)).collect();
+    let pairs = off.iter().filter_map(|(day, values)| Some((values, baseline.get(day)?)));
+    let differences: Vec<f64> = pairs.map(|(off, baseline)| mean(off) - mean(baseline)).collect();
     (!differences.is_empty()).then(|| mean(&differences))
 }
 
-/// The mean of values of which there is at least one.
+/// Returns the mean of a non-empty list.
 fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len() as f64
 }
--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -141,7 +141,7 @@
             self.disregarded.in_backoff,
             self.lost_by_planned_work,
             self.in_force_after,
-            self.closing.answered(),
+            self.closing.answered_share(),
             self.closing.pressure
         )?;
         if !self.is_clean() {
--- a/crates/thymeshift_lab/src/experiment/usage.rs
+++ b/crates/thymeshift_lab/src/experiment/usage.rs
@@ -1,26 +1,27 @@
-//! Processor time and memory of a process, from `/proc`.
+//! Processor time and memory of a process, read from `/proc`.
 
 use std::fs;
 use std::io;
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc/PID/stat`, fixed by Linux for programs.
+/// Clock ticks per second in `/proc/PID/stat`; Linux reports 100 to all user programs.
 const TICKS_PER_S: u64 = 100;
 
-/// What a process has used.
+/// Processor time and memory used by a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Usage {
-    /// Processor time since its start.
+    /// Processor time in user and kernel mode since the start of the process.
     pub processor: Duration,
-    /// Memory in use now, in KiB.
+    /// Resident memory, in KiB.
     pub memory_kib: u64,
 }
 
-/// Reads the usage of the process `id`.
+/// Reads the processor time and memory of the process with this id.
 pub fn usage(id: u32) -> io::Result<Usage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
-    // The name in brackets may hold blanks; the fields behind it are counted from 3.
+    // The process name in parentheses may contain spaces, so the fields are split after the closing
+    // parenthesis. The first one there is field 3 of proc(5).
     let fields: Vec<&str> =
         stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |field: usize| fields.get(field - 3).and_then(|text| text.parse::<u64>().ok());
--- a/crates/thymeshift_lab/src/experiment/violations.rs
+++ b/crates/thymeshift_lab/src/experiment/violations.rs
@@ -1,4 +1,5 @@
-//! The judge: compares what callers were told with what targets ran.
+//! Checks the promises of the load balancer: compares the results that callers received with the
+//! requests that targets ran.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,23 +10,23 @@
 use crate::load::LoadResult;
 use crate::standin::LedgerEntry;
 
-/// Violations of the promises, counted. All must be 0.
+/// Counts of broken promises. Each count other than 0 is a fault of the load balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Violations {
-    /// Requests told "not run" that a target began.
+    /// Requests reported to their callers as not run although a target began them.
     pub ran_although_not_run: u64,
-    /// Requests of unsafe kinds that were begun more than once.
+    /// Requests of unsafe kinds that targets began more than once.
     pub unsafe_run_twice: u64,
-    /// Answers that belong to another request.
+    /// Requests whose callers received the answer to another request.
     pub wrong_answers: u64,
-    /// Answered requests that no target finished.
+    /// Requests that were answered although no target finished them.
     pub answered_without_run: u64,
-    /// Requests that nobody accounts for.
+    /// Request kinds for which the number of results differs from the number of sent requests.
     pub unaccounted: u64,
 }
 
 impl Violations {
-    /// Whether every promise held.
+    /// Returns whether every promise held.
     pub fn is_clean(&self) -> bool {
         *self == Self::default()
     }
@@ -46,7 +47,8 @@
     }
 }
 
-/// Judges a load by the targets' ledgers. `unsafe_kinds` must not run twice.
+/// Counts the promises that a load broke, from its results and the targets' ledgers.
+/// `unsafe_kinds` are the names of the kinds whose requests must not run twice.
 pub fn count_violations(
     result: &LoadResult,
     ledgers: &[BTreeMap<String, LedgerEntry>],
