--- a/crates/thymeshift_lab/src/experiment/soak.rs
+++ b/crates/thymeshift_lab/src/experiment/soak.rs
@@ -1,11 +1,12 @@
-//! A randomized soak: real processes under load while faults come in series and overlap.
+//! Randomized soak test: real processes under load while overlapping faults are injected.
 //!
-//! The seed decides the faults and the load. While it runs, each process's revision in force is
-//! watched; afterwards what callers were told is compared with what targets ran, the faults
-//! end, and a new revision must be in force everywhere and requests be answered again. Seeds
-//! with planned work alone must cost no caller an answer.
+//! The seed determines the faults and the load. During the load, the soak checks that the
+//! configuration revision in force in a process never goes back. Afterwards the faults end and the
+//! results that callers received are compared with the requests that targets ran. A new revision
+//! must then come into force in all processes, and requests must be answered again. In seeds with
+//! planned operations only (stops, reloads, new revisions), no answer may be lost.
 //!
-//! Only processes that the soak started are signalled.
+//! The soak sends signals only to processes that it has started.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -55,61 +56,64 @@
 use crate::standin::Proxy;
 use crate::standin::ProxyMode;
 
-/// One seed in so many has planned work alone.
-const GENTLE_EVERY: u64 = 3;
-/// Share of the tariff example's load.
-const LOAD_SHARE: f64 = 0.15;
-/// Length of the load after all faults have ended.
-const CLOSING_LOAD: Duration = Duration::from_secs(2);
-/// Time within which the last revision must be in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(8);
-/// How late the platform's balancer notices that a process stops.
+/// Seeds that are multiples of this number inject planned operations only.
+const PLANNED_ONLY_SEED_INTERVAL: u64 = 3;
+/// Factor that scales the request rates of the tariff example.
+const LOAD_FACTOR: f64 = 0.15;
+/// Duration of the load after all faults have ended.
+const POST_FAULT_LOAD_DURATION: Duration = Duration::from_secs(2);
+/// Maximum time until the last revision must be in force in all entry processes.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(8);
+/// Delay after which the platform's balancer notices that an entry process is stopping.
 const BALANCER_LAG: Duration = Duration::from_millis(150);
-/// Longest time for the end of a process.
-const END_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks at the revisions.
-const LOOK: Duration = Duration::from_millis(100);
-/// Requests of one process that may reach a target within a backoff that it had asked for.
+/// Maximum time until a stopped or killed process must have ended.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks of the revisions in force, and timeout of one check.
+const REVISION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of requests from one entry process that may reach a target during a backoff
+/// that the target has asked for.
 const IN_BACKOFF_MAX: usize = 2;
-/// Kinds that must not run twice.
+/// Names of the kinds whose requests must not run twice.
 const UNSAFE_KINDS: [&str; 1] = ["contract-switch"];
 
-/// What to run.
+/// Seed, size and duration of a soak.
 #[derive(Debug, Clone)]
 pub struct SoakPlan {
-    /// Decides faults and load.
+    /// Seed of the faults and of the load.
     pub seed: u64,
-    /// Entry processes.
+    /// Number of entry processes.
     pub entries: usize,
-    /// Length of the load under faults.
+    /// Duration of the load under faults.
     pub duration: Duration,
-    /// Where logs and settings are written.
+    /// Folder for logs and settings.
     pub folder: PathBuf,
 }
 
-/// What a seed showed.
+/// Result of a soak with one seed.
 pub struct SoakReport {
     seed: u64,
     faults: Vec<TimedFault>,
     result: LoadResult,
-    /// What the judge says of the load under faults.
+    /// Promises broken by the load under faults.
     pub violations: Violations,
-    /// Revisions that went down within one process.
+    /// Number of times that the revision in force in an entry process went back.
     pub reverted: u64,
-    /// Most requests in four seconds at a target that names a limit, in parts of what is allowed.
+    /// Largest number of requests at a rate-limited target within any four seconds, as a ratio of
+    /// the number that its limit allows.
     pub worst_window: f64,
-    /// The worst of what reached targets against what they had said.
+    /// Largest number of requests that one entry process sent to one target later than a drain time
+    /// after the target's announcement of leaving, or during a backoff that the target asked for.
     pub disregarded: Disregarded,
-    /// Answers that planned work alone cost.
+    /// Number of answers lost or broken in a seed with planned operations only; 0 in other seeds.
     pub lost_by_planned_work: u64,
-    /// Time until the last revision was in force everywhere; none if it was not in time.
+    /// Time until the last revision was in force in all entry processes; none if the limit passed.
     pub in_force_after: Option<Duration>,
-    /// The load after the faults.
-    closing: PostFaultLoad,
+    /// Load after the end of all faults.
+    post_fault_load: PostFaultLoad,
 }
 
 impl SoakReport {
-    /// Whether every promise held.
+    /// Returns whether every promise held.
     pub fn is_clean(&self) -> bool {
         self.violations.is_clean()
             && self.reverted == 0
@@ -118,7 +122,7 @@
             && self.disregarded.in_backoff <= IN_BACKOFF_MAX
             && self.lost_by_planned_work == 0
             && self.in_force_after.is_some()
-            && self.closing.is_served()
+            && self.post_fault_load.is_served()
     }
 }
 
@@ -141,11 +145,11 @@
             self.disregarded.in_backoff,
             self.lost_by_planned_work,
             self.in_force_after,
-            self.closing.answered_share(),
-            self.closing.pressure
+            self.post_fault_load.answered_share(),
+            self.post_fault_load.pressure
         )?;
         if !self.is_clean() {
-            write!(f, "\nafter the faults:\n{}faults:", self.closing.result)?;
+            write!(f, "\nafter the faults:\n{}faults:", self.post_fault_load.result)?;
             for TimedFault { at, fault } in &self.faults {
                 write!(f, "\n  {:>5} ms {fault}", at.as_millis())?;
             }
@@ -154,11 +158,11 @@
     }
 }
 
-/// Runs one seed.
+/// Runs the soak with the seed of the plan.
 pub async fn soak(plan: SoakPlan) -> Result<SoakReport, FleetError> {
     let SoakPlan { seed, entries, duration, folder } = plan;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let is_planned_only = seed.is_multiple_of(GENTLE_EVERY);
+    let is_planned_only = seed.is_multiple_of(PLANNED_ONLY_SEED_INTERVAL);
     let logs = folder.clone();
     let fleet_plan = FleetPlan { seed, has_datagrams: true, ..tariff_plan(folder, entries)? };
     let mut fleet = Fleet::start(fleet_plan).await?;
@@ -167,39 +171,43 @@
     replace_all(&mut fleet).await?;
     let mut faults = draw_faults(&mut rng, entries, fleet.targets.len(), duration, is_planned_only);
     let statements = draw_statements(seed, fleet.targets.len());
-    // A target that is stopped reads what arrived long before.
-    faults.retain(|timed| !statements.iter().any(|said| timed.fault.affects_target(said.target)));
+    // Targets with statements get no faults: a paused target reads requests long after they
+    // arrived, and would count them as sent after its statement.
+    faults.retain(|timed| {
+        !statements.iter().any(|statement| timed.fault.affects_target(statement.target))
+    });
     apply_statements(&fleet, &statements).await?;
-    let needs = draw_rate_limits(seed, fleet.targets.len());
-    apply_rate_limits(&fleet, &needs).await?;
+    let rate_limits = draw_rate_limits(seed, fleet.targets.len());
+    apply_rate_limits(&fleet, &rate_limits).await?;
     let balancer = EntryAddresses::new(fleet.caller_addresses()?);
     let mut revision = 1;
-    let watched = Arc::new(Watched::default());
-    let (result, played) = tokio::join!(
+    let revision_monitor = Arc::new(RevisionMonitor::default());
+    let (result, injected) = tokio::join!(
         load::run(load_plan(&balancer, duration, rng.random())),
-        play(&mut fleet, &proxy, &balancer, &faults, &mut revision, &watched)
+        inject_faults(&mut fleet, &proxy, &balancer, &faults, &mut revision, &revision_monitor)
     );
-    played?;
+    injected?;
     fleet.set_platform_mode(PlatformMode::Normal).await?;
     proxy.set_mode(ProxyMode::Pass);
     let disregarded = disregarded(&fleet, &statements, &logs).await?;
     end_refusals(&fleet, &statements).await?;
     let violations = count_violations(&result, &ledgers(&fleet).await?, &UNSAFE_KINDS);
-    let in_force_after = publish_everywhere(&mut fleet, revision + 1, &watched).await?;
+    let in_force_after = publish_everywhere(&mut fleet, revision + 1, &revision_monitor).await?;
     let before = processor_time(&fleet)?;
-    let result_after = load::run(load_plan(&balancer, CLOSING_LOAD, rng.random())).await;
+    let result_after =
+        load::run(load_plan(&balancer, POST_FAULT_LOAD_DURATION, rng.random())).await;
     let pressure = processor_time(&fleet)?.pressure_since(before);
-    let closing = PostFaultLoad::new(result_after, &fleet.configuration.kinds, pressure);
-    let lost = result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
+    let post_fault_load = PostFaultLoad::new(result_after, &fleet.configuration.kinds, pressure);
+    let lost_answers = result.kinds.iter().map(|kind| kind.nothing + kind.broken).sum();
     Ok(SoakReport {
         seed,
         violations,
-        reverted: watched.reverted(),
-        worst_window: worst_window(&fleet, &needs).await?,
+        reverted: revision_monitor.reverted(),
+        worst_window: worst_window(&fleet, &rate_limits).await?,
         disregarded,
-        lost_by_planned_work: if is_planned_only { lost } else { 0 },
+        lost_by_planned_work: if is_planned_only { lost_answers } else { 0 },
         in_force_after,
-        closing,
+        post_fault_load,
         faults,
         result,
     })
@@ -208,7 +216,7 @@
 fn load_plan(balancer: &EntryAddresses, duration: Duration, seed: u64) -> LoadPlan {
     LoadPlan {
         entries: balancer.clone(),
-        kinds: tariff_load(LOAD_SHARE),
+        kinds: tariff_load(LOAD_FACTOR),
         duration,
         seed,
         one_way_us: 500,
@@ -226,44 +234,46 @@
     Ok(ledgers)
 }
 
-/// Processor time of entry processes and targets.
+/// Returns the processor time of the entry processes and targets together.
 fn processor_time(fleet: &Fleet) -> Result<ProcessorTime, FleetError> {
     let targets = fleet.targets.iter().map(|target| &target.child);
     let processes = fleet.entries.iter().chain(targets).filter_map(Child::id);
     Ok(ProcessorTime::of(processes)?)
 }
 
-/// The first processes know the platform's own address; those that take their place meet the
-/// proxy.
+/// Replaces all entry processes, because the first ones use the platform's own address. Their
+/// replacements connect to the platform through the proxy.
 async fn replace_all(fleet: &mut Fleet) -> Result<(), FleetError> {
     for _ in 0..fleet.entries.len() {
-        let fresh = fleet.start_entry().await?;
-        fleet.entries.push(fresh);
+        let replacement = fleet.start_entry().await?;
+        fleet.entries.push(replacement);
         let old = fleet.entries.remove(0);
         old.signal(Signal::KILL);
     }
     Ok(())
 }
 
-/// The largest revision seen in force at each process, by its control address.
+/// Highest revision seen in force in each entry process, by control address, and the number of
+/// times that a revision went back.
 #[derive(Default)]
-struct Watched {
-    seen: Mutex<BTreeMap<String, Revision>>,
+struct RevisionMonitor {
+    highest_revisions: Mutex<BTreeMap<String, Revision>>,
     reverted: Mutex<u64>,
 }
 
-impl Watched {
-    /// Looks at one process. One that is paused or killed does not answer.
-    async fn look(&self, entry: &Child) -> Option<Revision> {
+impl RevisionMonitor {
+    /// Records and returns the revision in force in an entry process; none if the process does not
+    /// answer in time, because it is paused or killed.
+    async fn check(&self, entry: &Child) -> Option<Revision> {
         let key = entry.address("control").ok()?.to_string();
-        let dumped = timeout(LOOK, dump(entry)).await.ok()?.ok()?;
+        let dumped = timeout(REVISION_CHECK_INTERVAL, dump(entry)).await.ok()?.ok()?;
         let revision = dumped.configuration.in_force?.revision;
-        let mut seen = self.seen.lock();
-        let largest = seen.entry(key).or_insert(revision);
-        if revision < *largest {
+        let mut highest_revisions = self.highest_revisions.lock();
+        let highest = highest_revisions.entry(key).or_insert(revision);
+        if revision < *highest {
             *self.reverted.lock() += 1;
         }
-        *largest = revision.max(*largest);
+        *highest = revision.max(*highest);
         Some(revision)
     }
 
@@ -272,29 +282,31 @@
     }
 }
 
-/// Plays the faults; each that lasts is ended before this returns.
-async fn play(
+/// Begins each fault at its time and ends the faults that have a duration. Returns when all faults
+/// have ended.
+async fn inject_faults(
     fleet: &mut Fleet,
     proxy: &Proxy,
     balancer: &EntryAddresses,
     faults: &[TimedFault],
     revision: &mut u64,
-    watched: &Watched,
+    revision_monitor: &RevisionMonitor,
 ) -> Result<(), FleetError> {
     let start = tokio::time::Instant::now();
     let mut ends: Vec<(tokio::time::Instant, SoakFault)> = Vec::new();
-    let mut due: Vec<TimedFault> = faults.to_vec();
-    due.reverse();
-    while !due.is_empty() || !ends.is_empty() {
-        let begins = due.last().map(|timed| start + timed.at);
+    let mut pending: Vec<TimedFault> = faults.to_vec();
+    pending.reverse();
+    while !pending.is_empty() || !ends.is_empty() {
+        let begins = pending.last().map(|timed| start + timed.at);
         ends.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
         let ending = ends.last().map(|(at, _)| *at);
         match (begins, ending) {
             (Some(begin), end) if end.is_none_or(|end| begin <= end) => {
                 sleep_until(begin).await;
-                let Some(TimedFault { fault, .. }) = due.pop() else { break };
-                if let Some(lasts) = begin_fault(fleet, proxy, balancer, fault, revision).await? {
-                    ends.push((tokio::time::Instant::now() + lasts, fault));
+                let Some(TimedFault { fault, .. }) = pending.pop() else { break };
+                if let Some(duration) = begin_fault(fleet, proxy, balancer, fault, revision).await?
+                {
+                    ends.push((tokio::time::Instant::now() + duration, fault));
                 }
             }
             (_, Some(end)) => {
@@ -305,13 +317,13 @@
             (_, None) => break,
         }
         for entry in &fleet.entries {
-            watched.look(entry).await;
+            revision_monitor.check(entry).await;
         }
     }
     Ok(())
 }
 
-/// Begins a fault; returns how long it lasts, if it has to be ended.
+/// Begins a fault. Returns its duration if [`end_fault`] has to end it.
 async fn begin_fault(
     fleet: &mut Fleet,
     proxy: &Proxy,
@@ -320,30 +332,30 @@
     revision: &mut u64,
 ) -> Result<Option<Duration>, FleetError> {
     match fault {
-        SoakFault::PauseEntry { entry, lasts } => {
+        SoakFault::PauseEntry { entry, duration } => {
             fleet.entries[entry].signal(Signal::STOP);
-            Ok(Some(lasts))
+            Ok(Some(duration))
         }
         SoakFault::KillEntry { entry } => {
             fleet.entries[entry].signal(Signal::KILL);
             let mut killed = fleet.entries.remove(entry);
-            let _ = timeout(END_LIMIT, killed.wait()).await;
+            let _ = timeout(EXIT_TIMEOUT, killed.wait()).await;
             balancer.set(fleet.caller_addresses()?);
-            let fresh = fleet.start_entry().await?;
-            fleet.entries.push(fresh);
+            let replacement = fleet.start_entry().await?;
+            fleet.entries.push(replacement);
             balancer.set(fleet.caller_addresses()?);
             Ok(None)
         }
         SoakFault::StopEntry { entry } => {
-            let fresh = fleet.start_entry().await?;
-            fleet.entries.push(fresh);
+            let replacement = fleet.start_entry().await?;
+            fleet.entries.push(replacement);
             let mut old = fleet.entries.remove(entry);
-            // It may be paused, and would not hear of the other signal.
+            // A paused process does not handle SIGTERM until SIGCONT resumes it.
             old.signal(Signal::CONT);
             old.signal(Signal::TERM);
             sleep(BALANCER_LAG).await;
             balancer.set(fleet.caller_addresses()?);
-            if timeout(END_LIMIT, old.wait()).await.is_err() {
+            if timeout(EXIT_TIMEOUT, old.wait()).await.is_err() {
                 return Err(FleetError::NotReady);
             }
             Ok(None)
@@ -352,25 +364,26 @@
             fleet.entries[entry].signal(Signal::HUP);
             Ok(None)
         }
-        SoakFault::Target { target, fault, lasts } => {
+        SoakFault::Target { target, fault, duration } => {
             let behaviour = Behaviour { fault, ..Behaviour::default() };
             fleet.targets[target].set_behaviour(&behaviour).await?;
-            Ok(Some(lasts))
+            Ok(Some(duration))
         }
-        SoakFault::PauseTarget { target, lasts } => {
-            // Ended here: while it is stopped its control port does not answer.
+        SoakFault::PauseTarget { target, duration } => {
+            // The pause ends here and not in `end_fault`: the control port of a paused target does
+            // not answer, which would block other faults of the same target.
             fleet.targets[target].child.signal(Signal::STOP);
-            sleep(lasts).await;
+            sleep(duration).await;
             fleet.targets[target].child.signal(Signal::CONT);
             Ok(None)
         }
-        SoakFault::Platform { mode, lasts } => {
+        SoakFault::Platform { mode, duration } => {
             fleet.set_platform_mode(mode).await?;
-            Ok(Some(lasts))
+            Ok(Some(duration))
         }
-        SoakFault::Link { mode, lasts } => {
+        SoakFault::Link { mode, duration } => {
             proxy.set_mode(mode);
-            Ok(Some(lasts))
+            Ok(Some(duration))
         }
         SoakFault::Publish => {
             *revision += 1;
@@ -387,7 +400,8 @@
             fleet.targets[target].set_behaviour(&Behaviour::default()).await
         }
         SoakFault::PauseEntry { .. } => {
-            // Its place may have changed meanwhile; those that run are not disturbed.
+            // The index of the paused process may have changed in the meantime, so SIGCONT goes to
+            // all entry processes. The signal has no effect on running ones.
             for entry in &fleet.entries {
                 entry.signal(Signal::CONT);
             }
@@ -402,21 +416,23 @@
     }
 }
 
-/// Publishes a revision; returns the time until every process runs it, if that was in time.
+/// Publishes a revision and returns the time until every entry process has it in force; none if
+/// [`IN_FORCE_LIMIT`] passes before.
 async fn publish_everywhere(
     fleet: &mut Fleet,
     number: u64,
-    watched: &Watched,
+    revision_monitor: &RevisionMonitor,
 ) -> Result<Option<Duration>, FleetError> {
     fleet.configuration.limits.body_bytes_max += 1;
     fleet.publish(number).await?;
     let start = Instant::now();
     for entry in &fleet.entries {
-        while watched.look(entry).await.is_none_or(|revision| revision.as_u64() < number) {
-            if start.elapsed() > IN_FORCE_WITHIN {
+        while revision_monitor.check(entry).await.is_none_or(|revision| revision.as_u64() < number)
+        {
+            if start.elapsed() > IN_FORCE_LIMIT {
                 return Ok(None);
             }
-            sleep(LOOK).await;
+            sleep(REVISION_CHECK_INTERVAL).await;
         }
     }
     Ok(Some(start.elapsed()))
--- a/crates/thymeshift_lab/src/experiment/soak_fault.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a soak, drawn from its seed.
+//! Faults that a soak injects, drawn from its seed.
 
 use std::time::Duration;
 
@@ -11,81 +11,82 @@
 use crate::standin::PlatformMode;
 use crate::standin::ProxyMode;
 
-/// Longest time for which a fault lasts.
-const LASTS_MS_MAX: u64 = 2_500;
-/// Time between the beginnings of two faults, at most; they overlap.
-const GAP_MS_MAX: u64 = 500;
+/// Upper bound of a fault's duration, in milliseconds.
+const FAULT_DURATION_MS_MAX: u64 = 2_500;
+/// Upper bound of the time between the starts of two faults, in milliseconds. It is shorter than
+/// most faults, so that faults overlap.
+const FAULT_INTERVAL_MS_MAX: u64 = 500;
 
-/// What is done to the processes of a soak.
+/// Fault or planned operation that a soak injects.
 #[derive(Debug, Clone, Copy, PartialEq, Display)]
 pub enum SoakFault {
-    /// An entry process is stopped and goes on later.
-    #[display("entry {entry} paused for {lasts:?}")]
+    /// An entry process is paused by SIGSTOP and resumed later.
+    #[display("entry {entry} paused for {duration:?}")]
     PauseEntry {
-        /// Which, counted among those that run.
+        /// Index among the running entry processes, oldest first.
         entry: usize,
-        /// For how long.
-        lasts: Duration,
+        /// Time until the process is resumed.
+        duration: Duration,
     },
-    /// An entry process is killed, and another one started.
+    /// An entry process is killed and then replaced.
     #[display("entry {entry} killed")]
     KillEntry {
-        /// Which.
+        /// Index among the running entry processes, oldest first.
         entry: usize,
     },
-    /// An entry process is told to stop, and another one started before.
+    /// A replacement is started and then an entry process is stopped by SIGTERM.
     #[display("entry {entry} told to stop")]
     StopEntry {
-        /// Which.
+        /// Index among the running entry processes, oldest first.
         entry: usize,
     },
-    /// An entry process is told to read its settings again.
+    /// An entry process reloads its settings on SIGHUP.
     #[display("entry {entry} reloads")]
     ReloadEntry {
-        /// Which.
+        /// Index among the running entry processes, oldest first.
         entry: usize,
     },
-    /// A target misbehaves.
-    #[display("target {target} {fault:?} for {lasts:?}")]
+    /// A target shows a fault in its answers or connections.
+    #[display("target {target} {fault:?} for {duration:?}")]
     Target {
-        /// Which.
+        /// Index of the target in the fleet.
         target: usize,
-        /// How.
+        /// Kind of fault.
         fault: Fault,
-        /// For how long.
-        lasts: Duration,
+        /// Time until the target works normally again.
+        duration: Duration,
     },
-    /// A target is stopped and goes on later.
-    #[display("target {target} paused for {lasts:?}")]
+    /// A target is paused by SIGSTOP and resumed later.
+    #[display("target {target} paused for {duration:?}")]
     PauseTarget {
-        /// Which.
+        /// Index of the target in the fleet.
         target: usize,
-        /// For how long.
-        lasts: Duration,
+        /// Time until the target is resumed.
+        duration: Duration,
     },
-    /// The platform misbehaves.
-    #[display("platform {mode:?} for {lasts:?}")]
+    /// The platform shows a fault in its answers.
+    #[display("platform {mode:?} for {duration:?}")]
     Platform {
-        /// How.
+        /// Fault mode of the platform.
         mode: PlatformMode,
-        /// For how long.
-        lasts: Duration,
+        /// Time until the platform works normally again.
+        duration: Duration,
     },
-    /// The link to the platform misbehaves.
-    #[display("link to the platform: {mode} for {lasts:?}")]
+    /// The proxy between the entry processes and the platform disturbs their connections.
+    #[display("link to the platform: {mode} for {duration:?}")]
     Link {
-        /// How.
+        /// Fault mode of the proxy.
         mode: ProxyMode,
-        /// For how long.
-        lasts: Duration,
+        /// Time until the proxy forwards normally again.
+        duration: Duration,
     },
-    /// A revision is published.
+    /// A new configuration revision is published.
     #[display("revision published")]
     Publish,
 }
 
 impl SoakFault {
-    /// Whether it strikes a target.
+    /// Returns whether the fault affects the target with this index.
     pub fn affects_target(&self, index: usize) -> bool {
         matches!(
             self,
@@ -93,22 +94,23 @@
         )
     }
 
-    /// Whether it is planned work, which must cost no caller an answer.
+    /// Returns whether this is a planned operation, which must not lose any answer.
     pub fn is_planned(&self) -> bool {
         matches!(self, Self::StopEntry { .. } | Self::ReloadEntry { .. } | Self::Publish)
     }
 }
 
-/// A fault with the moment at which it begins.
+/// Fault with the time at which it begins.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TimedFault {
-    /// Time since the begin of the load.
+    /// Time from the start of the load to the start of the fault.
     pub at: Duration,
-    /// What happens.
+    /// Fault or planned operation to inject.
     pub fault: SoakFault,
 }
 
-/// Draws faults for a load of `duration`; if `is_planned_only`, planned work alone.
+/// Draws faults for a load of the given duration, ordered by their start. If `is_planned_only`,
+/// draws planned operations only.
 pub fn draw_faults(
     rng: &mut SmallRng,
     entries: usize,
@@ -119,17 +121,20 @@
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        at += Duration::from_millis(rng.random_range(0..GAP_MS_MAX));
+        at += Duration::from_millis(rng.random_range(0..FAULT_INTERVAL_MS_MAX));
         if at >= duration {
             return faults;
         }
-        let fault =
-            if is_planned_only { planned(rng, entries) } else { any(rng, entries, targets) };
+        let fault = if is_planned_only {
+            draw_planned(rng, entries)
+        } else {
+            draw_any(rng, entries, targets)
+        };
         faults.push(TimedFault { at, fault });
     }
 }
 
-fn planned(rng: &mut SmallRng, entries: usize) -> SoakFault {
+fn draw_planned(rng: &mut SmallRng, entries: usize) -> SoakFault {
     let entry = rng.random_range(0..entries);
     match rng.random_range(0..3) {
         0 => SoakFault::StopEntry { entry },
@@ -138,21 +143,21 @@
     }
 }
 
-fn any(rng: &mut SmallRng, entries: usize, targets: usize) -> SoakFault {
+fn draw_any(rng: &mut SmallRng, entries: usize, targets: usize) -> SoakFault {
     let (entry, target) = (rng.random_range(0..entries), rng.random_range(0..targets));
-    let lasts = Duration::from_millis(rng.random_range(50..LASTS_MS_MAX));
+    let duration = Duration::from_millis(rng.random_range(50..FAULT_DURATION_MS_MAX));
     match rng.random_range(0..10) {
-        0 => SoakFault::PauseEntry { entry, lasts },
+        0 => SoakFault::PauseEntry { entry, duration },
         1 => SoakFault::KillEntry { entry },
-        2..=4 => SoakFault::Target { target, fault: target_fault(rng), lasts },
-        5 => SoakFault::PauseTarget { target, lasts },
-        6 => SoakFault::Platform { mode: platform_mode(rng), lasts },
-        7 => SoakFault::Link { mode: link_mode(rng), lasts },
-        _ => planned(rng, entries),
+        2..=4 => SoakFault::Target { target, fault: draw_target_fault(rng), duration },
+        5 => SoakFault::PauseTarget { target, duration },
+        6 => SoakFault::Platform { mode: draw_platform_mode(rng), duration },
+        7 => SoakFault::Link { mode: draw_link_mode(rng), duration },
+        _ => draw_planned(rng, entries),
     }
 }
 
-fn target_fault(rng: &mut SmallRng) -> Fault {
+fn draw_target_fault(rng: &mut SmallRng) -> Fault {
     let faults = [
         Fault::Shedding,
         Fault::Failing,
@@ -164,7 +169,7 @@
     faults.choose(rng).copied().unwrap_or_default()
 }
 
-fn platform_mode(rng: &mut SmallRng) -> PlatformMode {
+fn draw_platform_mode(rng: &mut SmallRng) -> PlatformMode {
     let modes = [
         PlatformMode::Silent,
         PlatformMode::Slow(rng.random_range(10..1_500)),
@@ -176,7 +181,7 @@
     modes.choose(rng).copied().unwrap_or_default()
 }
 
-fn link_mode(rng: &mut SmallRng) -> ProxyMode {
+fn draw_link_mode(rng: &mut SmallRng) -> ProxyMode {
     let modes = [
         ProxyMode::Delay(Duration::from_millis(rng.random_range(10..800))),
         ProxyMode::Reset,
--- a/crates/thymeshift_lab/src/experiment/soak_statement.rs
+++ b/crates/thymeshift_lab/src/experiment/soak_statement.rs
@@ -1,4 +1,5 @@
-//! Targets of a soak that say that they leave, or refuse and ask for a backoff.
+//! Statements of targets in a soak: some targets announce that they are leaving, others refuse
+//! requests and ask for a backoff.
 
 use std::collections::HashSet;
 use std::fs;
@@ -15,31 +16,35 @@
 use crate::standin::Disregarded;
 use crate::standin::Fault;
 
-/// One seed in so many has such targets.
-const SPEAKING_EVERY: u64 = 5;
-const SPEAKING_REST: u64 = 2;
-/// Targets that leave, and that refuse, and the seconds for which these ask.
-const LEAVING: usize = 3;
-const REFUSING: usize = 4;
+/// Seeds whose remainder by this number is [`STATEMENT_SEED_REMAINDER`] have targets with
+/// statements.
+const STATEMENT_SEED_INTERVAL: u64 = 5;
+const STATEMENT_SEED_REMAINDER: u64 = 2;
+/// Number of targets that announce that they are leaving.
+const LEAVING_TARGETS: usize = 3;
+/// Number of targets that refuse requests and ask for a backoff.
+const REFUSING_TARGETS: usize = 4;
+/// Range of the backoffs that refusing targets ask for, in seconds.
 const BACKOFF_S: std::ops::RangeInclusive<u64> = 1..=3;
-/// Tells these draws from those of faults, which keep their order.
-const SEED_OF_STATEMENTS: u64 = 0x7361_6964;
+/// Value combined with the soak's seed, so that drawing statements does not change the sequence of
+/// drawn faults.
+const STATEMENT_SEED: u64 = 0x7361_6964;
 
-/// What a target says.
+/// Target that announces that it is leaving, or refuses and asks for a backoff.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct SoakStatement {
     pub(super) target: usize,
     behaviour: Behaviour,
 }
 
-/// The statements of a seed; none for most.
+/// Draws the statements of a seed; most seeds have none.
 pub(super) fn draw_statements(seed: u64, targets: usize) -> Vec<SoakStatement> {
-    if seed % SPEAKING_EVERY != SPEAKING_REST {
+    if seed % STATEMENT_SEED_INTERVAL != STATEMENT_SEED_REMAINDER {
         return Vec::new();
     }
-    let mut rng = SmallRng::seed_from_u64(seed ^ SEED_OF_STATEMENTS);
+    let mut rng = SmallRng::seed_from_u64(seed ^ STATEMENT_SEED);
     let statement = |index| {
-        let behaviour = if index < LEAVING {
+        let behaviour = if index < LEAVING_TARGETS {
             Behaviour { is_draining: true, ..Behaviour::default() }
         } else {
             let backoff_s = Some(rng.random_range(BACKOFF_S));
@@ -47,10 +52,10 @@
         };
         SoakStatement { target: rng.random_range(0..targets), behaviour }
     };
-    (0..LEAVING + REFUSING).map(statement).collect()
+    (0..LEAVING_TARGETS + REFUSING_TARGETS).map(statement).collect()
 }
 
-/// The targets say so from now on.
+/// Makes the targets behave according to their statements from now on.
 pub(super) async fn apply_statements(
     fleet: &Fleet,
     statements: &[SoakStatement],
@@ -61,7 +66,7 @@
     Ok(())
 }
 
-/// They serve again; those that leave go on leaving.
+/// Ends the refusals; targets that announced that they are leaving keep announcing it.
 pub(super) async fn end_refusals(
     fleet: &Fleet,
     statements: &[SoakStatement],
@@ -74,8 +79,9 @@
     Ok(())
 }
 
-/// The worst of what reached the targets against what they had said. A process that stood still is
-/// excused: the answers lay unread meanwhile.
+/// Returns the largest number of requests that one entry process sent to one target against the
+/// target's statement. A process that was paused is not counted, because it could not read the
+/// target's answers during the pause.
 pub(super) async fn disregarded(
     fleet: &Fleet,
     statements: &[SoakStatement],
@@ -91,7 +97,7 @@
     Ok(worst)
 }
 
-/// Addresses of the processes whose logs tell that they stood still.
+/// Returns the caller addresses of the entry processes whose logs report a pause.
 fn paused_processes(folder: &Path) -> io::Result<HashSet<String>> {
     let mut paused = HashSet::new();
     for entry in fs::read_dir(folder)? {
