--- a/crates/thymeshift_lab/tests/bad_http.rs
+++ b/crates/thymeshift_lab/tests/bad_http.rs
@@ -1,5 +1,5 @@
-//! Bad requests: each gets its clear answer or the end of its connection, nothing of it is
-//! run as another request, and the process serves the next caller.
+//! Malformed and invalid requests: each is answered with its error status or its connection is
+//! closed, no part of it runs as another request, and the process serves the next caller.
 
 mod support;
 
@@ -12,18 +12,18 @@
 use crate::support::configuration;
 use crate::support::quick_target;
 
-/// How long a raw exchange may take before it is read as it stands.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Time after which an exchange ends and the bytes received so far count as the answer.
+const EXCHANGE_LIMIT: Duration = Duration::from_secs(5);
 
 struct Case {
     name: &'static str,
     bytes: Vec<u8>,
-    /// Texts that the answer must hold; none means that there is no answer at all.
-    holds: &'static [&'static str],
+    /// Texts that the answer must contain; if empty, no byte of an answer may arrive.
+    expected_texts: &'static [&'static str],
 }
 
-fn text(name: &'static str, bytes: &str, holds: &'static [&'static str]) -> Case {
-    Case { name, bytes: bytes.as_bytes().to_vec(), holds }
+fn text(name: &'static str, bytes: &str, expected_texts: &'static [&'static str]) -> Case {
+    Case { name, bytes: bytes.as_bytes().to_vec(), expected_texts }
 }
 
 fn cases() -> Vec<Case> {
@@ -65,7 +65,7 @@
         text("a method of blanks", " / HTTP/1.1\r\nhost: x\r\n\r\n", &["400"]),
         text("no host", "GET /r HTTP/1.1\r\n\r\n", &["400", "bad_header", "not_run"]),
         text("two hosts", "GET /r HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n", &["400", "bad_header"]),
-        Case { name: "a head too large", bytes: long.into_bytes(), holds: &["431"] },
+        Case { name: "a head too large", bytes: long.into_bytes(), expected_texts: &["431"] },
         text(
             "a kind that does not exist",
             "GET /nowhere HTTP/1.1\r\nhost: x\r\n\r\n",
@@ -84,7 +84,7 @@
             &["400", "bad_header"],
         ),
         text(
-            "a call passed on too often",
+            "a call forwarded too often",
             "GET /r HTTP/1.1\r\nhost: x\r\nthymeshift-depth: 9\r\n\r\n",
             &["508", "too_deep", "not_run"],
         ),
@@ -96,15 +96,19 @@
         Case {
             name: "a chunked body that grows too large",
             bytes: [chunked.as_bytes(), chunks.as_bytes()].concat(),
-            holds: &["413", "body_too_large", "unknown"],
+            expected_texts: &["413", "body_too_large", "unknown"],
         },
         text(
             "a body that stops arriving",
             "POST /w HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nabc",
             &["400", "caller_lost", "not_run"],
         ),
-        text("half of the words that begin HTTP/2", "PRI * HTTP/2.0\r\n", &[]),
-        Case { name: "bytes of another protocol", bytes: vec![0x16, 3, 1, 0, 9], holds: &["400"] },
+        text("the first half of the HTTP/2 connection preface", "PRI * HTTP/2.0\r\n", &[]),
+        Case {
+            name: "bytes of another protocol",
+            bytes: vec![0x16, 3, 1, 0, 9],
+            expected_texts: &["400"],
+        },
     ]
 }
 
@@ -115,12 +119,12 @@
     let single = SingleEntry::start(&configuration).await.expect("an entry process");
     let caller = single.entry.address("caller").expect("an address");
     for case in cases() {
-        let answer = send_raw(caller, &case.bytes, LIMIT).await.expect(case.name);
+        let answer = send_raw(caller, &case.bytes, EXCHANGE_LIMIT).await.expect(case.name);
         let answer = String::from_utf8_lossy(&answer);
-        if case.holds.is_empty() {
+        if case.expected_texts.is_empty() {
             assert_eq!(answer, "", "{}", case.name);
         }
-        for part in case.holds {
+        for part in case.expected_texts {
             assert!(answer.contains(part), "{}: no {part} in: {answer}", case.name);
         }
         assert_serves(caller, case.name).await;
--- a/crates/thymeshift_lab/tests/command_line.rs
+++ b/crates/thymeshift_lab/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Command lines of the shipped programs: exit codes and what they say.
+//! Command lines of the shipped programs: exit codes and printed messages.
 
 use std::process::Command;
 use std::process::Output;
@@ -10,70 +10,85 @@
     program: &'static str,
     arguments: &'static [&'static str],
     code: i32,
-    says: &'static str,
+    expected_text: &'static str,
 }
 
 const CASES: [Case; 16] = [
-    Case { program: "thymeshiftd", arguments: &["--help"], code: 0, says: "Usage:" },
-    Case { program: "thymeshiftd", arguments: &["-V"], code: 0, says: "thymeshiftd 0.1.0" },
-    Case { program: "thymeshiftd", arguments: &[], code: 2, says: "a command is missing" },
-    Case { program: "thymeshiftd", arguments: &["rum"], code: 2, says: "unknown command 'rum'" },
-    Case { program: "thymeshiftd", arguments: &["run"], code: 2, says: "needs --settings FILE" },
-    Case { program: "thymeshiftd", arguments: &["check"], code: 2, says: "'check' needs" },
+    Case { program: "thymeshiftd", arguments: &["--help"], code: 0, expected_text: "Usage:" },
+    Case {
+        program: "thymeshiftd",
+        arguments: &["-V"],
+        code: 0,
+        expected_text: "thymeshiftd 0.1.0",
+    },
+    Case { program: "thymeshiftd", arguments: &[], code: 2, expected_text: "a command is missing" },
+    Case {
+        program: "thymeshiftd",
+        arguments: &["rum"],
+        code: 2,
+        expected_text: "unknown command 'rum'",
+    },
+    Case {
+        program: "thymeshiftd",
+        arguments: &["run"],
+        code: 2,
+        expected_text: "needs --settings FILE",
+    },
+    Case { program: "thymeshiftd", arguments: &["check"], code: 2, expected_text: "'check' needs" },
     Case {
         program: "thymeshiftd",
         arguments: &["run", "--settings", "no-such-file"],
         code: 2,
-        says: "no-such-file: No such file",
+        expected_text: "no-such-file: No such file",
     },
     Case {
         program: "thymeshiftd",
         arguments: &["run", "--settings", "x", "--configuration", "y"],
         code: 2,
-        says: "the platform publishes it",
+        expected_text: "the platform publishes it",
     },
     Case {
         program: "thymeshiftd",
         arguments: &["run", "--speed"],
         code: 2,
-        says: "invalid option '--speed'",
+        expected_text: "invalid option '--speed'",
     },
-    Case { program: "thymeshiftctl", arguments: &["--help"], code: 0, says: "Exit codes" },
+    Case { program: "thymeshiftctl", arguments: &["--help"], code: 0, expected_text: "Exit codes" },
     Case {
         program: "thymeshiftctl",
         arguments: &["show"],
         code: 2,
-        says: "--at IP:PORT is missing",
+        expected_text: "--at IP:PORT is missing",
     },
     Case {
         program: "thymeshiftctl",
         arguments: &["--at", "localhost", "show"],
         code: 2,
-        says: "cannot parse argument \"localhost\"",
+        expected_text: "cannot parse argument \"localhost\"",
     },
     Case {
         program: "thymeshiftctl",
         arguments: &["--at", "127.0.0.1:1", "show", "target"],
         code: 2,
-        says: "did you mean 'targets'?",
+        expected_text: "did you mean 'targets'?",
     },
     Case {
         program: "thymeshiftctl",
         arguments: &["--at", "127.0.0.1:1", "show", "targets"],
         code: 3,
-        says: "no answer: 127.0.0.1:1: Connection refused",
+        expected_text: "no answer: 127.0.0.1:1: Connection refused",
     },
     Case {
         program: "thymeshiftctl",
         arguments: &["--at", "127.0.0.1:1", "drain", "target", "a/b"],
         code: 3,
-        says: "no answer",
+        expected_text: "no answer",
     },
     Case {
         program: "thymeshiftctl",
         arguments: &["--at", "127.0.0.1:1", "tables"],
         code: 0,
-        says: "watchers",
+        expected_text: "watchers",
     },
 ];
 
@@ -82,7 +97,7 @@
     Command::new(program).args(arguments).output().expect("a program")
 }
 
-fn says(output: &Output) -> String {
+fn printed_text(output: &Output) -> String {
     let (out, err) = (&output.stdout, &output.stderr);
     format!("{}{}", String::from_utf8_lossy(out), String::from_utf8_lossy(err))
 }
@@ -91,9 +106,9 @@
 fn exit_codes_and_messages() {
     for case in CASES {
         let output = run(case.program, case.arguments);
-        let said = says(&output);
-        assert_eq!(output.status.code(), Some(case.code), "{:?}: {said}", case.arguments);
-        assert!(said.contains(case.says), "{:?}: {said}", case.arguments);
+        let printed = printed_text(&output);
+        assert_eq!(output.status.code(), Some(case.code), "{:?}: {printed}", case.arguments);
+        assert!(printed.contains(case.expected_text), "{:?}: {printed}", case.arguments);
     }
 }
 
@@ -113,11 +128,11 @@
         &configuration.to_string(),
     ];
     let output = run("thymeshiftd", &arguments);
-    let said = says(&output);
-    assert_eq!(output.status.code(), Some(2), "{said}");
+    let printed = printed_text(&output);
+    assert_eq!(output.status.code(), Some(2), "{printed}");
     for part in
         ["settings.yaml: line 1, column 5: vm", "configuration.yaml: line 1, column 8: kinds"]
     {
-        assert!(said.contains(part), "no {part} in: {said}");
+        assert!(printed.contains(part), "no {part} in: {printed}");
     }
 }
--- a/crates/thymeshift_lab/tests/http2.rs
+++ b/crates/thymeshift_lab/tests/http2.rs
@@ -1,4 +1,4 @@
-//! Callers that speak cleartext HTTP/2.
+//! Callers that use cleartext HTTP/2.
 
 mod support;
 
@@ -34,7 +34,10 @@
             let request = Request::get(uri).body(Full::new(Bytes::new())).expect("a request");
             let response = sender.send_request(request).await.expect("an answer");
             assert_eq!(response.status(), 200, "{number}");
-            assert!(!response.headers().contains_key("endpoint-load-metrics"), "kept inside");
+            assert!(
+                !response.headers().contains_key("endpoint-load-metrics"),
+                "the load report is not forwarded"
+            );
             let body = response.into_body().collect().await.expect("a body").to_bytes();
             assert_eq!(body.as_ref(), expected_answer(&path, b"", 3_000), "{number}");
         }
--- a/crates/thymeshift_lab/tests/rounds.rs
+++ b/crates/thymeshift_lab/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! Tables and plot of the bench's rounds, from a journal.
+//! Tables and plot of benchmark results, read from a journal.
 
 use std::fs;
 use std::path::PathBuf;
@@ -54,9 +54,9 @@
     assert!(text.contains("| 13:29 | (ended before its end) | – | – |"), "{text}");
     for line in [
         "| 1234567 | one | nothing switched off | 3 | 0.607 | +0.000 |",
-        // Only day and seed that both played are compared.
+        // The difference covers only days and seeds that the baseline has run too.
         "| 1234567 | one | no probes | 2 | 0.755 | -0.100 |",
-        // Another commit's runs are none to compare with.
+        // Baseline runs of another commit are not compared.
         "| abc | one | no probes | 1 | 0.500 | – |",
     ] {
         assert!(text.contains(line), "{line}\n{text}");
--- a/crates/thymeshift_lab/tests/strangers.rs
+++ b/crates/thymeshift_lab/tests/strangers.rs
@@ -1,8 +1,9 @@
-//! Whatever strangers send is read or refused: nothing panics, and nothing hangs.
+//! Fuzz tests of the parsers of untrusted input: each input is either parsed or refused, without a
+//! panic and without a hang.
 //!
-//! Texts and datagrams of the corpus are changed at random places and read. The seed is fixed
-//! in CI; `THYMESHIFT_FUZZ_SECONDS=60 cargo test -p thymeshift_lab --test strangers` goes on for
-//! that long with a fresh seed, which a failure names.
+//! The tests parse sample texts and datagrams with random changes. The seed is fixed in CI.
+//! `THYMESHIFT_FUZZ_SECONDS=60 cargo test -p thymeshift_lab --test strangers` runs for 60 seconds
+//! with a random seed, which the message of a failure contains.
 
 use std::fs;
 use std::path::PathBuf;
@@ -34,14 +35,14 @@
 use thymeshift_wire::SourceHeartbeat;
 
 const SEED: u64 = 20_261_202;
-/// Readings of each sort in CI.
+/// Minimum number of changed inputs that each test parses.
 const ROUNDS: usize = 300;
-/// Changes made to one text at most.
+/// Maximum number of changes to one sample.
 const CHANGES_MAX: usize = 4;
-/// Longest time for one reading.
-const READ_LIMIT: Duration = Duration::from_secs(2);
-/// Pieces that texts of these languages are made of.
-const PIECES: [&str; 16] = [
+/// Maximum time to parse one input; a longer time counts as a hang.
+const PARSE_LIMIT: Duration = Duration::from_secs(2);
+/// Syntax fragments of YAML, which are inserted into the samples.
+const FRAGMENTS: [&str; 16] = [
     "- ",
     ": ",
     "\n",
@@ -60,7 +61,8 @@
     "!!binary ",
 ];
 
-/// Calls `read` with changed samples, for as long as is asked for.
+/// Calls `read` with randomly changed samples, at least [`ROUNDS`] times and for as long as
+/// `THYMESHIFT_FUZZ_SECONDS` requires. Fails on a panic or a hang.
 fn read_changed(samples: &[Vec<u8>], read: impl Fn(&[u8])) {
     let seconds = std::env::var("THYMESHIFT_FUZZ_SECONDS").ok().and_then(|text| text.parse().ok());
     let (seed, until) = match seconds {
@@ -75,10 +77,10 @@
         let ended = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| read(&changed)));
         let text = String::from_utf8_lossy(&changed);
         assert!(ended.is_ok(), "seed {seed}, round {rounds} panics: {text}");
-        assert!(begun.elapsed() < READ_LIMIT, "seed {seed}, round {rounds} hangs: {text}");
+        assert!(begun.elapsed() < PARSE_LIMIT, "seed {seed}, round {rounds} hangs: {text}");
         rounds += 1;
     }
-    println!("{rounds} readings, seed {seed}");
+    println!("{rounds} inputs parsed, seed {seed}");
 }
 
 fn change(sample: &[u8], rng: &mut SmallRng) -> Vec<u8> {
@@ -89,8 +91,8 @@
             0 => bytes.truncate(at),
             1 => bytes.insert(at, rng.random()),
             2 => {
-                let piece = PIECES.choose(rng).copied().unwrap_or_default();
-                bytes.splice(at..at, piece.bytes());
+                let fragment = FRAGMENTS.choose(rng).copied().unwrap_or_default();
+                bytes.splice(at..at, fragment.bytes());
             }
             3 => {
                 let end = rng.random_range(at..=bytes.len());
@@ -128,7 +130,7 @@
             Discovery::parse(&text).err(),
         ];
         for mistakes in mistakes.into_iter().flatten() {
-            assert!(!mistakes.to_string().is_empty(), "a refusal says why");
+            assert!(!mistakes.to_string().is_empty(), "an error has a message");
         }
     });
 }
@@ -144,7 +146,7 @@
     let samples: Vec<Vec<u8>> = samples.iter().map(|line| line.as_bytes().to_vec()).collect();
     read_changed(&samples, |bytes| {
         if let Err(mistake) = thymeshift_query::parse(&String::from_utf8_lossy(bytes)) {
-            assert!(!mistake.to_string().is_empty(), "a refusal says why");
+            assert!(!mistake.to_string().is_empty(), "an error has a message");
         }
     });
 }
@@ -188,7 +190,7 @@
     });
     read_changed(&samples, |bytes| {
         if let Ok(datagram) = Datagram::decode(bytes) {
-            assert!(datagram.encode().is_ok(), "what is read can be written");
+            assert!(datagram.encode().is_ok(), "a decoded datagram can be encoded");
         }
     });
 }
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests with real processes share.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers for tests with real entry processes.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::fmt::Write;
 use std::net::Ipv4Addr;
@@ -16,21 +16,22 @@
 use thymeshift_lab::standin::expected_answer;
 use tokio::net::TcpSocket;
 
-/// Longest wait for something that must happen.
+/// Maximum time to wait for an expected condition.
 pub(crate) const LIMIT: Duration = Duration::from_secs(10);
 
 pub(crate) fn any_local_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// A target within the test.
+/// Stand-in target that runs inside the test process.
 pub(crate) struct TargetStandIn {
     pub(crate) target: Arc<Target>,
     pub(crate) ports: Running,
 }
 
-/// A port at which connections are refused for as long as this lives. A port that is merely
-/// closed again may be given to the next listener, also of another test, which then answers.
+/// Port that refuses connections for as long as the value lives. The socket stays bound without
+/// listening, because the system may give a closed port to the next listener, also to one of
+/// another test, which would then answer.
 pub(crate) struct RefusingPort {
     pub(crate) address: SocketAddr,
     _socket: TcpSocket,
@@ -51,14 +52,15 @@
     TargetStandIn { target, ports }
 }
 
-/// A target that needs 1 ms for each request.
+/// Starts a stand-in target that needs 1 ms for each request.
 pub(crate) async fn quick_target() -> TargetStandIn {
     let settings = TargetSettings { service_us: 1_000, is_random: false, ..Default::default() };
     target(settings).await
 }
 
-/// A configuration with one service `s` over `targets`; `service` and `kind` are further
-/// lines of both. The kinds are `read` (`GET /r`, safe) and `write` (`POST /w`, unsafe).
+/// Returns a configuration with one service `s` over `targets`. Its kinds are `read` (`GET /r`,
+/// safe) and `write` (`POST /w`, unsafe). `service` holds further YAML lines of the service, `kind`
+/// further lines of both kinds.
 pub(crate) fn configuration(targets: &[SocketAddr], service: &str, kind: &str) -> Configuration {
     let mut text = String::from(
         "entry_vms_max: 4\ndata_halls: [a]\n\
@@ -70,7 +72,7 @@
     text.push_str("    targets:\n");
     for (index, address) in targets.iter().enumerate() {
         writeln!(text, "      - {{ name: t{index}, address: '{address}', data_hall: a }}")
-            .expect("a string takes it");
+            .expect("writing to a string cannot fail");
     }
     for (name, method, path, repeat) in
         [("read", "GET", "/r", "safe"), ("write", "POST", "/w", "unsafe")]
@@ -83,12 +85,12 @@
             "  - name: {name}\n    match: {{ methods: [{method}], path_prefix: {path} }}\n    \
              service: s\n    priority: 1\n    repeat: {repeat}\n    deadline_ms: 2000\n{kind}"
         )
-        .expect("a string takes it");
+        .expect("writing to a string cannot fail");
     }
     Configuration::parse(&text).unwrap_or_else(|mistakes| panic!("{mistakes}\n{text}"))
 }
 
-/// Asserts that a plain request is answered in full.
+/// Asserts that an entry process answers a simple request completely and correctly.
 pub(crate) async fn assert_serves(caller: SocketAddr, note: &str) {
     let path = "/r?nonce=good&bytes=300";
     let answer =
@@ -97,12 +99,18 @@
     assert_eq!(answer.body().as_ref(), expected_answer(path, b"", 300), "{note}");
 }
 
-/// Waits until `is_so` holds.
-pub(crate) async fn wait_until<F: Future<Output = bool>>(note: &str, mut is_so: impl FnMut() -> F) {
+/// Polls the condition until it holds; fails the test after [`LIMIT`].
+pub(crate) async fn wait_until<F: Future<Output = bool>>(
+    note: &str,
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
-        while !is_so().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(LIMIT, waiting).await.is_ok(), "never: {note}");
+    assert!(
+        tokio::time::timeout(LIMIT, waiting).await.is_ok(),
+        "condition not met in time: {note}"
+    );
 }
