--- a/crates/thymeshift_lab/tests/fleet.rs
+++ b/crates/thymeshift_lab/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several real entry processes and a platform that fails: configuration, leaving targets and
-//! orders.
+//! Several real entry processes with a platform that fails: distribution of configuration, leaving
+//! targets and operators' orders.
 
 mod support;
 
@@ -32,7 +32,7 @@
 use crate::support::quick_target;
 use crate::support::wait_until;
 
-/// Two entry processes that know each other.
+/// Two entry processes, of which the second one has the first one as a configured peer.
 struct Pair {
     single: SingleEntry,
     second: Child,
@@ -83,8 +83,11 @@
     for mode in faults {
         single.platform.set_mode(mode);
         let calls = single.platform.calls();
-        wait_until("the platform was asked", async || single.platform.calls() > calls).await;
-        // A process that starts now asks its peers and runs what they run.
+        wait_until("the platform has received a further call", async || {
+            single.platform.calls() > calls
+        })
+        .await;
+        // A process that starts now fetches the configuration in force from its peers.
         let fresh = start_second_entry(&mut single).await;
         wait_ready(&fresh).await.expect("ready");
         for entry in [&single.entry, &second, &fresh] {
@@ -108,21 +111,26 @@
     })
     .await;
     assert_eq!((revision(&single.entry).await, revision(&second).await), (1, 1));
-    let mut mended = good.clone();
-    mended.limits.depth_max = 7;
-    single.platform.publish(DocumentName::Configuration, 3, json(&mended));
+    let mut corrected = good.clone();
+    corrected.limits.depth_max = 7;
+    single.platform.publish(DocumentName::Configuration, 3, json(&corrected));
     wait_until("both run revision 3", async || {
         revision(&single.entry).await == 3 && revision(&second).await == 3
     })
     .await;
-    // The same revision with other content: what is in force stays.
+    // A document with a revision already in force but other content must not replace the document
+    // in force.
     let before = state(&single.entry).await.configuration.in_force;
     single.platform.publish(DocumentName::Configuration, 3, json(&good));
     single.platform.set_mode(PlatformMode::Stale);
     let mut fresh_single = single;
     let fresh = fresh_single.start_another("").await.expect("a process that knows no peer");
     wait_ready(&fresh).await.expect("ready");
-    assert_ne!(state(&fresh).await.configuration.in_force, before, "it believes the platform");
+    assert_ne!(
+        state(&fresh).await.configuration.in_force,
+        before,
+        "the new process adopts the platform's document"
+    );
     assert_eq!(state(&fresh_single.entry).await.configuration.in_force, before);
     assert_eq!(state(&second).await.configuration.in_force, before);
 }
@@ -133,9 +141,9 @@
     let good = configuration(&[target.ports.address], "", "");
     let mut single = SingleEntry::start(&good).await.expect("a process");
     single.platform.set_mode(PlatformMode::Failing);
-    let alone = single.start_another("").await.expect("a process");
-    let caller = alone.address("caller").expect("an address");
-    let observe = alone.address("observe").expect("an address");
+    let without_configuration = single.start_another("").await.expect("a process");
+    let caller = without_configuration.address("caller").expect("an address");
+    let observe = without_configuration.address("observe").expect("an address");
     let answer = send_request(caller, Method::GET, "/r", "").await.expect("an answer");
     assert_eq!(
         (answer.status().as_u16(), &answer.headers()["thymeshift-reason"]),
@@ -145,7 +153,7 @@
     let live = send_request(observe, Method::GET, "/live", "").await.expect("an answer");
     assert_eq!((ready.status().as_u16(), live.status().as_u16()), (503, 200));
     single.platform.set_mode(PlatformMode::Normal);
-    wait_ready(&alone).await.expect("ready");
+    wait_ready(&without_configuration).await.expect("ready");
     assert_serves(caller, "once the platform answers").await;
 }
 
@@ -155,16 +163,20 @@
     let staying = quick_target().await;
     let good = configuration(&[leaving.ports.address, staying.ports.address], "", "");
     let Pair { single, second } = pair(&good).await;
-    // Both are cut off from the platform.
+    // With a silent platform, the processes can learn of the leaving target only from the target
+    // itself and from each other.
     single.platform.set_mode(PlatformMode::Silent);
     leaving.target.set_behaviour(Behaviour { is_draining: true, ..Behaviour::default() });
     let first_caller = single.entry.address("caller").expect("an address");
-    wait_until("the first process has heard of it", async || {
+    wait_until("the first process has a leaving mark", async || {
         assert_serves(first_caller, "while it drains").await;
         !state(&single.entry).await.leaving.is_empty()
     })
     .await;
-    wait_until("the second one as well", async || !state(&second).await.leaving.is_empty()).await;
+    wait_until("the second process has a leaving mark", async || {
+        !state(&second).await.leaving.is_empty()
+    })
+    .await;
     let begun = || leaving.target.ledger.entries().get("good").map_or(0, |entry| entry.begun);
     let before = begun();
     let second_caller = second.address("caller").expect("an address");
@@ -209,7 +221,7 @@
             panic!("round {round}: no order");
         };
         let expected = if change == OrderChange::Stop { "stopped" } else { "open" };
-        wait_until("and both act on it", async || {
+        wait_until("both apply the order to the target", async || {
             let dumps = [state(&single.entry).await, state(&second).await];
             dumps.iter().all(|dump| dump.services[0].targets[0].usability.to_string() == expected)
         })
@@ -218,11 +230,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_operators_program_asks_and_tells() {
+async fn the_operators_program_shows_state_and_gives_orders() {
     let target = quick_target().await;
     let Pair { single, second } = pair(&configuration(&[target.ports.address], "", "")).await;
-    wait_until("they know each other", async || state(&single.entry).await.members.len() == 1)
-        .await;
+    wait_until("the first process knows the second one", async || {
+        state(&single.entry).await.members.len() == 1
+    })
+    .await;
     let control = single.entry.address("control").expect("an address").to_string();
     let program = sibling_program("thymeshiftctl").expect("a program");
     let run = |arguments: Vec<&str>| {
@@ -230,7 +244,7 @@
         let output = output.expect("a program");
         (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
     };
-    let asked = [
+    let cases = [
         ("show targets target, usability where service = s", "t0      open"),
         ("show configuration vm, revision", "entry-0         1"),
         ("show kinds kind, priority sort by kind desc limit 1", "write"),
@@ -253,11 +267,11 @@
         ("show targets usability", "open"),
         ("drain hall zz", "refused: no data hall is called zz"),
     ];
-    for (line, says) in asked {
+    for (line, expected_text) in cases {
         let (code, text) = run(vec![line]);
-        assert!(text.contains(says), "{line}: {text}");
-        let is_nothing = text.starts_with("refused") || text.contains("\nrefused");
-        assert_eq!(code, Some(i32::from(is_nothing)), "{line}: {text}");
+        assert!(text.contains(expected_text), "{line}: {text}");
+        let is_refused = text.starts_with("refused") || text.contains("\nrefused");
+        assert_eq!(code, Some(i32::from(is_refused)), "{line}: {text}");
     }
     let (code, text) = run(vec!["--all", "--json", "show", "process", "vm"]);
     assert_eq!((code, text.trim()), (Some(0), r#"[{"vm":"entry-0"},{"vm":"entry-2"}]"#));
--- a/crates/thymeshift_lab/tests/soak.rs
+++ b/crates/thymeshift_lab/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A short seeded soak over real processes, the seeds that ever failed, and its own parts.
+//! Short soaks over real processes with fixed seeds, including all seeds that have failed before,
+//! and tests of the soak's own parts.
 
 use std::time::Duration;
 
@@ -23,33 +24,43 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A seed that CI plays.
+/// Soak that CI runs.
 struct Case {
-    /// What it is about; of a seed that failed, the cause.
+    /// Faults that the seed covers, or the cause of its earlier failure.
     note: &'static str,
     seed: u64,
     entries: usize,
     seconds: u64,
 }
 
-/// Cause of seeds 34, 37, 43 and 46: the last attempt of a request decided what its caller was
-/// told, although an earlier one had begun.
-const LAST_ATTEMPT_DECIDED: &str = "told not run, but an earlier attempt ran";
+/// Cause of the failures of seeds 34, 37, 43 and 46: a request was reported as not run because its
+/// last attempt did not run, although an earlier attempt had begun at a target.
+const LAST_ATTEMPT_DECIDED: &str = "reported as not run, but an earlier attempt ran";
 
 const CASES: [Case; 10] = [
-    Case { note: "planned work alone", seed: 3, entries: 3, seconds: 4 },
+    Case { note: "planned operations only", seed: 3, entries: 3, seconds: 4 },
     Case { note: "any fault", seed: 4, entries: 3, seconds: 4 },
-    Case { note: "any fault, targets in need", seed: 5, entries: 4, seconds: 9 },
-    Case { note: "planned work alone, targets in need", seed: 15, entries: 4, seconds: 9 },
+    Case { note: "any fault, rate-limited targets", seed: 5, entries: 4, seconds: 9 },
+    Case {
+        note: "planned operations only, rate-limited targets",
+        seed: 15,
+        entries: 4,
+        seconds: 9,
+    },
     Case { note: "any fault, targets that leave or refuse", seed: 7, entries: 4, seconds: 9 },
-    Case { note: "planned work alone, the same", seed: 12, entries: 4, seconds: 9 },
+    Case {
+        note: "planned operations only, targets that leave or refuse",
+        seed: 12,
+        entries: 4,
+        seconds: 9,
+    },
     Case { note: LAST_ATTEMPT_DECIDED, seed: 34, entries: 4, seconds: 6 },
     Case { note: LAST_ATTEMPT_DECIDED, seed: 37, entries: 4, seconds: 6 },
     Case { note: LAST_ATTEMPT_DECIDED, seed: 43, entries: 4, seconds: 6 },
     Case { note: LAST_ATTEMPT_DECIDED, seed: 46, entries: 4, seconds: 6 },
 ];
-/// Time in which nothing must come.
-const QUIET: Duration = Duration::from_millis(150);
+/// Time within which no byte may arrive while the proxy withholds answers.
+const NO_ANSWER_WAIT: Duration = Duration::from_millis(150);
 const LIMIT: Duration = Duration::from_secs(5);
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,17 +74,18 @@
     }
 }
 
-/// A kind's results: so many answered, told that they did not run, and told that nobody knows.
+/// Returns the results of a kind with these numbers of requests answered, reported as not run and
+/// reported as possibly run.
 fn results(name: &str, answered: usize, not_run: usize, unknown: usize) -> KindResult {
     let mut kind = KindResult::new(name);
-    let told = [
+    let counts = [
         (CallResult::Answered, answered),
         (CallResult::Outcome(Outcome::NotRun), not_run),
         (CallResult::Outcome(Outcome::Unknown), unknown),
     ];
-    for (told, count) in told {
+    for (result, count) in counts {
         for _ in 0..count {
-            kind.record(format!("{name}-{}", kind.sent), told, Duration::from_millis(9), 100);
+            kind.record(format!("{name}-{}", kind.sent), result, Duration::from_millis(9), 100);
         }
     }
     kind
@@ -84,8 +96,9 @@
     struct Case {
         note: &'static str,
         pressure: f64,
-        /// Answered, not run, unknown.
+        /// Numbers of look-ups answered, reported as not run and reported as possibly run.
         look_ups: (usize, usize, usize),
+        /// The same numbers for price sheets, which must be answered even on a starved machine.
         price_sheets: (usize, usize, usize),
         is_served: bool,
     }
@@ -121,7 +134,7 @@
 }
 
 #[test]
-fn what_a_process_waited_for_a_processor_is_a_part_of_what_it_could_have_run() {
+fn cpu_pressure_is_the_waiting_share_of_the_runnable_time() {
     let time = |ran_ms, waited_ms| ProcessorTime {
         ran: Duration::from_millis(ran_ms),
         waited: Duration::from_millis(waited_ms),
@@ -165,7 +178,7 @@
     }
 }
 
-/// A server that sends back what it reads.
+/// Starts a server that echoes all bytes that it receives.
 async fn echo() -> std::net::SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -181,23 +194,23 @@
 }
 
 #[tokio::test]
-async fn the_proxy_does_what_its_mode_says() {
+async fn the_proxy_disturbs_connections_according_to_its_mode() {
     struct Case {
         mode: ProxyMode,
-        /// Whether an echo comes back while the mode lasts.
+        /// Whether an echo arrives while the mode is set.
         is_answered: bool,
-        /// Whether one comes after it on the same connection.
-        comes_later: bool,
+        /// Whether the missing echo arrives on the same connection after the mode has ended.
+        is_delivered_later: bool,
     }
     let delay = ProxyMode::Delay(Duration::from_millis(20));
     let cases = [
-        Case { mode: ProxyMode::Pass, is_answered: true, comes_later: false },
-        Case { mode: delay, is_answered: true, comes_later: false },
-        Case { mode: ProxyMode::Silent, is_answered: false, comes_later: true },
-        Case { mode: ProxyMode::AnswersLost, is_answered: false, comes_later: false },
-        Case { mode: ProxyMode::Reset, is_answered: false, comes_later: false },
+        Case { mode: ProxyMode::Pass, is_answered: true, is_delivered_later: false },
+        Case { mode: delay, is_answered: true, is_delivered_later: false },
+        Case { mode: ProxyMode::Silent, is_answered: false, is_delivered_later: true },
+        Case { mode: ProxyMode::AnswersLost, is_answered: false, is_delivered_later: false },
+        Case { mode: ProxyMode::Reset, is_answered: false, is_delivered_later: false },
     ];
-    for Case { mode, is_answered, comes_later } in cases {
+    for Case { mode, is_answered, is_delivered_later } in cases {
         let proxy = Proxy::start(echo().await).await.expect("a proxy");
         let mut stream = TcpStream::connect(proxy.address).await.expect("a connection");
         let mut answer = [0; 4];
@@ -206,12 +219,12 @@
         proxy.set_mode(mode);
         tokio::time::sleep(Duration::from_millis(20)).await;
         let sent = stream.write_all(b"pong").await;
-        let got = timeout(QUIET, stream.read_exact(&mut answer)).await;
+        let got = timeout(NO_ANSWER_WAIT, stream.read_exact(&mut answer)).await;
         assert_eq!(matches!(got, Ok(Ok(_))), is_answered, "{mode}: {sent:?} {got:?}");
         proxy.set_mode(ProxyMode::Pass);
         if !is_answered {
-            let got = timeout(QUIET, stream.read_exact(&mut answer)).await;
-            assert_eq!(matches!(got, Ok(Ok(_))), comes_later, "{mode}, later: {got:?}");
+            let got = timeout(NO_ANSWER_WAIT, stream.read_exact(&mut answer)).await;
+            assert_eq!(matches!(got, Ok(Ok(_))), is_delivered_later, "{mode}, later: {got:?}");
         }
     }
 }
--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -1,4 +1,4 @@
-//! Planned stops and pauses of a real entry process.
+//! Planned stops, pauses and kills of a real entry process.
 
 mod support;
 
@@ -35,9 +35,10 @@
     let mut single = SingleEntry::start_unready(&configuration).await.expect("a process");
     single.platform.set_mode(PlatformMode::Silent);
     let mut waiting = single.start_another("").await.expect("another process");
-    wait_until("it has begun to ask", async || single.platform.calls() > 1).await;
+    wait_until("the process has called the platform", async || single.platform.calls() > 1).await;
     waiting.signal(Signal::TERM);
-    let ended = timeout(LIMIT, waiting.wait()).await.expect("it ends").expect("a status");
+    let ended =
+        timeout(LIMIT, waiting.wait()).await.expect("the process ends in time").expect("a status");
     assert_eq!(ended.code(), Some(0));
     single.entry.signal(Signal::KILL);
 }
@@ -58,20 +59,23 @@
     let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let observe = single.entry.address("observe").expect("an address");
-    // Three run at the target, the others wait there and in the process.
+    // Three of the ten requests run in the target's slots; the others wait in the target's queue and
+    // in the entry process.
     let mut answers = JoinSet::new();
     for number in 0..10 {
         answers.spawn(async move { (number, read(caller, number).await) });
     }
-    wait_until("all are on their way", async || stand_in.target.ledger.entries().len() >= 3).await;
+    wait_until("the target's slots are full", async || stand_in.target.ledger.entries().len() >= 3)
+        .await;
     single.entry.signal(Signal::TERM);
-    wait_until("it says that it is not ready", async || {
+    wait_until("the process reports that it is not ready", async || {
         send_request(observe, Method::GET, "/ready", "")
             .await
             .is_ok_and(|answer| answer.status() == 503)
     })
     .await;
-    // The balancer has not noticed yet: a new request is still served.
+    // The platform's balancer may not have noticed the stop yet, so a new request must still be
+    // served.
     let late = read(caller, 99).await.expect("an answer");
     assert_eq!(late.status(), 200);
     assert_eq!(late.headers()["connection"], "close");
@@ -82,7 +86,10 @@
         let expected = expected_answer(&path(number), b"", 200_000);
         assert_eq!(answer.body().as_ref(), expected, "request {number}");
     }
-    let ended = timeout(LIMIT, single.entry.wait()).await.expect("it ends").expect("a status");
+    let ended = timeout(LIMIT, single.entry.wait())
+        .await
+        .expect("the process ends in time")
+        .expect("a status");
     assert_eq!(ended.code(), Some(0));
 }
 
@@ -94,12 +101,15 @@
     configuration.kinds[0].deadline_ms = 60_000;
     let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
-    let held = tokio::spawn(async move { read(caller, 1).await });
-    wait_until("it is begun", async || stand_in.target.ledger.entries().contains_key("1")).await;
+    let pending = tokio::spawn(async move { read(caller, 1).await });
+    wait_until("the target has begun the request", async || {
+        stand_in.target.ledger.entries().contains_key("1")
+    })
+    .await;
     single.entry.signal(Signal::TERM);
     let ended = timeout(Duration::from_secs(15), single.entry.wait()).await;
-    assert_eq!(ended.expect("it ends").expect("a status").code(), Some(3));
-    assert!(held.await.expect("no panic").is_err(), "its caller sees a broken connection");
+    assert_eq!(ended.expect("the process ends in time").expect("a status").code(), Some(3));
+    assert!(pending.await.expect("no panic").is_err(), "the connection to the caller is broken");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -110,9 +120,9 @@
     let caller = single.entry.address("caller").expect("an address");
     assert_serves(caller, "before").await;
     stand_in.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
-    let mut held = JoinSet::new();
+    let mut pending = JoinSet::new();
     for number in 0..3 {
-        held.spawn(async move {
+        pending.spawn(async move {
             send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await
         });
     }
@@ -129,8 +139,8 @@
     let answer = waiting.await.expect("no panic").expect("an answer");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.headers()["thymeshift-outcome"], "not_run");
-    assert!(resumed.elapsed() < Duration::from_secs(1), "told at once");
-    assert!(!stand_in.target.ledger.entries().contains_key("waits"), "and it did not run");
+    assert!(resumed.elapsed() < Duration::from_secs(1), "the refusal arrives immediately");
+    assert!(!stand_in.target.ledger.entries().contains_key("waits"), "the request did not run");
     wait_until("the pause was noticed", async || {
         single.log().is_ok_and(|log| log.contains("event=process_was_paused"))
     })
@@ -149,17 +159,17 @@
         single.entry.address("caller").expect("an address"),
         other.address("caller").expect("an address"),
     );
-    let mut held = JoinSet::new();
+    let mut pending = JoinSet::new();
     for number in 0..6 {
-        held.spawn(async move {
+        pending.spawn(async move {
             send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await
         });
     }
     wait_until("some are begun", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::KILL);
-    while let Some(answered) = held.join_next().await {
+    while let Some(answered) = pending.join_next().await {
         let answered = answered.expect("no panic");
-        assert!(answered.is_err(), "nobody is left who could answer");
+        assert!(answered.is_err(), "a killed process cannot answer");
     }
     wait_until("the other process serves", async || {
         send_request(other_caller, Method::GET, "/r", "")
--- a/crates/thymeshift_lab/tests/strangers.rs
+++ b/crates/thymeshift_lab/tests/strangers.rs
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn lines_of_operators() {
+fn operator_commands() {
     let samples = [
         "show targets where service = calculator and load > 2 sort by age",
         "show kinds where not (priority < 3) or retries >= 9 limit 3",
--- a/crates/thymeshift_lab/tests/target_faults.rs
+++ b/crates/thymeshift_lab/tests/target_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of targets, through a real entry process: what the caller is told is true, an
-//! unsafe request is begun at most once, an answer is complete or visibly broken.
+//! Faults of targets behind a real entry process: the reported outcome is true, an unsafe request
+//! is begun at most once, and an answer is either complete or visibly broken.
 
 mod support;
 
@@ -30,7 +30,8 @@
 use crate::support::target;
 use crate::support::wait_until;
 
-const SHEDS: &str = "    shed_means_not_run: true\n";
+/// YAML line of a service whose targets do not run a request that they shed.
+const SHED_MEANS_NOT_RUN: &str = "    shed_means_not_run: true\n";
 
 struct Path {
     single: SingleEntry,
@@ -61,8 +62,8 @@
     Behaviour { fault, ..Behaviour::default() }
 }
 
-/// One fault of the only target, and what the caller of an unsafe request is told.
-struct Told {
+/// Fault that both targets show, and the expected answer to an unsafe request.
+struct UnsafeRequestCase {
     name: &'static str,
     fault: Fault,
     status: u16,
@@ -74,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_unsafe_request_is_begun_once_and_its_caller_told_the_truth() {
     let cases = [
-        Told {
+        UnsafeRequestCase {
             name: "closes after reading",
             fault: Fault::Closing,
             status: 502,
@@ -82,7 +83,7 @@
             reason: "connection_lost",
             begun: 1,
         },
-        Told {
+        UnsafeRequestCase {
             name: "answers for another attempt",
             fault: Fault::Confusing,
             status: 502,
@@ -90,7 +91,7 @@
             reason: "wrong_answer",
             begun: 1,
         },
-        Told {
+        UnsafeRequestCase {
             name: "begins and does not go on",
             fault: Fault::Frozen,
             status: 504,
@@ -98,7 +99,7 @@
             reason: "deadline",
             begun: 1,
         },
-        Told {
+        UnsafeRequestCase {
             name: "fails",
             fault: Fault::Failing,
             status: 500,
@@ -106,8 +107,8 @@
             reason: "",
             begun: 0,
         },
-        Told {
-            name: "sheds, and that proves nothing",
+        UnsafeRequestCase {
+            name: "sheds, which does not prove that it did not run",
             fault: Fault::Shedding,
             status: 503,
             outcome: "",
@@ -139,7 +140,7 @@
     let full = quick_target().await;
     let free = quick_target().await;
     full.target.set_behaviour(fault(Fault::Shedding));
-    let path = path(&[full.ports.address, free.ports.address], SHEDS, "").await;
+    let path = path(&[full.ports.address, free.ports.address], SHED_MEANS_NOT_RUN, "").await;
     for number in 0..2 {
         let answer = write(path.caller, &format!("n{number}")).await;
         assert_eq!(answer.status(), 200);
@@ -152,27 +153,29 @@
     assert_eq!(header(&answer, "thymeshift-outcome"), "not_run");
     assert_eq!(header(&answer, "thymeshift-reason"), "shed");
     assert_ne!(header(&answer, "retry-after"), "");
-    assert!(started.elapsed() < Duration::from_secs(1), "a final answer comes at once");
+    assert!(started.elapsed() < Duration::from_secs(1), "the final answer arrives immediately");
 }
 
-/// Found by the soak (seed 34): the last attempt provably did not run, an earlier one may have.
+/// Guards against a failure of soak seed 34: a request was reported as not run because its last
+/// attempt did not run, although an earlier attempt may have run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_of_which_any_attempt_may_have_run_is_not_told_not_run() {
     struct Case {
         note: &'static str,
         hedge_after_ms: u64,
-        /// How long the first target works before it closes, in microseconds.
+        /// Time for which the first target works before it closes the connection, in microseconds.
         service_us: u64,
-        /// How late the second target refuses, in milliseconds.
+        /// Time after which the second target refuses, in milliseconds.
         refused_after_ms: u64,
-        /// Fresh processes: each may begin with either target, and goes on with the other one.
+        /// Number of entry processes, started one after the other. Each may choose either target
+        /// first and then tries the other one.
         processes: usize,
-        /// Requests to each of them.
+        /// Number of requests to each entry process.
         requests: usize,
     }
     let cases = [
         Case {
-            note: "one after the other",
+            note: "attempts one after the other",
             hedge_after_ms: 0,
             service_us: 1_000,
             refused_after_ms: 0,
@@ -180,7 +183,7 @@
             requests: 3,
         },
         Case {
-            note: "beside each other, refused first",
+            note: "concurrent attempts, refused first",
             hedge_after_ms: 50,
             service_us: 200_000,
             refused_after_ms: 0,
@@ -188,7 +191,7 @@
             requests: 20,
         },
         Case {
-            note: "beside each other, closed first",
+            note: "concurrent attempts, closed first",
             hedge_after_ms: 50,
             service_us: 100_000,
             refused_after_ms: 200,
@@ -204,7 +207,8 @@
         let late = Behaviour { late_ms: refused_after_ms, ..fault(Fault::Shedding) };
         shedding.target.set_behaviour(late);
         let targets = [closing.ports.address, shedding.ports.address];
-        let mut configuration = configuration(&targets, SHEDS, "    attempts_max: 2\n");
+        let mut configuration =
+            configuration(&targets, SHED_MEANS_NOT_RUN, "    attempts_max: 2\n");
         configuration.kinds[0].hedge_after_ms = hedge_after_ms;
         let mut ran = 0;
         for process in 0..processes {
@@ -228,13 +232,13 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_target_that_refuses_connections_costs_no_request() {
-    let gone = RefusingPort::new();
-    let there = quick_target().await;
-    let path = path(&[gone.address, there.ports.address], "", "").await;
+    let refusing = RefusingPort::new();
+    let reachable = quick_target().await;
+    let path = path(&[refusing.address, reachable.ports.address], "", "").await;
     for number in 0..4 {
         let nonce = format!("n{number}");
         assert_eq!(write(path.caller, &nonce).await.status(), 200, "{number}");
-        assert_eq!(begun(&there, &nonce), 1);
+        assert_eq!(begun(&reachable, &nonce), 1);
     }
 }
 
@@ -254,29 +258,29 @@
     assert!(started.elapsed() < limit, "the connection is closed, not left open");
 }
 
-/// Whether a raw target goes on after an answer.
+/// Action of a raw target after it has sent an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Then {
-    ReadOn,
+enum AfterAnswer {
+    KeepOpen,
     Close,
 }
 
-/// A target that answers each request with these bytes, whatever was asked.
-async fn raw_target(bytes: &'static str, then: Then) -> SocketAddr {
+/// Starts a target that answers every request with the same raw bytes.
+async fn raw_target(bytes: &'static str, after_answer: AfterAnswer) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(answer_raw(stream, bytes, then));
+            tokio::spawn(answer_raw(stream, bytes, after_answer));
         }
     });
     address
 }
 
-async fn answer_raw(mut stream: TcpStream, bytes: &'static str, then: Then) {
+async fn answer_raw(mut stream: TcpStream, bytes: &'static str, after_answer: AfterAnswer) {
     let mut buffer = [0; 4_096];
     while let Ok(1..) = stream.read(&mut buffer).await {
-        if stream.write_all(bytes.as_bytes()).await.is_err() || then == Then::Close {
+        if stream.write_all(bytes.as_bytes()).await.is_err() || after_answer == AfterAnswer::Close {
             return;
         }
     }
@@ -285,21 +289,24 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn chunks_that_break_off_are_not_ended_for_the_target() {
     let half = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
-    let address = raw_target(half, Then::Close).await;
+    let address = raw_target(half, AfterAnswer::Close).await;
     let path = path(&[address], "", "").await;
     let request = "GET /r HTTP/1.1\r\nhost: x\r\n\r\n";
     let limit = Duration::from_secs(5);
     let answer = send_raw(path.caller, request.as_bytes(), limit).await.expect("an answer");
     let text = String::from_utf8_lossy(&answer);
     assert!(text.contains("hello"), "{text}");
-    assert!(!text.ends_with("0\r\n\r\n"), "the last chunk says that all is there: {text}");
+    assert!(
+        !text.ends_with("0\r\n\r\n"),
+        "the last chunk marks the broken answer as complete: {text}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn bytes_beyond_an_answer_never_become_the_next_callers_answer() {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown\
                  HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nanothe";
-    let address = raw_target(twice, Then::ReadOn).await;
+    let address = raw_target(twice, AfterAnswer::KeepOpen).await;
     let path = path(&[address], "", "").await;
     for number in 0..50 {
         let answer = send_request(path.caller, Method::GET, "/r", "").await.expect("an answer");
@@ -324,10 +331,12 @@
     }
 }
 
-/// What a caller sends behind its request, and how it leaves.
-struct Leaving {
+/// Caller that disconnects while its request runs.
+struct Disconnect {
     note: &'static str,
-    behind: String,
+    /// Further requests that the caller sends on the same connection before it disconnects.
+    pipelined: String,
+    /// Whether the caller resets the connection instead of closing it.
     is_reset: bool,
 }
 
@@ -336,14 +345,26 @@
     let next = "GET /r?nonce=next HTTP/1.1\r\nhost: x\r\n\r\n";
     let once = "POST /w?nonce=once HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n";
     let cases = [
-        Leaving { note: "nothing behind", behind: String::new(), is_reset: false },
-        Leaving { note: "a further request", behind: next.to_owned(), is_reset: false },
-        Leaving { note: "one that may run once", behind: once.to_owned(), is_reset: false },
-        Leaving { note: "one of each", behind: format!("{next}{once}"), is_reset: true },
-        Leaving { note: "a further request, reset", behind: next.to_owned(), is_reset: true },
-        Leaving { note: "more than is read ahead", behind: next.repeat(1_000), is_reset: false },
+        Disconnect { note: "no further request", pipelined: String::new(), is_reset: false },
+        Disconnect { note: "a further request", pipelined: next.to_owned(), is_reset: false },
+        Disconnect {
+            note: "a further unsafe request",
+            pipelined: once.to_owned(),
+            is_reset: false,
+        },
+        Disconnect {
+            note: "a further safe and a further unsafe request",
+            pipelined: format!("{next}{once}"),
+            is_reset: true,
+        },
+        Disconnect { note: "a further request, reset", pipelined: next.to_owned(), is_reset: true },
+        Disconnect {
+            note: "more pipelined requests than the process reads ahead",
+            pipelined: next.repeat(1_000),
+            is_reset: false,
+        },
     ];
-    for Leaving { note, behind, is_reset } in cases {
+    for Disconnect { note, pipelined, is_reset } in cases {
         let settings =
             TargetSettings { service_us: 1_500_000, is_random: false, ..Default::default() };
         let stand_in = target(settings).await;
@@ -351,7 +372,7 @@
         let mut caller = TcpStream::connect(path.caller).await.expect("a connection");
         let first = b"GET /r?nonce=gone HTTP/1.1\r\nhost: x\r\n\r\n";
         caller.write_all(first).await.expect("sent");
-        caller.write_all(behind.as_bytes()).await.expect("sent");
+        caller.write_all(pipelined.as_bytes()).await.expect("sent");
         wait_until("the request is begun", async || begun(&stand_in, "gone") == 1).await;
         if is_reset {
             caller.set_zero_linger().expect("an option");
@@ -360,11 +381,14 @@
         tokio::time::sleep(Duration::from_millis(1_800)).await;
         let entries = stand_in.target.ledger.entries();
         let entry = entries["gone"];
-        assert_eq!((entry.begun, entry.finished), (1, 0), "{note}: the target was told to stop");
-        // What may be repeated may have been begun; it is taken back, too.
+        assert_eq!((entry.begun, entry.finished), (1, 0), "{note}: the request was cancelled");
+        // A pipelined safe request may have been begun; it must be cancelled as well.
         let finished = entries.get("next").map_or(0, |next| next.finished);
-        assert_eq!(finished, 0, "{note}: the target was told to stop what stood behind");
-        assert!(!entries.contains_key("once"), "{note}: what may run once was not begun");
+        assert_eq!(finished, 0, "{note}: the pipelined safe request was cancelled");
+        assert!(
+            !entries.contains_key("once"),
+            "{note}: the pipelined unsafe request was not begun"
+        );
     }
 }
 
@@ -374,7 +398,7 @@
     let staying = quick_target().await;
     let path = path(&[leaving.ports.address, staying.ports.address], "", "").await;
     leaving.target.set_behaviour(Behaviour { is_draining: true, ..Behaviour::default() });
-    wait_until("the entry process has heard of it", async || {
+    wait_until("the entry process has a leaving mark", async || {
         assert_serves(path.caller, "while it drains").await;
         path.single.log().is_ok_and(|log| log.contains("event=target_leaving"))
     })
@@ -385,10 +409,11 @@
         assert_serves(path.caller, "after it drained").await;
     }
     assert_eq!(leaving.target.ledger.entries()["good"].begun, before, "no new work");
-    // Sticky: the target takes its word back, its incarnation stays the same.
+    // The leaving mark is sticky: the target stops announcing that it is leaving, but its
+    // incarnation stays the same.
     leaving.target.set_behaviour(Behaviour::default());
     for _ in 0..20 {
-        assert_serves(path.caller, "after it changed its mind").await;
+        assert_serves(path.caller, "after it stopped announcing that it is leaving").await;
     }
     assert_eq!(leaving.target.ledger.entries()["good"].begun, before, "still no new work");
 }
@@ -399,7 +424,7 @@
     stand_in.target.set_behaviour(fault(Fault::Frozen));
     let path = path(&[stand_in.ports.address], "", "    queue_max: 1\n").await;
     let caller = path.caller;
-    // The slots of the target are taken, and so is the only place in the queue.
+    // Three requests fill the target's slots, and a fourth one fills the queue, which has one place.
     for number in 0..3 {
         tokio::spawn(async move { write(caller, &format!("held{number}")).await });
     }
@@ -412,7 +437,7 @@
     .await;
     let started = Instant::now();
     let answer = write(caller, "extra").await;
-    assert!(started.elapsed() < Duration::from_millis(500), "held back");
+    assert!(started.elapsed() < Duration::from_millis(500), "the refusal is delayed");
     assert_eq!(answer.status(), 503);
     assert_eq!(header(&answer, "thymeshift-outcome"), "not_run");
     assert_eq!(header(&answer, "thymeshift-reason"), "queue_full");
@@ -423,12 +448,18 @@
 async fn a_refusal_of_a_deeper_layer_is_passed_on_and_not_retried() {
     let refusal = "HTTP/1.1 503 Service Unavailable\r\nthymeshift-outcome: not_run\r\n\
                    thymeshift-reason: queue_full\r\ncontent-length: 0\r\n\r\n";
-    let targets =
-        [raw_target(refusal, Then::ReadOn).await, raw_target(refusal, Then::ReadOn).await];
-    let path = path(&targets, SHEDS, "").await;
+    let targets = [
+        raw_target(refusal, AfterAnswer::KeepOpen).await,
+        raw_target(refusal, AfterAnswer::KeepOpen).await,
+    ];
+    let path = path(&targets, SHED_MEANS_NOT_RUN, "").await;
     let answer = send_request(path.caller, Method::GET, "/r", "").await.expect("an answer");
     assert_eq!(answer.status(), 503);
-    assert_eq!(header(&answer, "thymeshift-reason"), "queue_full", "the deeper layer's own");
+    assert_eq!(
+        header(&answer, "thymeshift-reason"),
+        "queue_full",
+        "the reason that the deeper layer reported"
+    );
     let dump = dump(&path.single.entry).await.expect("a dump");
-    assert_eq!(dump.kinds[0].retries, 0, "the layer nearest the failure has retried");
+    assert_eq!(dump.kinds[0].retries, 0, "only the layer nearest the failure retries");
 }
