--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -51,12 +51,12 @@
             print!("{HELP}");
             Ok(ExitCode::SUCCESS)
         }
-        Command::Platform => single_thread(async {
-            run_until_killed(Platform::new().start(any_local_port()).await?).await
-        }),
-        Command::Target(settings) => single_thread(async {
-            run_until_killed(Target::new(settings).start(any_local_port()).await?).await
-        }),
+        Command::Platform => {
+            single_thread(async { serve(Platform::new().start(any_port()).await?).await })
+        }
+        Command::Target(settings) => {
+            single_thread(async { serve(Target::new(settings).start(any_port()).await?).await })
+        }
         Command::Load { plan, json } => many_threads(async {
             let result = load::run(plan).await;
             let text = if json { format!("{}\n", result.to_json()) } else { result.to_string() };
@@ -98,13 +98,13 @@
     }
 }
 
-fn any_local_port() -> SocketAddr {
+fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
 /// Prints the addresses on which a stand-in listens and keeps it running until the process is
 /// killed.
-async fn run_until_killed(running: Running) -> Result<ExitCode, Failure> {
+async fn serve(running: Running) -> Result<ExitCode, Failure> {
     println!("listening data={} control={}", running.address, running.control);
     std::future::pending::<()>().await;
     Ok(ExitCode::SUCCESS)
--- a/crates/thymeshift_lab/tests/support/mod.rs
+++ b/crates/thymeshift_lab/tests/support/mod.rs
@@ -19,7 +19,7 @@
 /// Maximum time to wait for an expected condition.
 pub(crate) const LIMIT: Duration = Duration::from_secs(10);
 
-pub(crate) fn any_local_port() -> SocketAddr {
+pub(crate) fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
@@ -40,7 +40,7 @@
 impl RefusingPort {
     pub(crate) fn new() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(any_local_port()).expect("a port");
+        socket.bind(any_port()).expect("a port");
         let address = socket.local_addr().expect("an address");
         Self { address, _socket: socket }
     }
@@ -48,7 +48,7 @@
 
 pub(crate) async fn target(settings: TargetSettings) -> TargetStandIn {
     let target = Target::new(settings);
-    let ports = target.start(any_local_port()).await.expect("a target");
+    let ports = target.start(any_port()).await.expect("a target");
     TargetStandIn { target, ports }
 }
 
