--- a/crates/thymeshift_lab/src/experiment/control_cost.rs
+++ b/crates/thymeshift_lab/src/experiment/control_cost.rs
@@ -221,8 +221,8 @@
     Ok(sample)
 }
 
-/// Publishes a small change and returns the time until every entry process has it in force, at
-/// most [`REVISION_LIMIT`].
+/// Publishes a small configuration change and returns the time until every entry process has the
+/// change in force, at most [`REVISION_LIMIT`].
 async fn publish(fleet: &mut Fleet, revision: u64) -> Result<Duration, FleetError> {
     fleet.configuration.limits.body_bytes_max += 1;
     fleet.publish(revision).await?;
--- a/crates/thymeshift_lab/src/experiment/recovery.rs
+++ b/crates/thymeshift_lab/src/experiment/recovery.rs
@@ -147,8 +147,8 @@
     Ok(head.map_or(0, |head| head.revision.as_u64()))
 }
 
-/// Publishes a small change and returns the time until every entry process has it in force, or
-/// until [`REVISION_LIMIT`] has passed.
+/// Publishes a small configuration change and returns the time until every entry process has the
+/// change in force, or until [`REVISION_LIMIT`] has passed.
 async fn publish(fleet: &mut Fleet, number: u64) -> Result<Duration, FleetError> {
     fleet.configuration.limits.body_bytes_max += 1;
     fleet.publish(number).await?;
--- a/crates/thymeshift_lab/src/experiment/usage.rs
+++ b/crates/thymeshift_lab/src/experiment/usage.rs
@@ -21,7 +21,7 @@
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     // The process name in parentheses may contain spaces, so the fields are split after the closing
-    // parenthesis. The first one there is field 3 of proc(5).
+    // parenthesis. The first field after the parenthesis is field 3 of proc(5).
     let fields: Vec<&str> =
         stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |field: usize| fields.get(field - 3).and_then(|text| text.parse::<u64>().ok());
