--- a/crates/thymeshift_lab/tests/stop_and_pause.rs
+++ b/crates/thymeshift_lab/tests/stop_and_pause.rs
@@ -1,4 +1,4 @@
-//! Planned stops and pauses of a real entry process.
+//! Planned stops, pauses and kills of a real entry process.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use http::Method;
 use http::Response;
 use rustix::process::Signal;
-use thymeshift_lab::experiment::Single;
-use thymeshift_lab::http_client::AskError;
-use thymeshift_lab::http_client::ask;
+use thymeshift_lab::experiment::SingleEntry;
+use thymeshift_lab::http_client::RequestError;
+use thymeshift_lab::http_client::send_request;
 use thymeshift_lab::standin::Behaviour;
 use thymeshift_lab::standin::Fault;
 use thymeshift_lab::standin::PlatformMode;
@@ -26,24 +26,25 @@
 use crate::support::configuration;
 use crate::support::quick_target;
 use crate::support::target;
-use crate::support::until;
+use crate::support::wait_until;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_process_told_to_stop_before_it_has_a_configuration_stops() {
-    let standing = quick_target().await;
-    let configuration = configuration(&[standing.ports.address], "", "");
-    let mut single = Single::start_unready(&configuration).await.expect("a process");
+    let stand_in = quick_target().await;
+    let configuration = configuration(&[stand_in.ports.address], "", "");
+    let mut single = SingleEntry::start_unready(&configuration).await.expect("a process");
     single.platform.set_mode(PlatformMode::Silent);
     let mut waiting = single.start_another("").await.expect("another process");
-    until("it has begun to ask", async || single.platform.calls() > 1).await;
+    wait_until("the process has called the platform", async || single.platform.calls() > 1).await;
     waiting.signal(Signal::TERM);
-    let ended = timeout(LIMIT, waiting.wait()).await.expect("it ends").expect("a status");
+    let ended =
+        timeout(LIMIT, waiting.wait()).await.expect("the process ends in time").expect("a status");
     assert_eq!(ended.code(), Some(0));
     single.entry.signal(Signal::KILL);
 }
 
-async fn read(caller: SocketAddr, nonce: usize) -> Result<Response<Bytes>, AskError> {
-    ask(caller, Method::GET, &path(nonce), "").await
+async fn read(caller: SocketAddr, nonce: usize) -> Result<Response<Bytes>, RequestError> {
+    send_request(caller, Method::GET, &path(nonce), "").await
 }
 
 fn path(nonce: usize) -> String {
@@ -57,23 +58,28 @@
         has_random_service_time: false,
         ..Default::default()
     };
-    let standing = target(settings).await;
-    let configuration = configuration(&[standing.ports.address], "", "");
-    let mut single = Single::start(&configuration).await.expect("a process");
+    let stand_in = target(settings).await;
+    let configuration = configuration(&[stand_in.ports.address], "", "");
+    let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let observe = single.entry.address("observe").expect("an address");
-    // Three run at the target, the others wait there and in the process.
+    // Three of the ten requests run in the target's slots; the others wait in the target's queue and
+    // in the entry process.
     let mut answers = JoinSet::new();
     for number in 0..10 {
         answers.spawn(async move { (number, read(caller, number).await) });
     }
-    until("all are on their way", async || standing.target.ledger.entries().len() >= 3).await;
+    wait_until("the target's slots are full", async || stand_in.target.ledger.entries().len() >= 3)
+        .await;
     single.entry.signal(Signal::TERM);
-    until("it says that it is not ready", async || {
-        ask(observe, Method::GET, "/ready", "").await.is_ok_and(|answer| answer.status() == 503)
+    wait_until("the process reports that it is not ready", async || {
+        send_request(observe, Method::GET, "/ready", "")
+            .await
+            .is_ok_and(|answer| answer.status() == 503)
     })
     .await;
-    // The balancer has not noticed yet: a new request is still served.
+    // The platform's balancer may not have noticed the stop yet, so a new request must still be
+    // served.
     let late = read(caller, 99).await.expect("an answer");
     assert_eq!(late.status(), 200);
     assert_eq!(late.headers()["connection"], "close");
@@ -84,56 +90,62 @@
         let expected = expected_answer(&path(number), b"", 200_000);
         assert_eq!(answer.body().as_ref(), expected, "request {number}");
     }
-    let ended = timeout(LIMIT, single.entry.wait()).await.expect("it ends").expect("a status");
+    let ended = timeout(LIMIT, single.entry.wait())
+        .await
+        .expect("the process ends in time")
+        .expect("a status");
     assert_eq!(ended.code(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_whose_bound_passes_says_so() {
-    let standing = quick_target().await;
-    standing.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
-    let mut configuration = configuration(&[standing.ports.address], "", "");
+    let stand_in = quick_target().await;
+    stand_in.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
+    let mut configuration = configuration(&[stand_in.ports.address], "", "");
     configuration.kinds[0].deadline_ms = 60_000;
-    let mut single = Single::start(&configuration).await.expect("a process");
+    let mut single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
-    let held = tokio::spawn(async move { read(caller, 1).await });
-    until("it is begun", async || standing.target.ledger.entries().contains_key("1")).await;
+    let pending = tokio::spawn(async move { read(caller, 1).await });
+    wait_until("the target has begun the request", async || {
+        stand_in.target.ledger.entries().contains_key("1")
+    })
+    .await;
     single.entry.signal(Signal::TERM);
     let ended = timeout(Duration::from_secs(15), single.entry.wait()).await;
-    assert_eq!(ended.expect("it ends").expect("a status").code(), Some(3));
-    assert!(held.await.expect("no panic").is_err(), "its caller sees a broken connection");
+    assert_eq!(ended.expect("the process ends in time").expect("a status").code(), Some(3));
+    assert!(pending.await.expect("no panic").is_err(), "the connection to the caller is broken");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_waited_through_a_pause_is_not_sent_after_its_deadline() {
-    let standing = quick_target().await;
-    let configuration = configuration(&[standing.ports.address], "", "");
-    let single = Single::start(&configuration).await.expect("a process");
+    let stand_in = quick_target().await;
+    let configuration = configuration(&[stand_in.ports.address], "", "");
+    let single = SingleEntry::start(&configuration).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     assert_serves(caller, "before").await;
-    standing.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
-    let mut held = JoinSet::new();
+    stand_in.target.set_behaviour(Behaviour { fault: Fault::Frozen, ..Behaviour::default() });
+    let mut pending = JoinSet::new();
     for number in 0..3 {
-        held.spawn(
-            async move { ask(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await },
-        );
+        pending.spawn(async move {
+            send_request(caller, Method::POST, &format!("/w?nonce=h{number}"), "").await
+        });
     }
-    until("the target is full", async || standing.target.ledger.entries().len() == 4).await;
+    wait_until("the target is full", async || stand_in.target.ledger.entries().len() == 4).await;
     let waiting =
-        tokio::spawn(async move { ask(caller, Method::POST, "/w?nonce=waits", "").await });
+        tokio::spawn(async move { send_request(caller, Method::POST, "/w?nonce=waits", "").await });
     tokio::time::sleep(Duration::from_millis(200)).await;
     single.entry.signal(Signal::STOP);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    standing.target.set_behaviour(Behaviour::default());
+    stand_in.target.set_behaviour(Behaviour::default());
     tokio::time::sleep(Duration::from_millis(200)).await;
     single.entry.signal(Signal::CONT);
     let resumed = Instant::now();
     let answer = waiting.await.expect("no panic").expect("an answer");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.headers()["thymeshift-outcome"], "not_run");
-    assert!(resumed.elapsed() < Duration::from_secs(1), "told at once");
-    assert!(!standing.target.ledger.entries().contains_key("waits"), "and it did not run");
-    until("the pause was noticed", async || {
+    assert!(resumed.elapsed() < Duration::from_secs(1), "the refusal arrives immediately");
+    assert!(!stand_in.target.ledger.entries().contains_key("waits"), "the request did not run");
+    wait_until("the pause was noticed", async || {
         single.log().is_ok_and(|log| log.contains("event=process_was_paused"))
     })
     .await;
@@ -147,31 +159,33 @@
         has_random_service_time: false,
         ..Default::default()
     };
-    let standing = target(settings).await;
-    let good = configuration(&[standing.ports.address], "", "");
-    let mut single = Single::start(&good).await.expect("a process");
+    let stand_in = target(settings).await;
+    let good = configuration(&[stand_in.ports.address], "", "");
+    let mut single = SingleEntry::start(&good).await.expect("a process");
     let other = single.start_another("").await.expect("another process");
     let (caller, other_caller) = (
         single.entry.address("caller").expect("an address"),
         other.address("caller").expect("an address"),
     );
-    let mut held = JoinSet::new();
+    let mut pending = JoinSet::new();
     for number in 0..6 {
-        held.spawn(
-            async move { ask(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await },
-        );
+        pending.spawn(async move {
+            send_request(caller, Method::POST, &format!("/w?nonce=k{number}"), "").await
+        });
     }
-    until("some are begun", async || standing.target.ledger.entries().len() >= 3).await;
+    wait_until("some are begun", async || stand_in.target.ledger.entries().len() >= 3).await;
     single.entry.signal(Signal::KILL);
-    while let Some(answered) = held.join_next().await {
+    while let Some(answered) = pending.join_next().await {
         let answered = answered.expect("no panic");
-        assert!(answered.is_err(), "nobody is left who could answer");
+        assert!(answered.is_err(), "a killed process cannot answer");
     }
-    until("the other process serves", async || {
-        ask(other_caller, Method::GET, "/r", "").await.is_ok_and(|answer| answer.status() == 200)
+    wait_until("the other process serves", async || {
+        send_request(other_caller, Method::GET, "/r", "")
+            .await
+            .is_ok_and(|answer| answer.status() == 200)
     })
     .await;
-    let entries = standing.target.ledger.entries();
+    let entries = stand_in.target.ledger.entries();
     let unsafe_runs = entries.iter().filter(|(nonce, _)| nonce.starts_with('k'));
     assert!(unsafe_runs.clone().all(|(_, entry)| entry.begun == 1), "{entries:?}");
     assert!(unsafe_runs.count() >= 3);
