--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -176,7 +176,7 @@
 
     /// Returns whether a request may be sent to a target. An operator's order overrides the quarantine.
     pub(crate) fn verdict(&self, fingerprint: Fingerprint, now: Timestamp) -> Verdict {
-        match self.orders.holding(&OrderSubject::Request(fingerprint), now) {
+        match self.orders.in_effect(&OrderSubject::Request(fingerprint), now) {
             Some((OrderChange::Stop, left)) => Verdict::Refused(left),
             Some((OrderChange::Resume, _)) => Verdict::Free,
             None => self.quarantine.verdict(fingerprint, now),
--- a/crates/thymeshift_fleet/src/orders.rs
+++ b/crates/thymeshift_fleet/src/orders.rs
@@ -165,7 +165,7 @@
     }
 
     /// Returns the change and remaining lifetime of the order in effect for `subject`.
-    pub fn holding(
+    pub fn in_effect(
         &self,
         subject: &OrderSubject,
         now: Timestamp,
@@ -187,8 +187,8 @@
 
     /// Returns the orders in effect, with their remaining lifetimes.
     pub fn list(&self, now: Timestamp) -> Vec<Order> {
-        let holding = self.held.values().filter(|held| now < held.expires_at);
-        let with_time_left = holding.map(|held| Order {
+        let unexpired = self.held.values().filter(|held| now < held.expires_at);
+        let with_time_left = unexpired.map(|held| Order {
             expires_in_ms: now.until(held.expires_at).as_millis() as u64,
             ..held.order.clone()
         });
