--- a/crates/thymeshift_allocation/src/rank.rs
+++ b/crates/thymeshift_allocation/src/rank.rs
@@ -11,7 +11,7 @@
 use thymeshift_dispatch::RateShare;
 
 /// Share of a rate limit that the second allocator may grant. The share halves with each rank.
-const SECOND_SHARE: f64 = 0.25;
+const SECOND_ALLOCATOR_SHARE: f64 = 0.25;
 
 /// Rank of a process among the candidate allocators of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     pub fn rate_share(self) -> RateShare {
         let rank_share = match self.better_ranked {
             0 => 1.0,
-            better_ranked => 2.0 * SECOND_SHARE * (-(better_ranked as f64)).exp2(),
+            better_ranked => 2.0 * SECOND_ALLOCATOR_SHARE * (-(better_ranked as f64)).exp2(),
         };
         RateShare::new(rank_share * self.reachable as f64 / self.known.max(1) as f64)
     }
--- a/crates/thymeshift_allocation/tests/drained_order.rs
+++ b/crates/thymeshift_allocation/tests/drained_order.rs
@@ -52,10 +52,10 @@
     /// A process fetches the list that another process has in force.
     Fetch { process: usize, from: usize },
     /// A process requests a target from an allocator; the response is in transit afterwards.
-    Ask { process: usize, allocator: usize },
+    RequestTarget { process: usize, allocator: usize },
     /// A response in transit arrives. With `is_duplicate`, the response stays in transit and can
     /// arrive again.
-    AnswerArrives { place: usize, is_duplicate: bool },
+    AnswerArrives { index: usize, is_duplicate: bool },
     /// A process selects a target without an allocator.
     DecideLocally { process: usize },
     /// A process sends the request with its oldest grant.
@@ -72,8 +72,8 @@
             0 | 1 => Self::ToggleDrain { hall: any(g, HALLS.len()) },
             2 | 3 => Self::Read { process, changes_ago: any(g, 3) },
             4 => Self::Fetch { process, from: any(g, PROCESSES) },
-            5..=7 => Self::Ask { process, allocator: any(g, ALLOCATORS) },
-            8..=10 => Self::AnswerArrives { place: any(g, 4), is_duplicate: bool::arbitrary(g) },
+            5..=7 => Self::RequestTarget { process, allocator: any(g, ALLOCATORS) },
+            8..=10 => Self::AnswerArrives { index: any(g, 4), is_duplicate: bool::arbitrary(g) },
             11 => Self::DecideLocally { process },
             12..=14 => Self::Send { process },
             _ => Self::Restart { process },
@@ -101,9 +101,9 @@
     for hall in drained {
         writeln!(text, "- {{drained_hall: {}}}", HALLS[*hall]).expect("a string takes it");
     }
-    for (place, hall) in HALLS.iter().enumerate() {
+    for (index, hall) in HALLS.iter().enumerate() {
         for number in 0..TARGETS_PER_HALL {
-            let port = 1 + place * TARGETS_PER_HALL + number;
+            let port = 1 + index * TARGETS_PER_HALL + number;
             writeln!(
                 text,
                 "- {{service: s, slots: 2, name: {hall}{number}, address: '127.0.0.1:{port}', data_hall: {hall}}}"
@@ -213,8 +213,8 @@
         match step {
             Step::ToggleDrain { hall } => self.toggle_drain(hall),
             Step::Read { process, changes_ago } => {
-                let place = self.published.len().saturating_sub(1 + changes_ago);
-                let published = self.published[place].clone();
+                let index = self.published.len().saturating_sub(1 + changes_ago);
+                let published = self.published[index].clone();
                 self.processes[process].offer(&published, self.now);
             }
             Step::Fetch { process, from } => {
@@ -222,8 +222,8 @@
                     self.processes[process].offer(&published, self.now);
                 }
             }
-            Step::Ask { process, allocator } => self.ask(process, allocator),
-            Step::AnswerArrives { place, is_duplicate } => self.receive_answer(place, is_duplicate),
+            Step::RequestTarget { process, allocator } => self.request_target(process, allocator),
+            Step::AnswerArrives { index, is_duplicate } => self.receive_answer(index, is_duplicate),
             Step::DecideLocally { process } => self.decide_locally(process),
             Step::Send { process } => return self.send(process),
             Step::Restart { process } => self.processes[process] = Process::new(self.now),
@@ -233,8 +233,8 @@
 
     fn toggle_drain(&mut self, hall: usize) {
         match self.drained.iter().position(|drained| *drained == hall) {
-            Some(place) => {
-                self.drained.remove(place);
+            Some(index) => {
+                self.drained.remove(index);
             }
             None => self.drained.push(hall),
         }
@@ -242,7 +242,7 @@
         self.published.push(Published::new(revision, &list(&self.drained)));
     }
 
-    fn ask(&mut self, process: usize, allocator: usize) {
+    fn request_target(&mut self, process: usize, allocator: usize) {
         self.leases += 1;
         let key = LeaseKey { holder: process, number: self.leases };
         let request = self.request();
@@ -260,14 +260,14 @@
         }
     }
 
-    fn receive_answer(&mut self, place: usize, is_duplicate: bool) {
+    fn receive_answer(&mut self, index: usize, is_duplicate: bool) {
         if self.answers.is_empty() {
             return;
         }
-        let place = place % self.answers.len();
-        let answer = self.answers[place].clone();
+        let index = index % self.answers.len();
+        let answer = self.answers[index].clone();
         if !is_duplicate {
-            self.answers.remove(place);
+            self.answers.remove(index);
         }
         let process = &mut self.processes[answer.process];
         let granted = process.dispatcher.grant_target(&answer.target, None, self.now);
