--- a/crates/thymeshift_dispatch/src/admission.rs
+++ b/crates/thymeshift_dispatch/src/admission.rs
@@ -26,7 +26,7 @@
 /// Largest jitter of the retry-after time, as a share of that time:
 /// without jitter, refused callers would all retry at the same time.
 const RETRY_AFTER_JITTER: f64 = 1.0;
-/// Largest jitter for callers that are told to retry at the end of the same backoff.
+/// Largest jitter of the retry-after time for callers that wait for the end of the same backoff.
 const RETURN_JITTER_MAX: Duration = Duration::from_millis(500);
 
 /// Drain rate of one service at this VM, and the waits that follow from it.
--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -8,7 +8,7 @@
 //! would overload it. A data hall that comes back as a whole is the worst case:
 //! a quarter of the targets is idle and looks best to every VM.
 //!
-//! The process that allocates a target spaces its grants at the rate that the target bears.
+//! The process that allocates a target spaces its grants at the stated rate of a cold target.
 //! Two processes may allocate the same target for a short time.
 //! The part of the bound that these two leave is divided among all processes that may run, for
 //! processes in fallback. A process in fallback first waits one full interval,
@@ -42,7 +42,7 @@
 
 impl ColdIntervals {
     /// Returns the intervals of a service among up to `entry_vms_max` processes, or `None` if the
-    /// service does not state the rate that a cold target bears.
+    /// service does not state the request rate of a cold target.
     pub(crate) fn for_service(service: &Service, entry_vms_max: u64) -> Option<Self> {
         let rate = service.cold_requests_per_s?.in_1000_s();
         let bound = service.cold_bound_per_s.in_1000_s().max(rate);
--- a/crates/thymeshift_dispatch/src/concurrency.rs
+++ b/crates/thymeshift_dispatch/src/concurrency.rs
@@ -41,8 +41,7 @@
 const ASSUMED_SLOWDOWN_FACTOR: f64 = 1.3;
 /// Largest number of slots of which all are assumed to raise the throughput: one slot is then a
 /// third of the capacity or more, which costs more than slightly slower targets.
-/// Against a bound of two slots, three raise the score of rosters by 0.011 and lower
-/// that of tariff days by 0.001 (docs/DECISIONS.md).
+/// A bound of two would leave one of three slots unused until answer times are known.
 const ALL_SLOTS_ASSUMED_MAX: u32 = 3;
 /// Time without an answer after which the samples of a concurrency level are dropped.
 const LEVEL_TTL: Duration = Duration::from_secs(30);
@@ -131,7 +130,7 @@
     }
 
     /// Returns the marginal cost of one more request at a target that has `in_flight`: the time it
-    /// adds over all requests there, its own included, in units of the time of a lone request.
+    /// adds over all requests there, its own included, in units of the time of a single request.
     pub(crate) fn marginal_cost(&self, in_flight: u32, slots: u32, now: Timestamp) -> f64 {
         let level = in_flight + 1;
         let total = |level: u32| f64::from(level) * self.slowdown(level, slots, now);
@@ -139,7 +138,7 @@
         (total(level) - before).max(1.0)
     }
 
-    /// Returns the answer time among `level` requests as a multiple of that of a lone request.
+    /// Returns the answer time among `level` requests as a multiple of that of a single request.
     fn slowdown(&self, level: u32, slots: u32, now: Timestamp) -> f64 {
         let measured_step =
             || Some(self.known_us(level, now)? / self.known_us(level - 1, now)?.max(1.0));
--- a/crates/thymeshift_dispatch/src/decision.rs
+++ b/crates/thymeshift_dispatch/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions of a dispatcher, and the observations that it is given.
+//! Decisions of a dispatcher on requests, and the results of attempts that a dispatcher records.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     Refuse(Ticket, Refusal),
 }
 
-/// Result of an attempt, as far as it says something about the target.
+/// Result of an attempt, as evidence of the state of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
     /// The target answered, and the answer does not state a failure of the target itself.
--- a/crates/thymeshift_dispatch/src/dispatcher.rs
+++ b/crates/thymeshift_dispatch/src/dispatcher.rs
@@ -45,7 +45,7 @@
 use crate::table::TargetTable;
 
 /// Gap between two ticks above which the process counts as paused.
-/// The entry process calls [`Dispatcher::tick`] ten times as often.
+/// The entry process calls [`Dispatcher::tick`] ten times within this gap.
 const PAUSE_GAP_MAX: Duration = Duration::from_millis(500);
 
 /// Dispatcher of one service.
@@ -150,11 +150,11 @@
 
     /// Adopts the best number of concurrent requests from an allocator, so that this process need
     /// not measure it again when it takes over as the allocator.
-    pub fn adopt_concurrency(&mut self, number: u32) {
-        self.table.adopt_concurrency(number);
+    pub fn adopt_concurrency(&mut self, adopted: u32) {
+        self.table.adopt_concurrency(adopted);
     }
 
-    /// Returns the number of a data hall, for [`Request::origin`].
+    /// Returns the index of a data hall, for [`Request::origin`].
     pub fn hall_index(&mut self, name: &DataHallName) -> HallIndex {
         self.table.hall_index(name)
     }
--- a/crates/thymeshift_dispatch/src/halls.rs
+++ b/crates/thymeshift_dispatch/src/halls.rs
@@ -1,4 +1,4 @@
-//! Numbering of data halls, and the network cost between them.
+//! Indices of data halls, and the network cost between two halls.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 /// Answer length in KiB up to which the configured detour applies unscaled, about that of a page.
 const DETOUR_ANSWER_KIB: f64 = 8.0;
-/// Largest factor on the detour for long answers: callers of files wait for seconds.
+/// Largest factor on the detour for long answers: callers that download files wait for seconds.
 const DETOUR_LENGTH_FACTOR_MAX: f64 = 16.0;
 
-/// Number of a data hall within one dispatcher; 0 is the dispatcher's own data hall.
+/// Index of a data hall within one dispatcher; 0 is the dispatcher's own data hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HallIndex(u16);
 
-/// Names of the data halls seen so far, by number, and the network times between two halls.
+/// Names of the data halls seen so far, by index, and the network times between two halls.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Halls {
     names: Vec<DataHallName>,
@@ -22,7 +22,7 @@
 }
 
 impl Halls {
-    /// Sets the own hall as number 0, the one-way network time between two halls, and the detour:
+    /// Sets the own hall as index 0, the one-way network time between two halls, and the detour:
     /// how much longer an answer from the own hall may take before another hall is preferred.
     pub(crate) fn set(&mut self, own: &DataHallName, one_way: Duration, detour: Duration) {
         if self.names.first() != Some(own) {
@@ -32,7 +32,7 @@
         self.detour = detour;
     }
 
-    /// Returns the number of a data hall, and assigns the next free one to an unknown name.
+    /// Returns the index of a data hall, and assigns the next free index to an unknown name.
     pub(crate) fn index(&mut self, name: &DataHallName) -> HallIndex {
         let known = self.names.iter().position(|known| known == name);
         let index = known.unwrap_or_else(|| {
--- a/crates/thymeshift_dispatch/src/measuring.rs
+++ b/crates/thymeshift_dispatch/src/measuring.rs
@@ -19,7 +19,7 @@
 use thymeshift_types::Timestamp;
 
 /// Number of microseconds in a second.
-const SECOND_US: f64 = 1_000_000.0;
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
 /// Schedule of this VM's probes of one target, within its share of the probe time budget.
 #[derive(Debug, Clone)]
@@ -81,7 +81,7 @@
         if self.share_us_per_s <= 0.0 {
             return None;
         }
-        let micros = (cost_us / self.share_us_per_s * SECOND_US).ceil();
+        let micros = (cost_us / self.share_us_per_s * MICROS_PER_SECOND).ceil();
         Some(Duration::from_micros(micros as u64))
     }
 }
--- a/crates/thymeshift_dispatch/src/probe_pacing.rs
+++ b/crates/thymeshift_dispatch/src/probe_pacing.rs
@@ -3,7 +3,7 @@
 //! Keeps at least the allowed interval between the starts of two probes of a target, and doubles
 //! the interval with each consecutive probe without an answer.
 //!
-//! A probe just before a grant may come earlier. Up to [`EARLY_PROBES_MAX`] probes may be ahead of
+//! A probe just before a grant may be sent earlier. Up to [`EARLY_PROBES_MAX`] may be ahead of
 //! schedule; later probes are delayed for them, so that the rate holds over any longer time.
 //!
 //! Probing an unresponsive target again yields no information, and each attempt costs a connection.
--- a/crates/thymeshift_dispatch/src/slowness.rs
+++ b/crates/thymeshift_dispatch/src/slowness.rs
@@ -9,7 +9,7 @@
 //! reports no load and answers late is expected to answer late.
 //! The mean alone would also avoid every target that just had a short stall (a noisy neighbour),
 //! at all VMs at once and for longer than the stall.
-//! The share alone would take a steady small difference for a large one.
+//! The share alone would rate a target that is always slightly late as very slow.
 
 use std::time::Duration;
 
--- a/crates/thymeshift_dispatch/src/strategy/expected_time.rs
+++ b/crates/thymeshift_dispatch/src/strategy/expected_time.rs
@@ -19,7 +19,8 @@
 
 /// Number of random candidates compared for one request.
 ///
-/// `docs/DESIGN.md` lists the measurements that support this number of candidates.
+/// A larger sample chooses better for one VM, but VMs with similar stale load reports then choose
+/// the same targets. `docs/DESIGN.md` compares this strategy with the alternatives.
 const SAMPLE_SIZE: usize = 4;
 
 /// Chooses the candidate with the smallest expected response time.
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -46,7 +46,7 @@
 /// Every other process may be in fallback at the same time.
 const FALLBACK_IN_FLIGHT_MAX: u32 = 1;
 
-/// Number of targets for each one that explores another concurrency level.
+/// Number of targets among which one explores a higher and another one a lower concurrency level.
 /// The answers of one target suffice within a second or two,
 /// and its share of the requests bounds the cost of exploring.
 const TARGETS_PER_EXPLORER: usize = 8;
@@ -66,7 +66,7 @@
 /// Number of levels with a marginal cost of their own; the last also covers higher levels.
 const MARGINAL_COST_LEVELS: usize = 8;
 /// Marginal cost of one more request at a target, by the requests in flight there.
-/// The unit is the answer time of a lone request.
+/// The unit is the answer time of a single request at an idle target.
 pub(crate) type MarginalCosts = [f64; MARGINAL_COST_LEVELS];
 
 /// Targets of one service, and the estimates that they share.
@@ -75,7 +75,7 @@
     targets: Vec<Target>,
     /// Indices of the targets that are not removed, by name.
     /// A linear search takes 25.6 s to insert 15,000 targets and update them four times,
-    /// the map 1.3 s (both without optimisation).
+    /// the map 1.3 s, both in an unoptimised build.
     indices: HashMap<TargetName, TargetIndex>,
     /// Retained state of targets that are currently not listed.
     unlisted: UnlistedTargets,
@@ -269,7 +269,7 @@
         &self.halls
     }
 
-    /// Returns the number of a data hall.
+    /// Returns the index of a data hall; an unknown name gets the next free index.
     pub(crate) fn hall_index(&mut self, name: &DataHallName) -> HallIndex {
         self.halls.index(name)
     }
--- a/crates/thymeshift_dispatch/src/target_state/capacity.rs
+++ b/crates/thymeshift_dispatch/src/target_state/capacity.rs
@@ -117,7 +117,7 @@
 
     /// Returns `in_flight_max` less the reported requests that this process does not track, because
     /// another process may allocate the target too, or be in fallback.
-    /// However many those are, one request is allowed at each [`FULL_TARGET_TRIAL_INTERVAL`].
+    /// One request per [`FULL_TARGET_TRIAL_INTERVAL`] is allowed regardless of untracked requests.
     fn untracked_deducted(&self, in_flight_max: u32, now: Timestamp) -> u32 {
         let is_tried_long_ago = now.since(self.granted_at) >= FULL_TARGET_TRIAL_INTERVAL;
         let least = u32::from(is_tried_long_ago);
--- a/crates/thymeshift_dispatch/src/unlisted.rs
+++ b/crates/thymeshift_dispatch/src/unlisted.rs
@@ -1,7 +1,7 @@
-//! Retained statements of targets that are temporarily missing from the configuration.
+//! Leaving marks and backoffs of targets that are temporarily missing from the configuration.
 //!
-//! An entry may lapse while the source is unreachable, and come back for the same incarnation.
-//! The statements of a target hold until a later incarnation.
+//! The entry of a target may expire while the source is unreachable, and be listed again for the
+//! same incarnation. Its leaving mark and backoff apply until a later incarnation is listed.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::target_state::Target;
 
 /// Time for which an unlisted target's leaving mark is retained, longer
-/// than an entry takes to come back after the source has returned.
+/// than a target takes to be listed again after the source has recovered.
 const LEAVING_TTL: Duration = Duration::from_mins(10);
 
 /// Retained state by the name of each unlisted target.
--- a/crates/thymeshift_dispatch/tests/budgets.rs
+++ b/crates/thymeshift_dispatch/tests/budgets.rs
@@ -20,7 +20,7 @@
 use crate::support::ms;
 
 const BUDGET_US_PER_S: u64 = 20_000;
-const COST_US: u64 = 6_000;
+const PROBE_COST_US: u64 = 6_000;
 const VMS_MAX: u64 = 5;
 
 /// What happens to one VM of the fleet within a time step of 50 ms.
@@ -53,11 +53,11 @@
 }
 
 fn new_share(now: Timestamp, phase: f64) -> MeasuringShare {
-    MeasuringShare::new(BUDGET_US_PER_S, COST_US, VMS_MAX, now, phase)
+    MeasuringShare::new(BUDGET_US_PER_S, PROBE_COST_US, VMS_MAX, now, phase)
 }
 
-/// Plays the events and returns two results: the target time that the probes of all VMs take, in
-/// microseconds, and the duration of the simulated run.
+/// Simulates the events and returns two results: the target time that the probes of all VMs take,
+/// in microseconds, and the duration of the simulated run.
 fn spent_us(events: &[Event]) -> (u64, Duration) {
     let step = ms(50);
     let mut vms: Vec<Vm> = (0..VMS_MAX)
@@ -84,7 +84,8 @@
                 continue;
             }
             while vm.share.try_begin(now) {
-                let taken_us = if index == chosen { slow_us.max(COST_US) } else { COST_US };
+                let taken_us =
+                    if index == chosen { slow_us.max(PROBE_COST_US) } else { PROBE_COST_US };
                 spent += taken_us;
                 vm.share.charge_overrun(Duration::from_micros(taken_us));
             }
@@ -131,7 +132,7 @@
     let (spent, elapsed) = spent_us(&events);
     let budget = BUDGET_US_PER_S as f64 * elapsed.as_secs_f64();
     assert!(spent as f64 > 0.9 * budget, "{spent} of {budget}");
-    let mut none = MeasuringShare::new(0, COST_US, VMS_MAX, START, 0.0);
+    let mut none = MeasuringShare::new(0, PROBE_COST_US, VMS_MAX, START, 0.0);
     assert_eq!(none.next_at(), None);
     assert!(!none.try_begin(START + Duration::from_hours(1)));
 }
@@ -222,7 +223,7 @@
     ];
     for Case { note, is_answered, taken_ms, probes_min, probes_max } in cases {
         let mut pacing = ProbePacing::default();
-        let mut begun = 0;
+        let mut probe_count = 0;
         let mut ends_ms = None;
         for now_ms in (0..10_000).step_by(CHECK_INTERVAL_MS as usize) {
             if ends_ms.is_some_and(|ends_ms| now_ms >= ends_ms) {
@@ -231,11 +232,14 @@
             }
             if pacing.try_begin(INTERVAL, Timestamp::from_millis(1_000 + now_ms)) {
                 assert!(ends_ms.is_none(), "{note}: one probe at a time");
-                begun += 1;
+                probe_count += 1;
                 ends_ms = Some(now_ms + taken_ms);
             }
         }
-        assert!((probes_min..=probes_max).contains(&begun), "{note}: {begun} probes in 10 s");
+        assert!(
+            (probes_min..=probes_max).contains(&probe_count),
+            "{note}: {probe_count} probes in 10 s"
+        );
     }
 }
 
@@ -246,7 +250,7 @@
     fn holds(actions: Vec<u8>) -> bool {
         let interval = ms(48);
         let mut pacing = ProbePacing::default();
-        let mut begun = Vec::new();
+        let mut probe_steps = Vec::new();
         for (step, action) in actions.iter().cycle().take(4_000).enumerate() {
             let now = START + ms(step as u64);
             let may_begin = match action % 3 {
@@ -256,12 +260,12 @@
             };
             if may_begin {
                 pacing.finish(true);
-                begun.push(step);
+                probe_steps.push(step);
             }
         }
         // In any time window: one probe per 48 ms and at most eight more.
-        begun.iter().enumerate().all(|(first, from)| {
-            begun
+        probe_steps.iter().enumerate().all(|(first, from)| {
+            probe_steps
                 .iter()
                 .enumerate()
                 .skip(first)
--- a/crates/thymeshift_dispatch/tests/fleet_view.rs
+++ b/crates/thymeshift_dispatch/tests/fleet_view.rs
@@ -533,8 +533,8 @@
     let mut rng = rng();
     for (origin, halls) in [(remote_hall, [2, 3]), (HallIndex::default(), [0, 1])] {
         for _ in 0..2 {
-            let wanted = Request { origin, ..request(1, at(500)) };
-            let grant = expect_grant(&mut dispatcher, wanted, at(0), &mut rng);
+            let routed = Request { origin, ..request(1, at(500)) };
+            let grant = expect_grant(&mut dispatcher, routed, at(0), &mut rng);
             let chosen = dispatcher.target_name(&grant);
             assert!(halls.map(target_name).contains(&chosen), "{chosen} for {origin:?}");
         }
--- a/crates/thymeshift_dispatch/tests/long_answers.rs
+++ b/crates/thymeshift_dispatch/tests/long_answers.rs
@@ -43,8 +43,8 @@
         // Requests take 200 ms, so that a second request at a local target costs more than routing
         // a request with a short answer to the other hall.
         for step in 0..40 {
-            let wanted = request(1, at(100_000));
-            let grant = expect_grant(&mut dispatcher, wanted, at(step * 200), &mut rng);
+            let routed = request(1, at(100_000));
+            let grant = expect_grant(&mut dispatcher, routed, at(step * 200), &mut rng);
             let answered = thymeshift_dispatch::Observation::Answered(Some(support::report(0, 0)));
             dispatcher.record_attempt(&grant, answered, at(step * 200 + 200));
             dispatcher.release(grant, at(step * 200 + 200));
@@ -53,8 +53,8 @@
         let mut crossed = 0;
         let mut grants = Vec::new();
         for _ in 0..6 {
-            let wanted = Request { answer_kib, ..request(1, at(100_000)) };
-            let grant = expect_grant(&mut dispatcher, wanted, now, &mut rng);
+            let routed = Request { answer_kib, ..request(1, at(100_000)) };
+            let grant = expect_grant(&mut dispatcher, routed, now, &mut rng);
             let chosen = dispatcher.target_name(&grant);
             crossed += usize::from(chosen == target_name(2) || chosen == target_name(3));
             grants.push(grant);
--- a/crates/thymeshift_dispatch/tests/lost_halls.rs
+++ b/crates/thymeshift_dispatch/tests/lost_halls.rs
@@ -35,36 +35,40 @@
 
 /// Outcomes of the requests of one second.
 #[derive(Debug, Default)]
-struct Played {
+struct Outcomes {
     /// Number of attempts per target.
     tried: BTreeMap<TargetName, u32>,
     /// Number of requests without a target in this hall; they may be routed to another hall.
     redirected: u32,
 }
 
-/// Plays one second of requests in which every attempt ends with `observation`.
-fn play(dispatcher: &mut TestDispatcher, observation: Observation, rng: &mut SmallRng) -> Played {
-    let mut played = Played::default();
+/// Simulates one second of requests in which every attempt ends with `observation`.
+fn simulate_one_second(
+    dispatcher: &mut TestDispatcher,
+    observation: Observation,
+    rng: &mut SmallRng,
+) -> Outcomes {
+    let mut outcomes = Outcomes::default();
     for step in 0..REQUESTS {
         let now = at(step * 5);
         let at_once = Request { queue_max: 0, ..request(1, at(5_000)) };
         if dispatcher.spare_capacity(now) == 0 {
-            played.redirected += 1;
+            outcomes.redirected += 1;
         } else if let Decision::Send(grant) = dispatcher.request(at_once, now, rng) {
-            *played.tried.entry(dispatcher.target_name(&grant)).or_default() += 1;
+            *outcomes.tried.entry(dispatcher.target_name(&grant)).or_default() += 1;
             dispatcher.record_attempt(&grant, observation, now);
             dispatcher.release(grant, now);
         }
     }
-    played
+    outcomes
 }
 
 #[test]
 fn each_target_that_cannot_be_reached_is_tried_once_and_then_requests_are_redirected() {
-    let played = play(&mut allocating(true), Observation::Unreachable, &mut rng());
-    assert_eq!(played.tried.len(), TARGETS);
-    assert!(played.tried.values().all(|tried| *tried == 1), "{played:?}");
-    assert_eq!(u64::from(played.redirected), REQUESTS - TARGETS as u64);
+    let outcomes = simulate_one_second(&mut allocating(true), Observation::Unreachable, &mut rng());
+    assert_eq!(outcomes.tried.len(), TARGETS);
+    assert!(outcomes.tried.values().all(|tried| *tried == 1), "{outcomes:?}");
+    assert_eq!(u64::from(outcomes.redirected), REQUESTS - TARGETS as u64);
 }
 
 #[test]
@@ -80,8 +84,8 @@
     ];
     for Case { note, observation } in cases {
         let mut dispatcher = allocating(false);
-        let played = play(&mut dispatcher, observation, &mut rng());
-        assert_eq!(played.redirected, 0, "{note}");
+        let outcomes = simulate_one_second(&mut dispatcher, observation, &mut rng());
+        assert_eq!(outcomes.redirected, 0, "{note}");
         let dump = dispatcher.dump(at(REQUESTS * 5));
         let ejected = dump.targets.iter().filter(|target| target.ejected_for_ms.is_some()).count();
         assert!(ejected * 100 <= TARGETS * 34, "{note}: {ejected} of {TARGETS} are ejected");
@@ -92,7 +96,7 @@
 fn targets_that_are_reachable_again_are_used_as_before() {
     let mut dispatcher = allocating(true);
     let mut rng = rng();
-    play(&mut dispatcher, Observation::Unreachable, &mut rng);
+    simulate_one_second(&mut dispatcher, Observation::Unreachable, &mut rng);
     let mut used = 0;
     for step in 0..REQUESTS {
         let now = at(2_500 + step * 5);
--- a/crates/thymeshift_dispatch/tests/many_targets.rs
+++ b/crates/thymeshift_dispatch/tests/many_targets.rs
@@ -17,7 +17,7 @@
 const TARGETS: usize = 15_000;
 /// Upper bound on the run time. Far above 10 ms per 1,000 targets and list change, and far below the
 /// minute that comparing every target with every other one takes in an unoptimised build.
-const LIMIT: Duration = Duration::from_secs(8);
+const RUN_TIME_MAX: Duration = Duration::from_secs(8);
 const START: Timestamp = Timestamp::from_millis(1_000);
 
 /// Configuration of one service with the targets `from..to`.
@@ -38,7 +38,7 @@
 #[test]
 fn a_long_target_list_is_applied_and_changed_within_the_limit() {
     let (before, after) = (configuration(0, TARGETS), configuration(100, TARGETS + 100));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut dispatcher: Dispatcher<AnyStrategy> =
         Dispatcher::configured(&before, &before.services[0], &local_hall(), START);
     for step in 0..4 {
@@ -48,8 +48,8 @@
     for index in 100..TARGETS {
         dispatcher.record_probe(&target_name(index), report(0, 0), START);
     }
-    let taken = begun.elapsed();
-    assert!(taken < LIMIT, "{taken:?}");
+    let taken = started_at.elapsed();
+    assert!(taken < RUN_TIME_MAX, "{taken:?}");
     assert_eq!(dispatcher.probe_targets(START).count(), TARGETS);
     assert!(dispatcher.index_of(&target_name(0)).is_some());
     assert!(dispatcher.index_of(&target_name(TARGETS)).is_none());
--- a/crates/thymeshift_dispatch/tests/probe_budget.rs
+++ b/crates/thymeshift_dispatch/tests/probe_budget.rs
@@ -14,14 +14,14 @@
     fn probes_never_exceed_what_requests_have_earned(steps: Vec<(bool, u8)>) -> bool {
         let mut budget = ProbeBudget::default();
         let (mut requests, mut probes) = (0, 0);
-        for (is_request, wanted) in steps {
+        for (is_request, requested) in steps {
             if is_request {
                 budget.record_request();
                 requests += 1;
             } else {
-                let begun = usize::from(wanted).min(budget.available());
-                budget.spend(begun);
-                probes += begun;
+                let started = usize::from(requested).min(budget.available());
+                budget.spend(started);
+                probes += started;
             }
         }
         probes <= INITIAL_PROBES + PROBES_PER_REQUEST * requests
--- a/crates/thymeshift_dispatch/tests/probes_before_grants.rs
+++ b/crates/thymeshift_dispatch/tests/probes_before_grants.rs
@@ -27,26 +27,26 @@
 
 const TARGETS: usize = 40;
 /// Share of the targets that are in a slow spell at any time.
-const SLOW_PERCENT: u32 = 30;
+const SLOW_TARGETS_PERCENT: u32 = 30;
 /// Pace of a target during a slow spell; 100 is the usual pace.
 const SLOW_PACE_PERCENT: u32 = 500;
-const SPELL_MS: u64 = 150;
+const SLOW_SPELL_MS: u64 = 150;
 /// Response time of a request at the usual pace.
-const WORK_MS: u64 = 120;
+const RESPONSE_TIME_MS: u64 = 120;
 /// Response time above which an answer counts as late.
 const OBJECTIVE_MS: u64 = 300;
 /// Interval between two requests; at this rate, about three fifths of the targets are in use.
 const REQUEST_INTERVAL_MS: u64 = 5;
-const PLAYED_MS: u64 = 20_000;
+const SIMULATED_MS: u64 = 20_000;
 /// Shortest interval between two probes of a target that the probe budget allows.
 const PROBE_INTERVAL: Duration = Duration::from_millis(48);
 
 /// Returns the pace of requests that start at a target at `now_ms`. A pace of 200 percent doubles the
 /// usual response time.
 fn pace_percent(target: usize, now_ms: u64) -> u32 {
-    let spell = now_ms / SPELL_MS;
+    let spell = now_ms / SLOW_SPELL_MS;
     let seed = (target as u64) << 32 | spell;
-    let is_slow = SmallRng::seed_from_u64(seed).random_range(0..100) < SLOW_PERCENT;
+    let is_slow = SmallRng::seed_from_u64(seed).random_range(0..100) < SLOW_TARGETS_PERCENT;
     if is_slow { SLOW_PACE_PERCENT } else { 100 }
 }
 
@@ -100,8 +100,8 @@
     probes_per_target_s: f64,
 }
 
-/// Simulates [`PLAYED_MS`] of requests, with or without probes just before each grant.
-fn play(probes_before_grants: bool) -> Played {
+/// Simulates [`SIMULATED_MS`] of requests, with or without probes just before each grant.
+fn simulate(probes_before_grants: bool) -> Played {
     let mut rng = SmallRng::seed_from_u64(8);
     let mut fleet = Fleet {
         dispatcher: dispatcher(&configuration(TARGETS, TARGETS, "")),
@@ -111,7 +111,7 @@
     fleet.dispatcher.set_view(View::Fleet);
     let mut running: Vec<(u64, usize, thymeshift_dispatch::Grant)> = Vec::new();
     let (mut requests, mut late) = (0_u32, 0_u32);
-    for now_ms in 0..PLAYED_MS {
+    for now_ms in 0..SIMULATED_MS {
         let now: Timestamp = at(now_ms);
         for (_, target, grant) in running.extract_if(.., |(ends_ms, ..)| *ends_ms <= now_ms) {
             let answer = Observation::Answered(Some(reported(target, now_ms)));
@@ -135,14 +135,14 @@
                 let chosen = fleet.dispatcher.target_name(&grant);
                 let target =
                     (0..TARGETS).find(|target| target_name(*target) == chosen).expect("a target");
-                let takes_ms = WORK_MS * u64::from(pace_percent(target, now_ms)) / 100;
+                let takes_ms = RESPONSE_TIME_MS * u64::from(pace_percent(target, now_ms)) / 100;
                 late += u32::from(takes_ms > OBJECTIVE_MS);
                 running.push((now_ms + takes_ms, target, grant));
             }
             _ => late += 1,
         }
     }
-    let seconds = PLAYED_MS as f64 / 1_000.0;
+    let seconds = SIMULATED_MS as f64 / 1_000.0;
     Played {
         late_percent: f64::from(late) * 100.0 / f64::from(requests),
         probes_per_target_s: f64::from(fleet.probes) / TARGETS as f64 / seconds,
@@ -151,8 +151,8 @@
 
 #[test]
 fn probes_just_before_a_grant_halve_the_late_answers_within_the_same_budget() {
-    let without = play(false);
-    let with = play(true);
+    let without = simulate(false);
+    let with = simulate(true);
     let figures = format!(
         "late {:.2}% -> {:.2}%, probes per target and second {:.1} -> {:.1}",
         without.late_percent,
--- a/crates/thymeshift_dispatch/tests/waiting.rs
+++ b/crates/thymeshift_dispatch/tests/waiting.rs
@@ -91,8 +91,8 @@
         let tickets: Vec<Ticket> = waiting
             .iter()
             .map(|(rank, until)| {
-                let wanted = Request { objective: at(*until), ..request(*rank, at(9_000)) };
-                wait(&mut dispatcher, wanted, 0)
+                let queued = Request { objective: at(*until), ..request(*rank, at(9_000)) };
+                wait(&mut dispatcher, queued, 0)
             })
             .collect();
         let expected: Vec<Ticket> = expected.iter().map(|index| tickets[*index]).collect();
