--- a/crates/thymeshift_organisations/src/holder.rs
+++ b/crates/thymeshift_organisations/src/holder.rs
@@ -60,7 +60,7 @@
     tokens: u32,
     tokens_expire_at: Timestamp,
     refusal: Option<Refusal>,
-    asked_at: Option<Timestamp>,
+    requested_at: Option<Timestamp>,
     /// End of the fallback period, in which no counter is asked.
     fallback_until: Option<Timestamp>,
     /// Own share of the quota, admitted while no counter is reachable.
@@ -80,7 +80,7 @@
             tokens: 0,
             tokens_expire_at: now,
             refusal: None,
-            asked_at: None,
+            requested_at: None,
             fallback_until: None,
             own_share: TokenBucket::new(own_rate_per_s, 1.0, 1.0, now),
             demand: Demand::new(DEMAND_TIME_CONSTANT, now),
@@ -120,16 +120,16 @@
         if let Some(refusal) = self.refusal.filter(|refusal| now < refusal.until) {
             return Admission::Refused(now.until(refusal.retry_at));
         }
-        if self.asked_at.is_some_and(|at| now.since(at) < ANSWER_TIMEOUT) {
+        if self.requested_at.is_some_and(|at| now.since(at) < ANSWER_TIMEOUT) {
             return Admission::AnswerPending;
         }
-        self.asked_at = Some(now);
+        self.requested_at = Some(now);
         Admission::Ask { wanted: self.batch_size(now), arrived: std::mem::take(&mut self.arrived) }
     }
 
     /// Applies a response of the counter.
     pub fn apply_grant(&mut self, grant: &TokenGrant, now: Timestamp) {
-        self.asked_at = None;
+        self.requested_at = None;
         self.fallback_until = None;
         if let Some(rate_per_s) = grant.own_rate_per_s {
             self.set_own_share_rate(rate_per_s, now);
@@ -146,7 +146,7 @@
 
     /// Starts the fallback period, because no counter has responded.
     pub fn start_fallback(&mut self, now: Timestamp) {
-        self.asked_at = None;
+        self.requested_at = None;
         self.fallback_until = Some(now + FALLBACK_DURATION);
     }
 
