--- a/crates/thymeshift_supervisor/tests/tree.rs
+++ b/crates/thymeshift_supervisor/tests/tree.rs
@@ -22,7 +22,7 @@
     Ends,
 }
 
-/// Creates a task that ends as `behaviour` says in its first `failing_starts` runs,
+/// Creates a task that ends as `behaviour` specifies in its first `failing_starts` runs,
 /// then runs forever. Each start increments `starts`.
 fn task(
     restart: RestartPolicy,
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn a_task_that_may_end_is_left_alone() {
+async fn a_task_that_may_finish_is_not_restarted() {
     let starts = Arc::new(AtomicUsize::new(0));
     let tree = Supervisor::new("root", Statuses::default()).with_task(task(
         RestartPolicy::on_failure(),
