--- a/crates/thymeshift_dispatch/src/cold_start.rs
+++ b/crates/thymeshift_dispatch/src/cold_start.rs
@@ -1,11 +1,11 @@
 //! Slow start of cold targets: their share of the requests rises step by step.
 //!
-//! A target is cold for a while after it appeared, after its data hall was taken back, or after it
+//! A target is cold for a while after it appeared, after its data hall was undrained, or after it
 //! reported that it is cold. Its expected time is then multiplied by a factor that falls to 1.
 //! A service may state the request rate of a cold target, and cold targets then get no more.
 //!
 //! A target that has just started reports no load and answers slowly, so that all VMs together
-//! would overload it. A data hall that comes back as a whole is the worst case:
+//! would overload it. A whole data hall that returns to service is the worst case:
 //! a quarter of the targets is idle and looks best to every VM.
 //!
 //! The process that allocates a target spaces its grants at the stated rate of a cold target.
--- a/crates/thymeshift_dispatch/src/decision.rs
+++ b/crates/thymeshift_dispatch/src/decision.rs
@@ -25,7 +25,7 @@
 
 /// Refusal of a request before a target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("refused: {reason}, come back after {retry_after:?}")]
+#[display("refused: {reason}; retry after {retry_after:?}")]
 pub struct Refusal {
     /// Reason that the caller and the log line receive.
     pub reason: Reason,
--- a/crates/thymeshift_dispatch/src/table.rs
+++ b/crates/thymeshift_dispatch/src/table.rs
@@ -375,7 +375,7 @@
             let known = self.get_mut(index);
             let is_same =
                 known.address == listed.address && known.incarnation >= listed.incarnation;
-            // An earlier incarnation never comes back, at whatever address it ran.
+            // A list entry for an earlier incarnation is outdated, whatever its address is.
             let is_earlier = listed.incarnation < known.listed_incarnation;
             if is_same || is_earlier {
                 known.listed_incarnation = known.listed_incarnation.max(listed.incarnation);
--- a/crates/thymeshift_dispatch/src/target_state.rs
+++ b/crates/thymeshift_dispatch/src/target_state.rs
@@ -68,7 +68,7 @@
     /// Whether an operator's order stops new work for the target.
     pub(crate) is_stopped: bool,
     /// Whether the target's data hall is drained,
-    /// which stops new work until the hall is taken back.
+    /// which stops new work until the hall is undrained.
     is_hall_drained: bool,
     /// Cold time in the last configuration, in milliseconds.
     listed_cold_for_ms: Option<u64>,
@@ -156,7 +156,7 @@
     }
 
     /// Sets whether the target's data hall is drained.
-    /// Targets of a hall that is taken back may have become cold,
+    /// Targets of a hall that is undrained may have become cold,
     /// and count as cold until they report otherwise.
     pub(crate) fn set_hall_drained(&mut self, is_drained: bool, now: Timestamp) {
         if self.is_hall_drained && !is_drained {
