--- a/crates/thymeshift_lab/src/experiment/children.rs
+++ b/crates/thymeshift_lab/src/experiment/children.rs
@@ -191,8 +191,8 @@
     pairs.collect()
 }
 
-/// Returns the path of another program of this workspace, in the build folder of the running
-/// program.
+/// Returns the path of another program of this workspace, which is expected in the build folder of
+/// the running program.
 pub fn sibling_program(name: &str) -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     // Cargo puts test programs into `deps`, one folder below the other programs.
--- a/crates/thymeshift_lab/src/experiment/violations.rs
+++ b/crates/thymeshift_lab/src/experiment/violations.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Counts the promises that a load broke, from its results and the targets' ledgers.
+/// Counts the promises broken under a load, from the results of the load and the targets' ledgers.
 /// `unsafe_kinds` are the names of the kinds whose requests must not run twice.
 pub fn count_violations(
     result: &LoadResult,
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Command-line program that runs stand-ins, load and experiments as processes. `--help` lists its
-//! commands.
+//! Command-line program that runs stand-ins, load and experiments as processes.
+//! `thymeshift-lab --help` lists its commands.
 
 mod arguments;
 
