--- a/crates/thymeshift_lab/src/load/closed.rs
+++ b/crates/thymeshift_lab/src/load/closed.rs
@@ -1,5 +1,5 @@
-//! Closed loop: each of some connections sends its next request when it has its answer.
-//! Shows capacity, not latency.
+//! Closed-loop load: each connection sends its next request when it has received the answer to
+//! its previous one. Closed-loop load measures capacity; its latencies are not meaningful.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,11 +10,12 @@
 
 use tokio::task::JoinSet;
 
+use crate::load::CallResult;
 use crate::load::KindLoad;
-use crate::load::Told;
 use crate::load::caller::Callers;
 
-/// Complete answers within `duration` over `connections` connections.
+/// Runs a closed loop for `duration` over `connections` connections and returns the number of
+/// complete, correct answers.
 pub async fn run_closed(
     address: SocketAddr,
     kind: &KindLoad,
@@ -29,7 +30,7 @@
         let (answered, callers, kind) = (answered.clone(), callers.clone(), kind.clone());
         loops.spawn(async move {
             while Instant::now() < end {
-                if callers.call(address, &kind, "0").await == Told::Answered {
+                if callers.call(address, &kind, "0").await == CallResult::Answered {
                     answered.fetch_add(1, Ordering::Relaxed);
                 }
             }
--- a/crates/thymeshift_lab/src/main.rs
+++ b/crates/thymeshift_lab/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs stand-ins, load and experiments as processes. See `--help`.
+//! Command-line program that runs stand-ins, load and experiments as processes. `--help` lists its
+//! commands.
 
 mod arguments;
 
@@ -13,13 +14,13 @@
 use thymeshift_lab::experiment;
 use thymeshift_lab::experiment::ConfigurationSize;
 use thymeshift_lab::experiment::ControlCost;
-use thymeshift_lab::experiment::Row;
 use thymeshift_lab::experiment::ScenarioPlan;
+use thymeshift_lab::experiment::ScenarioRow;
 use thymeshift_lab::experiment::SoakPlan;
 use thymeshift_lab::load;
 use thymeshift_lab::replay;
 use thymeshift_lab::standin::Platform;
-use thymeshift_lab::standin::Running;
+use thymeshift_lab::standin::ServerHandle;
 use thymeshift_lab::standin::Target;
 
 use crate::arguments::Command;
@@ -30,8 +31,8 @@
 fn main() -> ExitCode {
     let command = match arguments::parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
-        Err(mistake) => {
-            eprintln!("thymeshift-lab: {mistake}\nTry 'thymeshift-lab --help'.");
+        Err(error) => {
+            eprintln!("thymeshift-lab: {error}\nTry 'thymeshift-lab --help'.");
             return ExitCode::from(2);
         }
     };
@@ -51,10 +52,10 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Platform => {
-            single_thread(async { stand(Platform::new().start(free()).await?).await })
+            single_thread(async { serve(Platform::new().start(any_port()).await?).await })
         }
         Command::Target(settings) => {
-            single_thread(async { stand(Target::new(settings).start(free()).await?).await })
+            single_thread(async { serve(Target::new(settings).start(any_port()).await?).await })
         }
         Command::Load { plan, json } => many_threads(async {
             let result = load::run(plan).await;
@@ -97,12 +98,13 @@
     }
 }
 
-fn free() -> SocketAddr {
+fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Says where a stand-in listens and keeps it running until the process is killed.
-async fn stand(running: Running) -> Result<ExitCode, Failure> {
+/// Prints the addresses on which a stand-in listens and keeps it running until the process is
+/// killed.
+async fn serve(running: ServerHandle) -> Result<ExitCode, Failure> {
     println!("listening data={} control={}", running.address, running.control);
     std::future::pending::<()>().await;
     Ok(ExitCode::SUCCESS)
@@ -114,14 +116,15 @@
     println!("platform, 38 targets, {entries} entry processes, load for {seconds} s");
     let demo = experiment::demo(folder, entries, Duration::from_secs(seconds)).await?;
     print!("{}", demo.result);
-    println!("{}", demo.judgement);
+    println!("{}", demo.violations);
     println!("logs, JSON and plot: {}", folder.display());
-    Ok(if demo.judgement.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if demo.violations.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Runs seeds one after the other; the exit code says whether all were clean.
+/// Runs a soak for each seed, one after the other. The exit code is a failure if any seed broke a
+/// promise.
 async fn soak(seeds: Range<u64>, entries: usize, seconds: u64) -> Result<ExitCode, Failure> {
-    let mut red = Vec::new();
+    let mut failed_seeds = Vec::new();
     let count = seeds.end - seeds.start;
     for seed in seeds {
         let duration = Duration::from_secs(seconds);
@@ -129,16 +132,16 @@
         let soak = experiment::soak(SoakPlan { seed, entries, duration, folder }).await?;
         println!("{soak}");
         if !soak.is_clean() {
-            red.push(seed);
+            failed_seeds.push(seed);
         }
     }
-    println!("{} of {count} seeds clean; red: {red:?}", count - red.len() as u64);
-    Ok(if red.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{} of {count} seeds clean; red: {failed_seeds:?}", count - failed_seeds.len() as u64);
+    Ok(if failed_seeds.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 async fn scenarios(plan: ScenarioPlan) -> Result<ExitCode, Failure> {
     let mut rows = Vec::new();
-    println!("{}", Row::head());
+    println!("{}", ScenarioRow::table_header());
     let measured = experiment::scenarios(&plan, |row| {
         println!("{row}");
         rows.push(row.to_json());
@@ -151,7 +154,7 @@
 }
 
 async fn control_cost(entries: Vec<usize>, size: ConfigurationSize) -> Result<ExitCode, Failure> {
-    println!("{}", ControlCost::head());
+    println!("{}", ControlCost::table_header());
     for count in entries {
         let folder = Path::new("out/control-cost").join(count.to_string());
         println!("{}", experiment::control_cost(&folder, count, size).await?);
--- a/crates/thymeshift_lab/src/replay/fleet/process.rs
+++ b/crates/thymeshift_lab/src/replay/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the model, with the dispatchers and state that a real one has.
+//! Simulated process, with the dispatchers and allocator of a real process.
 
 use std::collections::BTreeMap;
 
@@ -16,42 +16,45 @@
 
 use crate::replay::fleet::Call;
 
-/// How long an allocator that did not answer is passed over the first time, in milliseconds, and
-/// how often that doubles.
+/// Time for which an allocator is passed over after its first timeout, in milliseconds.
 const PASSED_OVER_MS: u64 = 500;
+/// Maximum number of times that consecutive timeouts double `PASSED_OVER_MS`.
 const DOUBLINGS_MAX: u32 = 4;
 
-/// The group of targets as the process that allocates it sees it.
+/// State that a process keeps for a group of targets while it acts as their allocator.
 pub(super) struct GroupState {
     pub(super) dispatcher: Dispatcher<AnyStrategy>,
     pub(super) allocator: Allocator<usize>,
 }
 
-/// A call that waits for a target.
-pub(super) struct Asking {
+/// Call that waits for an allocator's reply.
+pub(super) struct PendingCall {
     pub(super) allocator: usize,
-    /// Allocators asked so far, and grants given back.
-    pub(super) asked: usize,
-    pub(super) given_back: usize,
+    /// Number of allocators that did not reply to this attempt in time.
+    pub(super) allocators_asked: usize,
+    /// Number of grants that the process returned as unusable.
+    pub(super) returned_grants: usize,
     pub(super) call: Call,
-    /// Until when the next answer is waited for.
-    pub(super) until_ms: u64,
+    /// Virtual time until which the process waits for the allocator's next reply, in milliseconds.
+    pub(super) expires_at_ms: u64,
 }
 
-/// A call that a target runs.
-pub(super) struct Running {
+/// Call that is running at a target.
+pub(super) struct RunningCall {
     pub(super) grant: Grant,
-    /// The allocator whose lease it holds.
+    /// Allocator that granted the call's lease; `None` if the process decided locally.
     pub(super) allocator: Option<usize>,
     pub(super) call: Call,
 }
 
 pub(super) struct Process {
-    pub(super) own: Dispatcher<AnyStrategy>,
-    pub(super) state: Option<GroupState>,
-    /// By the number of the lease.
-    pub(super) asking: BTreeMap<u64, Asking>,
-    pub(super) running: BTreeMap<u64, Running>,
+    pub(super) own_dispatcher: Dispatcher<AnyStrategy>,
+    pub(super) group_state: Option<GroupState>,
+    /// Calls that wait for an allocator, by lease number.
+    pub(super) pending: BTreeMap<u64, PendingCall>,
+    /// Calls that are running at targets, by lease number.
+    pub(super) running: BTreeMap<u64, RunningCall>,
+    /// End of the pass-over time in milliseconds and number of consecutive timeouts, by allocator.
     passed_over: BTreeMap<usize, (u64, u32)>,
 }
 
@@ -63,25 +66,25 @@
         now: Timestamp,
     ) -> Self {
         let service = &configuration.services[0];
-        let mut own = Dispatcher::configured(configuration, service, hall, now);
-        own.set_view(view);
+        let mut own_dispatcher = Dispatcher::configured(configuration, service, hall, now);
+        own_dispatcher.set_view(view);
         Self {
-            own,
-            state: None,
-            asking: BTreeMap::new(),
+            own_dispatcher,
+            group_state: None,
+            pending: BTreeMap::new(),
             running: BTreeMap::new(),
             passed_over: BTreeMap::new(),
         }
     }
 
-    /// The state of the group, begun if it was not allocated here before.
-    pub(super) fn state(
+    /// Returns the group's allocator state; creates the state on the first acquire request.
+    pub(super) fn group_state(
         &mut self,
         configuration: &Configuration,
         hall: &DataHallName,
         now: Timestamp,
     ) -> &mut GroupState {
-        self.state.get_or_insert_with(|| {
+        self.group_state.get_or_insert_with(|| {
             let service = &configuration.services[0];
             let mut dispatcher = Dispatcher::configured(configuration, service, hall, now);
             dispatcher.set_view(View::Fleet);
@@ -89,16 +92,16 @@
         })
     }
 
-    /// Learns what another process knows of targets' limits.
-    pub(super) fn learn(
+    /// Merges the targets' rate limits that another process knows.
+    pub(super) fn merge_rate_limits(
         &mut self,
         known: &[(TargetName, Incarnation, RateLimitUpdate)],
         now: Timestamp,
     ) {
-        for (name, incarnation, told) in known {
-            self.own.merge_target_rate_limit(name, *incarnation, told, now);
-            if let Some(GroupState { dispatcher, .. }) = &mut self.state {
-                dispatcher.merge_target_rate_limit(name, *incarnation, told, now);
+        for (name, incarnation, update) in known {
+            self.own_dispatcher.merge_target_rate_limit(name, *incarnation, update, now);
+            if let Some(GroupState { dispatcher, .. }) = &mut self.group_state {
+                dispatcher.merge_target_rate_limit(name, *incarnation, update, now);
             }
         }
     }
@@ -109,18 +112,18 @@
         entry.1 += 1;
     }
 
-    pub(super) fn answered_by(&mut self, allocator: usize) {
+    pub(super) fn record_reply_from(&mut self, allocator: usize) {
         self.passed_over.remove(&allocator);
     }
 
     pub(super) fn is_passed_over(&self, allocator: usize, now_ms: u64) -> bool {
-        self.passed_over.get(&allocator).is_some_and(|(until_ms, _)| now_ms < *until_ms)
+        self.passed_over.get(&allocator).is_some_and(|(retry_at_ms, _)| now_ms < *retry_at_ms)
     }
 
-    /// Leases that this process holds or asks of an allocator.
-    pub(super) fn held(&self, allocator: usize) -> Vec<u64> {
-        let asking = self.asking.iter().filter(|(_, asking)| asking.allocator == allocator);
+    /// Returns the numbers of the leases that this process holds at or requests from an allocator.
+    pub(super) fn held_leases(&self, allocator: usize) -> Vec<u64> {
+        let pending = self.pending.iter().filter(|(_, pending)| pending.allocator == allocator);
         let running = self.running.iter().filter(|(_, held)| held.allocator == Some(allocator));
-        asking.map(|(number, _)| *number).chain(running.map(|(number, _)| *number)).collect()
+        pending.map(|(number, _)| *number).chain(running.map(|(number, _)| *number)).collect()
     }
 }
--- a/crates/thymeshift_lab/src/replay/limits.rs
+++ b/crates/thymeshift_lab/src/replay/limits.rs
@@ -1,71 +1,71 @@
-//! The limits that targets in need name, over many processes: how far they are exceeded, how much
-//! of them is used, and who is refused.
+//! Simulation of rate-limited targets and many processes: how far the stated limits are exceeded,
+//! which share of the limits is used, and how many calls are refused.
 
-mod day;
-mod judge;
+mod evaluation;
 mod policy;
+mod scenario;
 
 use std::fmt;
 use std::fmt::Write;
 
 use thymeshift_config::Mistakes;
 
-use crate::replay::fleet::Trouble;
-use crate::replay::fleet::VirtualFleet;
-use crate::replay::limits::day::LimitDay;
+use crate::replay::fleet::FleetFault;
+use crate::replay::fleet::SimulatedFleet;
+use crate::replay::limits::scenario::LimitScenario;
 
 pub use policy::LimitPolicy;
 
-/// What happens on a day. Targets name limits from second 4 on.
+/// Load, stated limits and fault of a simulated day. Targets state limits from second 4 on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitPattern {
-    /// What it is called in tables.
+    /// Name of the pattern in the result table.
     pub name: &'static str,
-    /// Targets in need, of seven.
-    pub needy: usize,
-    /// Requests a second that each of them names.
+    /// Number of rate-limited targets, out of seven.
+    pub limited_targets: usize,
+    /// Limit that each rate-limited target states, in requests per second.
     pub limit_per_s: f64,
-    /// Calls a second at all processes together.
+    /// Rate of calls over all processes, per second.
     pub calls_per_s: f64,
-    /// What strikes in seconds 10 to 16.
-    pub trouble: Trouble,
-    /// By what the limits are multiplied from second 12 on; 0 ends the need.
-    pub changed_by: f64,
+    /// Fault that is injected between second 10 and second 16.
+    pub fault: FleetFault,
+    /// Factor on the stated limits from second 12 on; 0 means that targets state no limit any more.
+    pub limit_factor: f64,
 }
 
-/// What came of a pattern, over all days.
+/// Result of a pattern with a policy, summed over all simulated days.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitResult {
-    /// Most requests that a target in need got in four seconds, in parts of what is allowed: one
-    /// and a half times its limit, and five.
+    /// Maximum number of requests that a rate-limited target received in any four seconds, divided
+    /// by the allowed number: 1.5 times its limit plus 5 requests.
     pub worst_window: f64,
-    /// Requests that targets in need got, and what their limits allow in the same time.
-    pub used: f64,
-    /// As above.
-    pub allowed: f64,
-    /// Calls, and those that were refused.
+    /// Number of requests that rate-limited targets received.
+    pub requests_received: f64,
+    /// Number of requests that the stated limits allowed in the same time.
+    pub requests_allowed: f64,
+    /// Number of calls.
     pub calls: usize,
-    /// As above.
+    /// Number of calls that were refused.
     pub refused: usize,
-    /// Messages between processes.
+    /// Number of messages between processes.
     pub messages: usize,
 }
 
 impl LimitResult {
-    /// Part of the limits that was used.
+    /// Returns the share of the stated limits that was used.
     pub fn used_share(&self) -> f64 {
-        self.used / self.allowed.max(f64::MIN_POSITIVE)
+        self.requests_received / self.requests_allowed.max(f64::MIN_POSITIVE)
     }
 
-    /// Part of the calls that was refused.
+    /// Returns the share of the calls that was refused.
     pub fn refused_share(&self) -> f64 {
         self.refused as f64 / self.calls.max(1) as f64
     }
 
     fn add(&mut self, day: &Self) {
         self.worst_window = self.worst_window.max(day.worst_window);
-        self.used += day.used;
-        self.allowed += day.allowed;
+        self.requests_received += day.requests_received;
+        self.requests_allowed += day.requests_allowed;
         self.calls += day.calls;
         self.refused += day.refused;
         self.messages += day.messages;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Plays a pattern on `days` seeds with so many processes.
+/// Simulates `days` days of a pattern with a policy and `processes` processes, one per seed from 0.
 pub fn replay_limits(
     pattern: &LimitPattern,
     policy: LimitPolicy,
@@ -89,14 +89,14 @@
 ) -> Result<LimitResult, Mistakes> {
     let mut result = LimitResult::default();
     for seed in 0..days {
-        let day = LimitDay::new(*pattern, policy);
-        let (day, messages) = VirtualFleet::new(day, processes, seed)?.play();
-        result.add(&day.result(messages));
+        let scenario = LimitScenario::new(*pattern, policy);
+        let (scenario, messages) = SimulatedFleet::new(scenario, processes, seed)?.run();
+        result.add(&scenario.result(messages));
     }
     Ok(result)
 }
 
-/// A table of patterns by ways of deciding and numbers of processes.
+/// Simulates all patterns with all policies and several fleet sizes and returns a text table.
 pub fn limit_table(days: u64) -> Result<String, Mistakes> {
     let mut text = String::new();
     let columns = "processes  window   used   refused  messages/call";
@@ -113,34 +113,47 @@
 }
 
 impl LimitPattern {
-    /// Two targets of seven in need.
-    pub const TWO: Self = Self {
+    /// Pattern with two rate-limited targets out of seven.
+    pub const TWO_LIMITED: Self = Self {
         name: "two in need",
-        needy: 2,
+        limited_targets: 2,
         limit_per_s: 3.4,
         calls_per_s: 72.0,
-        trouble: Trouble::None,
-        changed_by: 1.0,
+        fault: FleetFault::None,
+        limit_factor: 1.0,
     };
-    /// All in need, with more calls than they take.
-    pub const ALL_NEEDY: Self =
-        Self { name: "all in need", needy: 7, calls_per_s: 40.0, ..Self::TWO };
-    /// All patterns.
+    /// Pattern in which all targets are rate-limited and calls exceed the sum of their limits.
+    pub const ALL_LIMITED: Self =
+        Self { name: "all in need", limited_targets: 7, calls_per_s: 40.0, ..Self::TWO_LIMITED };
+    /// Patterns of the result table.
     pub const ALL: [Self; 15] = [
-        Self::TWO,
-        Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO },
-        Self { name: "two, 1.5 a second", limit_per_s: 1.5, ..Self::TWO },
-        Self { name: "two, 50 a second", limit_per_s: 50.0, calls_per_s: 400.0, ..Self::TWO },
-        Self { name: "two, first killed", trouble: Trouble::FirstKilled, ..Self::TWO },
-        Self { name: "two, first frozen", trouble: Trouble::FirstFrozen, ..Self::TWO },
-        Self { name: "two, third cut off", trouble: Trouble::CutOff, ..Self::TWO },
-        Self { name: "two, two halls cut", trouble: Trouble::TwoHallsCut, ..Self::TWO },
-        Self { name: "two, lowered to a third", changed_by: 1.0 / 3.0, ..Self::TWO },
-        Self { name: "two, raised threefold", changed_by: 3.0, ..Self::TWO },
-        Self::ALL_NEEDY,
-        Self { name: "all, first killed", trouble: Trouble::FirstKilled, ..Self::ALL_NEEDY },
-        Self { name: "all, third cut off", trouble: Trouble::CutOff, ..Self::ALL_NEEDY },
-        Self { name: "all, two halls cut", trouble: Trouble::TwoHallsCut, ..Self::ALL_NEEDY },
-        Self { name: "all, lowered to a third", changed_by: 1.0 / 3.0, ..Self::ALL_NEEDY },
+        Self::TWO_LIMITED,
+        Self { name: "two, 0.2 a second", limit_per_s: 0.2, ..Self::TWO_LIMITED },
+        Self { name: "two, 1.5 a second", limit_per_s: 1.5, ..Self::TWO_LIMITED },
+        Self {
+            name: "two, 50 a second",
+            limit_per_s: 50.0,
+            calls_per_s: 400.0,
+            ..Self::TWO_LIMITED
+        },
+        Self { name: "two, first killed", fault: FleetFault::FirstKilled, ..Self::TWO_LIMITED },
+        Self { name: "two, first frozen", fault: FleetFault::FirstFrozen, ..Self::TWO_LIMITED },
+        Self { name: "two, third cut off", fault: FleetFault::Isolated, ..Self::TWO_LIMITED },
+        Self {
+            name: "two, two halls cut",
+            fault: FleetFault::TwoHallsPartitioned,
+            ..Self::TWO_LIMITED
+        },
+        Self { name: "two, lowered to a third", limit_factor: 1.0 / 3.0, ..Self::TWO_LIMITED },
+        Self { name: "two, raised threefold", limit_factor: 3.0, ..Self::TWO_LIMITED },
+        Self::ALL_LIMITED,
+        Self { name: "all, first killed", fault: FleetFault::FirstKilled, ..Self::ALL_LIMITED },
+        Self { name: "all, third cut off", fault: FleetFault::Isolated, ..Self::ALL_LIMITED },
+        Self {
+            name: "all, two halls cut",
+            fault: FleetFault::TwoHallsPartitioned,
+            ..Self::ALL_LIMITED
+        },
+        Self { name: "all, lowered to a third", limit_factor: 1.0 / 3.0, ..Self::ALL_LIMITED },
     ];
 }
--- a/crates/thymeshift_lab/src/standin/mod.rs
+++ b/crates/thymeshift_lab/src/standin/mod.rs
@@ -1,21 +1,21 @@
-//! Stand-ins for what the product meets: the platform and targets.
+//! Stand-ins for the external systems of the load balancer: platform, targets and network links.
 
 mod answer;
 mod behaviour;
 mod exact_sleep;
 mod ledger;
-mod need;
 mod platform;
 mod proxy;
 mod server;
 mod slots;
+mod stated_limit;
 mod statements;
 mod target;
 
 pub use answer::expected_answer;
 pub use behaviour::Behaviour;
 pub use behaviour::Fault;
-pub use behaviour::Reports;
+pub use behaviour::ReportMode;
 pub use ledger::Ledger;
 pub use ledger::LedgerEntry;
 pub use platform::DocumentName;
@@ -23,8 +23,8 @@
 pub use platform::PlatformMode;
 pub use proxy::Proxy;
 pub use proxy::ProxyMode;
-pub use server::Running;
-pub use statements::CALLED_PROCESS;
-pub use statements::Disregarded;
+pub use server::ServerHandle;
+pub use statements::CALLED_PROCESS_HEADER;
+pub use statements::StatementViolations;
 pub use target::Target;
 pub use target::TargetSettings;
--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -1,4 +1,4 @@
-//! What a target has said of itself to each process, and what reached it all the same.
+//! Statements that a target sent to each process, and the requests that arrived in spite of them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,24 +9,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The process that a request was sent to, as its caller names it.
-pub const CALLED_PROCESS: HeaderName = HeaderName::from_static("lab-called-process");
-/// After this time without a new request a target may end that leaves.
+/// Header in which a caller names the process that it sends the request to.
+pub const CALLED_PROCESS_HEADER: HeaderName = HeaderName::from_static("lab-called-process");
+/// Time without new requests after which a leaving target may exit.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// Until an answer has reached the process, and requests under way have arrived.
-const SETTLED_AFTER: Duration = Duration::from_millis(500);
+/// Time after a statement in which requests already in flight may still arrive.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
-/// What reached a target against what it had said.
+/// Numbers of requests that reached a target in violation of its statements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Disregarded {
-    /// Requests of processes that had known for longer than the drain time that it leaves.
+pub struct StatementViolations {
+    /// Number of requests from processes that were told that the target is leaving, counted from
+    /// the end of the drain time and of the grace time for requests in flight.
     pub after_leaving: usize,
-    /// Most requests of one process within a backoff.
+    /// Maximum number of requests of one process within a backoff.
     pub in_backoff: usize,
 }
 
-impl Disregarded {
-    /// The worse of two targets.
+impl StatementViolations {
+    /// Returns the maximum of each number, to combine the violations at several targets.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -36,54 +37,56 @@
     }
 }
 
+/// Statements that one process received, and its violations.
 #[derive(Default)]
-struct ToProcess {
-    left_at: Option<Instant>,
-    /// Beginning, end, and requests within.
+struct ProcessStatements {
+    /// Time at which the process was first told that the target is leaving.
+    leaving_since: Option<Instant>,
+    /// Start, end and number of violating requests of each backoff.
     backoffs: Vec<(Instant, Instant, usize)>,
-    disregarded: Disregarded,
+    violations: StatementViolations,
 }
 
-/// The statements of one target, by process.
+/// Statements of one target, by process.
 #[derive(Default)]
-pub(super) struct StatementLedger {
-    processes: Mutex<HashMap<String, ToProcess>>,
+pub(super) struct StatementLog {
+    processes: Mutex<HashMap<String, ProcessStatements>>,
 }
 
-impl StatementLedger {
-    /// A request of a process arrives.
-    pub(super) fn arrived(&self, process: &str) {
+impl StatementLog {
+    /// Records the arrival of a process's request and checks it against earlier statements.
+    pub(super) fn record_request(&self, process: &str) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
-        let known = processes.entry(process.to_owned()).or_default();
-        let ToProcess { left_at, backoffs, disregarded } = known;
-        let is_late = left_at.is_some_and(|at| now > at + SETTLED_AFTER + DRAIN_TIME);
-        disregarded.after_leaving += usize::from(is_late);
+        let statements = processes.entry(process.to_owned()).or_default();
+        let ProcessStatements { leaving_since, backoffs, violations } = statements;
+        let is_late = leaving_since.is_some_and(|at| now > at + IN_FLIGHT_GRACE + DRAIN_TIME);
+        violations.after_leaving += usize::from(is_late);
         backoffs.retain(|(_, end, _)| now < *end);
         for (begin, _, count) in backoffs {
-            *count += usize::from(now > *begin + SETTLED_AFTER);
-            disregarded.in_backoff = disregarded.in_backoff.max(*count);
+            *count += usize::from(now > *begin + IN_FLIGHT_GRACE);
+            violations.in_backoff = violations.in_backoff.max(*count);
         }
     }
 
-    /// A process is answered that the target leaves.
-    pub(super) fn says_leaving(&self, process: &str) {
+    /// Records an answer that tells a process that the target is leaving.
+    pub(super) fn record_leaving(&self, process: &str) {
         let mut processes = self.processes.lock();
-        let known = processes.entry(process.to_owned()).or_default();
-        known.left_at.get_or_insert_with(Instant::now);
+        let statements = processes.entry(process.to_owned()).or_default();
+        statements.leaving_since.get_or_insert_with(Instant::now);
     }
 
-    /// A process is asked for a backoff.
-    pub(super) fn asks_for_backoff(&self, process: &str, wait: Duration) {
+    /// Records an answer that asks a process for a backoff of `wait`.
+    pub(super) fn record_backoff(&self, process: &str, wait: Duration) {
         let now = Instant::now();
         let mut processes = self.processes.lock();
-        let known = processes.entry(process.to_owned()).or_default();
-        known.backoffs.push((now, now + wait, 0));
+        let statements = processes.entry(process.to_owned()).or_default();
+        statements.backoffs.push((now, now + wait, 0));
     }
 
-    /// What each process disregarded.
-    pub(super) fn disregarded(&self) -> HashMap<String, Disregarded> {
+    /// Returns the violations of each process.
+    pub(super) fn violations(&self) -> HashMap<String, StatementViolations> {
         let processes = self.processes.lock();
-        processes.iter().map(|(name, known)| (name.clone(), known.disregarded)).collect()
+        processes.iter().map(|(name, statements)| (name.clone(), statements.violations)).collect()
     }
 }
--- a/crates/thymeshift_lab/tests/http2.rs
+++ b/crates/thymeshift_lab/tests/http2.rs
@@ -1,4 +1,4 @@
-//! Callers that speak cleartext HTTP/2.
+//! Callers that use cleartext HTTP/2.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper_util::rt::TokioExecutor;
 use hyper_util::rt::TokioIo;
-use thymeshift_lab::experiment::Single;
+use thymeshift_lab::experiment::SingleEntry;
 use thymeshift_lab::standin::expected_answer;
 use tokio::net::TcpStream;
 
@@ -19,7 +19,7 @@
 async fn many_requests_over_one_connection_each_get_their_own_answer() {
     let targets = [quick_target().await, quick_target().await];
     let addresses: Vec<_> = targets.iter().map(|target| target.ports.address).collect();
-    let single = Single::start(&configuration(&addresses, "", "")).await.expect("a process");
+    let single = SingleEntry::start(&configuration(&addresses, "", "")).await.expect("a process");
     let caller = single.entry.address("caller").expect("an address");
     let stream = TcpStream::connect(caller).await.expect("a connection");
     let handshake =
@@ -34,7 +34,10 @@
             let request = Request::get(uri).body(Full::new(Bytes::new())).expect("a request");
             let response = sender.send_request(request).await.expect("an answer");
             assert_eq!(response.status(), 200, "{number}");
-            assert!(!response.headers().contains_key("endpoint-load-metrics"), "kept inside");
+            assert!(
+                !response.headers().contains_key("endpoint-load-metrics"),
+                "the load report is not forwarded"
+            );
             let body = response.into_body().collect().await.expect("a body").to_bytes();
             assert_eq!(body.as_ref(), expected_answer(&path, b"", 3_000), "{number}");
         }
