--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -264,8 +264,8 @@
 
     /// Merges a target's rate limit that a peer sent.
     pub(super) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
-        let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.state.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
+        let TargetRateLimit { target, incarnation, update, .. } = limit;
+        self.state.lock().dispatcher.merge_target_rate_limit(target, *incarnation, update, now);
     }
 
     /// Sets the share of the targets' rate limits that this process may grant.
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -353,19 +353,19 @@
     pub(crate) fn rate_limits(&self, now: Timestamp) -> Vec<TargetRateLimit> {
         let known = self.local.lock().dispatcher.rate_limits(now);
         let service = &self.name;
-        let limit = |(target, incarnation, told)| TargetRateLimit {
+        let limit = |(target, incarnation, update)| TargetRateLimit {
             service: service.clone(),
             target,
             incarnation,
-            told,
+            update,
         };
         known.into_iter().map(limit).collect()
     }
 
     /// Merges a target's rate limit that a peer sent.
     pub(crate) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
-        let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.local.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
+        let TargetRateLimit { target, incarnation, update, .. } = limit;
+        self.local.lock().dispatcher.merge_target_rate_limit(target, *incarnation, update, now);
         for group in self.groups() {
             group.merge_rate_limit(limit, now);
         }
--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -66,7 +66,8 @@
     /// Incarnation of the target that stated the limit.
     pub incarnation: Incarnation,
     /// Rate limit that the target stated, with its age.
-    pub told: RateLimitUpdate,
+    #[serde(rename = "told")]
+    pub update: RateLimitUpdate,
 }
 
 /// Remote calls between entry processes.
