--- a/crates/thymeshift_entry/src/allocation_client.rs
+++ b/crates/thymeshift_entry/src/allocation_client.rs
@@ -326,7 +326,7 @@
     }
 
     /// Sets the result of the attempt, which the release reports to the allocator.
-    pub(crate) fn observe(&mut self, observation: Observation) {
+    pub(crate) fn set_observation(&mut self, observation: Observation) {
         self.report.observation = Some(observation);
     }
 
--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -178,8 +178,9 @@
         let Some(identity) = &self.identity else {
             return Ok(());
         };
-        let is_held = self.shared.routing().is_some_and(|routing| identity.is_valid(&routing.keys));
-        if is_held {
+        let is_key_valid =
+            self.shared.routing().is_some_and(|routing| identity.is_valid(&routing.keys));
+        if is_key_valid {
             return Ok(());
         }
         let peer = Peer::Service(self.service.name().clone());
--- a/crates/thymeshift_entry/src/caller/handler.rs
+++ b/crates/thymeshift_entry/src/caller/handler.rs
@@ -295,8 +295,9 @@
 fn remaining_objective(kind: &KindRuntime, caller_timeout: Option<Duration>) -> Option<Duration> {
     let objective_ms = kind.kind.objective_ms;
     let objective = (objective_ms > 0).then(|| Duration::from_millis(objective_ms))?;
-    let elapsed = caller_timeout
-        .map_or(Duration::ZERO, |timeout| kind.metrics.patience.lock().estimate(timeout));
+    let elapsed = caller_timeout.map_or(Duration::ZERO, |timeout| {
+        kind.metrics.elapsed_time_estimator.lock().estimate(timeout)
+    });
     Some(objective.saturating_sub(elapsed))
 }
 
--- a/crates/thymeshift_entry/src/caller/listener.rs
+++ b/crates/thymeshift_entry/src/caller/listener.rs
@@ -89,9 +89,9 @@
 impl ConnectionGuard {
     /// Returns `None` if the maximum number of caller connections is open.
     fn new(shared: &Arc<Shared>, limits: &Limits) -> Option<Self> {
-        let before = shared.metrics.caller_connections.fetch_add(1, Ordering::Relaxed);
+        let open_count = shared.metrics.caller_connections.fetch_add(1, Ordering::Relaxed);
         let guard = Self(shared.clone());
-        (before < limits.caller_connections_max).then_some(guard)
+        (open_count < limits.caller_connections_max).then_some(guard)
     }
 }
 
--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -140,8 +140,8 @@
 
 /// Queries the peers, and after a delay also the source, in an endless loop.
 async fn poll_peers_and_source<E: Environment>(shared: &Arc<Shared>, source: &SharedSource<E>) {
-    let asking = shared.clone();
-    let peers = tokio::spawn(async move { poll_peers(&asking).await });
+    let peers_shared = shared.clone();
+    let peers = tokio::spawn(async move { poll_peers(&peers_shared).await });
     // The task is aborted with this future, which is dropped once a configuration is in force.
     let _peers = AbortOnDrop(peers);
     sleep(SOURCE_DELAY).await;
@@ -226,14 +226,14 @@
             futures::future::join(query_source::<E>(shared, source), query_peers(shared)).await;
         let is_in_force = shared.routing().is_some();
         let has_peer_round_ended =
-            peers.answered > 0 || peers.asked == 0 || round >= PEER_WAIT_ROUNDS;
+            peers.answered > 0 || peers.queried == 0 || round >= PEER_WAIT_ROUNDS;
         if is_in_force && has_peer_round_ended {
             let answered = peers.answered;
             info!("bootstrapped", kv: { round, has_platform, peers_answered = answered });
             return;
         }
         if !is_in_force {
-            let (asked, answered) = (peers.asked, peers.answered);
+            let (asked, answered) = (peers.queried, peers.answered);
             warn!("no_configuration_yet", kv: { round, has_platform, asked, answered });
         }
         sleep(ROUND_DELAY).await;
@@ -268,7 +268,7 @@
 
 /// Result of one round of queries to peers.
 struct PeerRound {
-    asked: usize,
+    queried: usize,
     answered: usize,
 }
 
@@ -285,9 +285,9 @@
         addresses.truncate(PEERS_PER_ROUND);
         addresses
     };
-    let asked = addresses.len();
+    let queried = addresses.len();
     let exchanges =
         addresses.into_iter().map(|address| exchange_once(shared, address, GossipScope::Regular));
     let answered = join_all(exchanges).await.into_iter().flatten().count();
-    PeerRound { asked, answered }
+    PeerRound { queried, answered }
 }
--- a/crates/thymeshift_entry/src/control_plane/dump.rs
+++ b/crates/thymeshift_entry/src/control_plane/dump.rs
@@ -58,10 +58,10 @@
             rejection: adoption.rejection().cloned(),
         },
         platform: PlatformDump {
-            is_watching: fleet.election.is_watching(),
+            is_watching: fleet.watcher_selection.is_watching(),
             calls: shared.metrics.platform_calls.load(Ordering::Relaxed),
             last_answer_ms: answered_at.map(|at| now.since(at).as_millis() as u64),
-            watchers: fleet.election.watchers(now),
+            watchers: fleet.watcher_selection.watchers(now),
         },
         halls,
         services,
--- a/crates/thymeshift_entry/src/control_plane/http_get.rs
+++ b/crates/thymeshift_entry/src/control_plane/http_get.rs
@@ -68,10 +68,10 @@
     let Ok(connected) = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await else {
         return Err(GetError::ConnectTimedOut);
     };
-    let (mut sender, driving) = http1::handshake(TokioIo::new(connected?)).await?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(connected?)).await?;
     let request = Request::get(path).header(HOST, address.to_string());
     let request = request.body(Empty::<Bytes>::new())?;
-    let asking = async {
+    let exchange = async {
         let (parts, body) = sender.send_request(request).await?.into_parts();
         let body = Limited::new(body, bytes_max).collect().await;
         let body = body.map_err(|_| GetError::Body { bytes_max })?.to_bytes();
@@ -80,8 +80,8 @@
     // The connection is driven in this future, so dropping the future closes the connection.
     let both = async {
         tokio::select! {
-            answer = asking => answer,
-            Err(error) = driving => Err(GetError::Http(error)),
+            answer = exchange => answer,
+            Err(error) = connection => Err(GetError::Http(error)),
         }
     };
     timeout(limit, both).await.unwrap_or(Err(GetError::TimedOut { limit }))
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -46,7 +46,7 @@
             let now = BootClock.now();
             let mut fleet = shared.fleet.lock();
             let count = fleet.members.count_alive(now);
-            fleet.election.should_watch(count, now)
+            fleet.watcher_selection.should_watch(count, now)
         };
         if !should_watch {
             sleep(ELECTION_CHECK_INTERVAL).await;
@@ -57,7 +57,7 @@
         wait = if watched.is_ok() { LONG_POLL_LIMIT } else { Duration::ZERO };
         if let Err(error) = watched {
             warn!("platform_call_failed", kv: { error: = error });
-            shared.fleet.lock().election.failed(BootClock.now());
+            shared.fleet.lock().watcher_selection.failed(BootClock.now());
             sleep(FAILURE_DELAY).await;
         }
     }
@@ -82,7 +82,7 @@
             sleep(LONG_POLL_LIMIT).await;
         }
     }
-    shared.fleet.lock().election.succeeded();
+    shared.fleet.lock().watcher_selection.succeeded();
     Ok(())
 }
 
--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -59,7 +59,7 @@
             allocator: allocator.clone(),
             room: service.group(group).spare_capacity(now),
         };
-        service.record_group_room(&report);
+        service.record_group_headroom(&report);
         for other in groups.iter().filter(|other| *other != group) {
             if let Some(address) = address_for(shared, service, other, now) {
                 shared.allocation.send(address, Message::Room(report.clone()));
@@ -88,9 +88,9 @@
     else {
         return;
     };
-    service.record_group_room(report);
-    let is_first_hand = *sender == report.allocator.vm;
-    if !is_first_hand {
+    service.record_group_headroom(report);
+    let is_from_allocator = *sender == report.allocator.vm;
+    if !is_from_allocator {
         return;
     }
     let own_hall = shared.settings().data_hall.clone();
--- a/crates/thymeshift_entry/src/control_plane/suspects.rs
+++ b/crates/thymeshift_entry/src/control_plane/suspects.rs
@@ -70,10 +70,11 @@
             return;
         }
         let own_hall = &fleet.members.own().data_hall;
-        let is_near = fleet.members.find(sender).is_none_or(|member| member.data_hall == *own_hall);
+        let is_same_hall =
+            fleet.members.find(sender).is_none_or(|member| member.data_hall == *own_hall);
         let hall_addresses =
             fleet.members.hall_peers(now).filter_map(|member| member.datagram_address);
-        if is_near { Vec::new() } else { hall_addresses.collect() }
+        if is_same_hall { Vec::new() } else { hall_addresses.collect() }
     };
     log_verdict(shared, report.fingerprint, "peer");
     send(shared, &hall_addresses, report);
--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -75,18 +75,18 @@
         counter!(metric::PAUSES).increment(1);
         warn!("process_was_paused", kv: { gap_ms = gap.as_millis() as u64 });
         shared.fleet.lock().paused(gap);
-        shared.gaps.notify();
+        shared.pause_notifier.notify();
     }
 }
 
 fn run_housekeeping(shared: &Shared, now: Timestamp) {
-    let left_out = shared.request_log_budget.take_suppressed();
-    if left_out > 0 {
-        warn!("request_lines_left_out", kv: { count = left_out });
+    let suppressed_lines = shared.request_log_limiter.take_suppressed();
+    if suppressed_lines > 0 {
+        warn!("request_lines_left_out", kv: { count = suppressed_lines });
     }
-    let unwritten = take_dropped_lines();
-    if unwritten > 0 {
-        warn!("log_lines_unwritten", kv: { count = unwritten });
+    let dropped_lines = take_dropped_lines();
+    if dropped_lines > 0 {
+        warn!("log_lines_unwritten", kv: { count = dropped_lines });
     }
     shared.metrics_text.run_upkeep();
     shared.drop_kept_targets(now);
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -64,7 +64,7 @@
     pub(crate) discovery: Option<Discovery>,
     /// Latest list of discovered targets while unlisted targets are kept in addition; `None` otherwise.
     listed_targets: Option<Discovery>,
-    pub(crate) election: WatcherSelection,
+    pub(crate) watcher_selection: WatcherSelection,
     pub(crate) members: Members,
     pub(crate) leaving: LeavingRegister,
     pub(crate) orders: Orders,
@@ -118,7 +118,7 @@
             base_configuration: None,
             discovery: None,
             listed_targets: None,
-            election: WatcherSelection::new(settings.vm.clone(), boot),
+            watcher_selection: WatcherSelection::new(settings.vm.clone(), boot),
             members: Members::new(own, settings.peers.clone()),
             leaving: LeavingRegister::default(),
             orders: Orders::default(),
@@ -132,18 +132,18 @@
     /// Returns the summary of this process's fleet state to send to a peer.
     pub(crate) fn summary(
         &mut self,
-        breadth: GossipScope<'_>,
+        scope: GossipScope<'_>,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
         Exchange {
             is_new: self.members.is_new(),
-            members: self.members.members_to_send(breadth, now, rng),
+            members: self.members.members_to_send(scope, now, rng),
             digest: self.members.digest(now),
             configuration: self.configuration.head(),
             vm_list: self.vm_list.head(),
             targets: self.targets.head(),
-            watchers: self.election.watchers(now),
+            watchers: self.watcher_selection.watchers(now),
             leaving: self.marks_to_send(),
             orders: self.orders.list(now),
             suspects: self.suspects_to_send(REPEATED_SUSPECTS_MAX, now),
@@ -158,16 +158,16 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
-        let breadth = theirs.members.first().map_or(GossipScope::SenderOnly, |sender| {
-            let asked = ReceivedSummary {
+        let scope = theirs.members.first().map_or(GossipScope::SenderOnly, |sender| {
+            let received = ReceivedSummary {
                 sender: &sender.member,
                 digest: theirs.digest,
                 is_new: theirs.is_new,
                 is_regular: theirs.members.len() > 1,
             };
-            self.members.answer_scope(&asked, now)
+            self.members.answer_scope(&received, now)
         });
-        let mut answer = self.summary(breadth, now, rng);
+        let mut answer = self.summary(scope, now, rng);
         if theirs.is_new {
             answer.suspects = self.quarantine.page(None, NEWCOMER_SUSPECTS_MAX, now);
         }
@@ -219,16 +219,16 @@
     /// Shortly after an outage of the source, targets that are missing from its list stay in force: the
     /// source may have lost its state, and targets that still run are listed again soon.
     pub(crate) fn adopt_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
-        let before = self.discovery.take().filter(|_| self.readers.has_just_recovered(now));
-        let Some(before) = before else {
+        let previous = self.discovery.take().filter(|_| self.readers.has_just_recovered(now));
+        let Some(previous) = previous else {
             self.listed_targets = None;
             self.discovery = Some(listed);
             return 0;
         };
-        let (kept, count) = listed.retaining_missing(&before);
-        self.discovery = Some(kept);
-        self.listed_targets = (count > 0).then_some(listed);
-        count
+        let (merged, kept_count) = listed.retaining_missing(&previous);
+        self.discovery = Some(merged);
+        self.listed_targets = (kept_count > 0).then_some(listed);
+        kept_count
     }
 
     /// Drops the kept targets that the source has not listed again, once its recovery period is over.
@@ -269,7 +269,7 @@
             }
         }
         for watcher in &exchange.watchers {
-            self.election.merge(watcher, now);
+            self.watcher_selection.merge(watcher, now);
         }
         let marks = exchange.leaving.iter();
         let marks = marks.filter(|mark| self.concerns_known_target(mark) && self.add_mark(mark));
@@ -336,7 +336,7 @@
 
     /// Adjusts time-based state after this process was paused for `gap`.
     pub(crate) fn paused(&mut self, gap: Duration) {
-        self.election.paused();
+        self.watcher_selection.paused();
         self.readers.paused(gap);
         self.members.paused(gap);
     }
--- a/crates/thymeshift_entry/src/routing.rs
+++ b/crates/thymeshift_entry/src/routing.rs
@@ -61,7 +61,7 @@
     /// Moving average of the answer length in bytes; 0 before the first answer.
     answer_bytes: AtomicU64,
     /// Estimate of how long callers usually wait for an answer.
-    pub(crate) patience: Mutex<ElapsedTimeEstimator>,
+    pub(crate) elapsed_time_estimator: Mutex<ElapsedTimeEstimator>,
 }
 
 impl KindMetrics {
@@ -82,17 +82,17 @@
             waited: ReadableCounter::new(counter!(metric::REQUESTS_WAITED, "kind" => name.clone())),
             duration_seconds: histogram!(metric::REQUEST_SECONDS, "kind" => name.clone()),
             answer_bytes: AtomicU64::new(0),
-            patience: Mutex::default(),
+            elapsed_time_estimator: Mutex::default(),
         })
     }
 
     /// Adds the length of a forwarded answer to the moving average.
     pub(crate) fn record_answer_bytes(&self, bytes: u64) {
-        let before = self.answer_bytes.load(Ordering::Relaxed);
-        let mean = if before == 0 {
+        let previous = self.answer_bytes.load(Ordering::Relaxed);
+        let mean = if previous == 0 {
             bytes
         } else {
-            before - before / ANSWERS_AVERAGED + bytes / ANSWERS_AVERAGED
+            previous - previous / ANSWERS_AVERAGED + bytes / ANSWERS_AVERAGED
         };
         self.answer_bytes.store(mean, Ordering::Relaxed);
     }
@@ -157,16 +157,16 @@
 
 impl Routing {
     /// Builds the routing of a configuration. Services, metrics and an unchanged key ring are taken over
-    /// from the routing `before`.
+    /// from the routing `previous`.
     pub(crate) fn new(
         configuration: Configuration,
-        before: Option<&Self>,
+        previous: Option<&Self>,
         own_data_hall: &DataHallName,
         context: &ServiceContext,
     ) -> Self {
         let configuration = Arc::new(configuration);
         let find = |name: &str| {
-            let mut known = before.into_iter().flat_map(|before| before.services.iter());
+            let mut known = previous.into_iter().flat_map(|previous| previous.services.iter());
             known.find(|service| service.name().as_str() == name).cloned()
         };
         let mut services = Vec::new();
@@ -181,8 +181,8 @@
             services.push(runtime);
         }
         let kinds = configuration.kinds.iter();
-        let kinds = kinds.filter_map(|kind| kind_runtime(kind, &services, before)).collect();
-        let known = before.map(|before| &before.keys);
+        let kinds = kinds.filter_map(|kind| kind_runtime(kind, &services, previous)).collect();
+        let known = previous.map(|previous| &previous.keys);
         let known = known.filter(|known| *known.organisations() == configuration.organisations);
         let keys = known.cloned();
         let keys =
@@ -208,12 +208,12 @@
 fn kind_runtime(
     kind: &Kind,
     services: &[Arc<ServiceRuntime>],
-    before: Option<&Routing>,
+    previous: Option<&Routing>,
 ) -> Option<Arc<KindRuntime>> {
     let find = |name: &ServiceName| services.iter().find(|service| service.name() == name).cloned();
     let service = find(&kind.service)?;
     let split_services = kind.split.iter().filter_map(|part| find(&part.service)).collect();
-    let mut known = before.into_iter().flat_map(|before| before.kinds.iter());
+    let mut known = previous.into_iter().flat_map(|previous| previous.kinds.iter());
     let known = known.find(|known| known.kind.name == kind.name);
     let metrics = known.map_or_else(|| KindMetrics::new(kind), |known| known.metrics.clone());
     Some(Arc::new(KindRuntime { kind: kind.clone(), service, split_services, metrics }))
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -194,7 +194,7 @@
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
         dispatcher.set_can_overflow(
-            self.group_reports.lock().rooms.is_available_outside(&self.group, now),
+            self.group_reports.lock().headroom.is_available_outside(&self.group, now),
         );
         allocator.release_unlisted(&key.holder, &lease_numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -106,7 +106,7 @@
     /// to peers if the result shows that the target leaves.
     pub(crate) fn record_observation(&mut self, observation: Observation) -> Option<LeavingMark> {
         if let Some(lease) = &mut self.lease {
-            lease.observe(observation);
+            lease.set_observation(observation);
         }
         let grant = self.grant.as_ref()?;
         let now = BootClock.now();
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -70,7 +70,7 @@
 /// Spare capacity and allocator address of each group of a service, as last reported.
 #[derive(Default)]
 struct GroupReports {
-    rooms: GroupHeadroom,
+    headroom: GroupHeadroom,
     allocators: BTreeMap<Group, AllocatorAddress>,
 }
 
@@ -82,7 +82,7 @@
         own: &Group,
         now: Timestamp,
     ) -> Option<(Group, AllocatorAddress)> {
-        let other = self.rooms.reserve(own, now, &mut rand::rng())?;
+        let other = self.headroom.reserve(own, now, &mut rand::rng())?;
         let allocator = self.allocators.get(&other)?.clone();
         Some((other, allocator))
     }
@@ -256,9 +256,9 @@
     }
 
     /// Records the spare capacity that a group reported, with the address of its allocator.
-    pub(crate) fn record_group_room(&self, report: &GroupHeadroomReport) {
+    pub(crate) fn record_group_headroom(&self, report: &GroupHeadroomReport) {
         let mut groups = self.group_reports.lock();
-        groups.rooms.record(report.group.clone(), report.room, BootClock.now());
+        groups.headroom.record(report.group.clone(), report.room, BootClock.now());
         groups.allocators.insert(report.group.clone(), report.allocator.clone());
     }
 
@@ -405,9 +405,9 @@
             dump.queues.extend(known.queues);
             dump.expected_wait_us = dump.expected_wait_us.max(known.expected_wait_us);
             for target in known.targets {
-                let place = dump.targets.iter_mut().find(|own| own.name == target.name);
-                if let Some(place) = place {
-                    *place = target;
+                let local_view = dump.targets.iter_mut().find(|own| own.name == target.name);
+                if let Some(local_view) = local_view {
+                    *local_view = target;
                 }
             }
         }
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -78,7 +78,7 @@
         is_fresh.then(|| known.order.clone())
     }
 
-    fn keep_order(
+    fn cache_order(
         &mut self,
         group: &Group,
         order: RankedProcesses,
@@ -330,7 +330,7 @@
         }
         let order: Arc<[_]> = shared.allocator_order(self.name(), group, now).into();
         let rate_share = shared.allocator_rank(self.name(), group, now).rate_share();
-        self.allocators.lock().keep_order(group, order.clone(), rate_share, member_changes, now);
+        self.allocators.lock().cache_order(group, order.clone(), rate_share, member_changes, now);
         order
     }
 
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -76,7 +76,7 @@
     pub(crate) started_at: Timestamp,
     pub(crate) metrics: ProcessMetrics,
     /// Ends waits whose deadline passed while the VM was suspended.
-    pub(crate) gaps: PauseNotifier,
+    pub(crate) pause_notifier: PauseNotifier,
     pub(crate) fleet: Mutex<Fleet>,
     /// Whether a configuration is in force.
     pub(crate) has_configuration: watch::Sender<bool>,
@@ -97,7 +97,7 @@
     pub(crate) pending_acquires_receiver: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
     pub(crate) unknown_headers: UnknownHeaders,
     /// Rate limit of log lines about single requests.
-    pub(crate) request_log_budget: LogRateLimiter,
+    pub(crate) request_log_limiter: LogRateLimiter,
     /// Whether this process waits for a document from its parent in the data hall's relay tree.
     pub(crate) is_awaiting_relay: AtomicBool,
     /// Whether this process waits for [`Shared::list_fetch_delay`] before it fetches a list of targets.
@@ -138,7 +138,7 @@
             unknown_headers: UnknownHeaders::default(),
             request_queued: Arc::default(),
             group_activated: Arc::default(),
-            request_log_budget: LogRateLimiter::new(REQUEST_LOG_LINES_PER_S),
+            request_log_limiter: LogRateLimiter::new(REQUEST_LOG_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
             is_list_fetch_delayed: AtomicBool::new(false),
             list_pace: Mutex::default(),
@@ -150,7 +150,7 @@
             boot,
             started_at: BootClock.now(),
             metrics: ProcessMetrics::default(),
-            gaps: PauseNotifier::default(),
+            pause_notifier: PauseNotifier::default(),
             has_configuration: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
             peer_exchange_due: Notify::new(),
@@ -174,7 +174,7 @@
 
     /// Returns whether a log line about a single request may be written now, and counts it.
     pub(crate) fn allows_request_log_line(&self) -> bool {
-        self.request_log_budget.allows(BootClock.now().as_micros())
+        self.request_log_limiter.allows(BootClock.now().as_micros())
     }
 
     /// Returns how long this process waits before it applies another list of targets.
@@ -227,18 +227,18 @@
         now: Timestamp,
     ) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let hall_reach = match group {
+        let hall_candidates = match group {
             Group::All => None,
             Group::Hall(hall) => Some(fleet.members.visible_in(hall, now)),
         };
         // Unreachable processes of a hall may still allocate the hall's group, so they count as one
         // process that ranks before this one.
-        let is_hall_unreachable = hall_reach
+        let is_hall_unreachable = hall_candidates
             .as_ref()
-            .is_some_and(|reach| reach.visible.is_empty() && reach.known_count > 0);
-        let reach = hall_reach.filter(|reach| !reach.visible.is_empty());
-        let reach = reach.unwrap_or_else(|| fleet.members.visible_contacts(now));
-        let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
+            .is_some_and(|candidates| candidates.visible.is_empty() && candidates.known_count > 0);
+        let candidates = hall_candidates.filter(|candidates| !candidates.visible.is_empty());
+        let candidates = candidates.unwrap_or_else(|| fleet.members.visible_contacts(now));
+        let rank = rank_in(&fleet, &allocator_task(service, group), &candidates);
         AllocatorRank {
             better_ranked: rank.better_ranked + usize::from(is_hall_unreachable),
             ..rank
@@ -248,8 +248,8 @@
     /// Returns the rank of this process among all processes for a fleet-wide task.
     pub(crate) fn rank_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let reach = fleet.members.visible_contacts(now);
-        rank_in(&fleet, task, &reach)
+        let candidates = fleet.members.visible_contacts(now);
+        rank_in(&fleet, task, &candidates)
     }
 
     /// Returns the contacts of all data halls ranked for a fleet-wide task; `None` stands for this
@@ -298,14 +298,14 @@
     }
 }
 
-fn rank_in(fleet: &Fleet, task: &str, reach: &VisibleMembers<'_>) -> AllocatorRank {
+fn rank_in(fleet: &Fleet, task: &str, candidates: &VisibleMembers<'_>) -> AllocatorRank {
     let own = &fleet.members.own().vm;
-    let order = ranked(task, reach.visible.iter().map(|member| member.candidate()));
-    let before = order.iter().take_while(|vm| **vm != own).count();
+    let order = ranked(task, candidates.visible.iter().map(|member| member.candidate()));
+    let better_ranked_count = order.iter().take_while(|vm| **vm != own).count();
     AllocatorRank {
-        better_ranked: before,
-        reachable: reach.visible.len(),
-        known: reach.known_count,
+        better_ranked: better_ranked_count,
+        reachable: candidates.visible.len(),
+        known: candidates.known_count,
     }
 }
 
--- a/crates/thymeshift_entry/src/shared/in_force.rs
+++ b/crates/thymeshift_entry/src/shared/in_force.rs
@@ -31,7 +31,7 @@
 use crate::shared::Shared;
 
 /// Maximum number of log lines about left-out entries for each list of targets.
-const LEFT_OUT_LOG_LINES_MAX: usize = 10;
+const SKIPPED_ENTRY_LOG_LINES_MAX: usize = 10;
 
 impl Shared {
     /// Adopts a published configuration from any source if it is newer than the one in force.
@@ -59,10 +59,10 @@
         let mut fleet = self.fleet.lock();
         let (offer, adopted) = fleet.offer_targets(published, now);
         if let Some(discovery) = adopted {
-            log_left_out(fleet.discovery.as_ref(), &discovery);
-            let kept = fleet.adopt_discovery(discovery, now);
-            if kept > 0 {
-                info!("targets_kept", kv: { kept, revision: = published.head().revision });
+            log_skipped_entries(fleet.discovery.as_ref(), &discovery);
+            let kept_count = fleet.adopt_discovery(discovery, now);
+            if kept_count > 0 {
+                info!("targets_kept", kv: { kept = kept_count, revision: = published.head().revision });
             }
             self.rebuild_routing(&mut fleet, now);
         }
@@ -125,11 +125,15 @@
         configuration.mark_leaving(|service, target, incarnation| {
             fleet.leaving.is_leaving(service, target, incarnation)
         });
-        let before = self.routing();
-        log_halls(before.as_deref().map(|before| &*before.configuration), &configuration);
+        let previous = self.routing();
+        log_halls(previous.as_deref().map(|previous| &*previous.configuration), &configuration);
         let own_data_hall = &self.settings().data_hall;
-        let routing =
-            Routing::new(configuration, before.as_deref(), own_data_hall, &self.service_context());
+        let routing = Routing::new(
+            configuration,
+            previous.as_deref(),
+            own_data_hall,
+            &self.service_context(),
+        );
         let routing = Arc::new(routing);
         for service in &routing.services {
             apply_marks(service, fleet);
@@ -211,12 +215,12 @@
     });
 }
 
-/// Logs each newly left-out entry, up to [`LEFT_OUT_LOG_LINES_MAX`], and sets the gauge of all left-out
+/// Logs each newly left-out entry, up to [`SKIPPED_ENTRY_LOG_LINES_MAX`], and sets the gauge of all left-out
 /// entries.
-fn log_left_out(before: Option<&Discovery>, now: &Discovery) {
-    let before = before.map_or(&[][..], |before| &before.left_out);
-    let new_entries = now.left_out.iter().filter(|entry| !before.contains(entry));
-    for entry in new_entries.take(LEFT_OUT_LOG_LINES_MAX) {
+fn log_skipped_entries(previous: Option<&Discovery>, now: &Discovery) {
+    let previous = previous.map_or(&[][..], |previous| &previous.left_out);
+    let new_entries = now.left_out.iter().filter(|entry| !previous.contains(entry));
+    for entry in new_entries.take(SKIPPED_ENTRY_LOG_LINES_MAX) {
         let (name, mistake) = (entry.name.as_str(), entry.mistake.as_str());
         warn!("entry_left_out", kv: { name, mistake });
     }
@@ -224,12 +228,12 @@
 }
 
 /// Logs each data hall that is newly drained or no longer drained, and sets the gauge of drained halls.
-fn log_halls(before: Option<&Configuration>, now: &Configuration) {
-    let before = before.map_or(&[][..], |before| &before.drained_halls);
-    for hall in now.drained_halls.iter().filter(|hall| !before.contains(hall)) {
+fn log_halls(previous: Option<&Configuration>, now: &Configuration) {
+    let previous = previous.map_or(&[][..], |previous| &previous.drained_halls);
+    for hall in now.drained_halls.iter().filter(|hall| !previous.contains(hall)) {
         info!("data_hall_drained", kv: { hall: = hall });
     }
-    for hall in before.iter().filter(|hall| !now.drained_halls.contains(hall)) {
+    for hall in previous.iter().filter(|hall| !now.drained_halls.contains(hall)) {
         info!("data_hall_taken_back", kv: { hall: = hall });
     }
     gauge!(metric::DRAINED_HALLS).set(now.drained_halls.len() as f64);
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -174,7 +174,7 @@
             return Err(self.not_sent(request.into_body()).into());
         };
         let sending = sender.try_send_request(request);
-        let sent = self.shared.gaps.timeout_at(&BootClock, deadline, sending).await;
+        let sent = self.shared.pause_notifier.timeout_at(&BootClock, deadline, sending).await;
         let response = match sent {
             None => return Err(self.timed_out(&destination).into()),
             Some(Err(mut error)) => {
@@ -186,13 +186,13 @@
             }
             Some(Ok(response)) => response,
         };
-        let meaning = D::classify_answer(response.status(), response.headers(), &attempt);
+        let answer_class = D::classify_answer(response.status(), response.headers(), &attempt);
         self.shared.unknown_headers.record::<D>(response.headers(), &destination);
         let statements = TargetStatements::read::<D>(response.status(), response.headers());
-        let observed = observation(meaning, &statements, D::report(response.headers()));
-        self.apply_statements(meaning, statements, &destination);
+        let observed = observation(answer_class, &statements, D::report(response.headers()));
+        self.apply_statements(answer_class, statements, &destination);
         self.apply_observation(observed);
-        if let Some(failed) = self.failure_of(meaning, &destination) {
+        if let Some(failed) = self.failure_of(answer_class, &destination) {
             // Returning drops the connection: its remaining bytes belong to no request.
             return Err(failed.into());
         }
@@ -206,11 +206,11 @@
             return Ok(answer.streamed());
         }
         let buffering = answer.buffered(plan.answer_buffer_bytes);
-        let buffered = self.shared.gaps.timeout_at(&BootClock, deadline, buffering).await;
+        let buffered = self.shared.pause_notifier.timeout_at(&BootClock, deadline, buffering).await;
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
         let failure = match buffered {
-            Some(Ok(response)) if meaning == AnswerClass::Failed => {
+            Some(Ok(response)) if answer_class == AnswerClass::Failed => {
                 let failure = Failure::new(Outcome::Failed, Reason::TargetFailed, Step::Wait, peer);
                 return Err(Box::new(AttemptFailure {
                     failure,
@@ -242,15 +242,15 @@
     /// Returns the failure that an answer means, or `None` if the answer may be forwarded.
     fn failure_of(
         &self,
-        meaning: AnswerClass,
+        answer_class: AnswerClass,
         destination: &Destination,
     ) -> Option<AttemptFailure> {
-        let is_proof = self.grant.service().settings().shed_means_not_run;
-        let (outcome, reason) = match meaning {
+        let proves_not_run = self.grant.service().settings().shed_means_not_run;
+        let (outcome, reason) = match answer_class {
             AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => {
                 return None;
             }
-            AnswerClass::Shed if !is_proof => return None,
+            AnswerClass::Shed if !proves_not_run => return None,
             AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::WrongTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
@@ -354,11 +354,11 @@
 }
 
 fn observation(
-    meaning: AnswerClass,
+    answer_class: AnswerClass,
     statements: &TargetStatements,
     report: Option<LoadReport>,
 ) -> Observation {
-    match meaning {
+    match answer_class {
         AnswerClass::Shed | AnswerClass::NotRun if statements.asks_for_backoff() => {
             Observation::ShedWithBackoff(report)
         }
--- a/crates/thymeshift_entry/src/target_client/pool.rs
+++ b/crates/thymeshift_entry/src/target_client/pool.rs
@@ -177,7 +177,7 @@
     pub(crate) fn sweep(&self, idle_max: Duration, now: Timestamp) {
         let mut targets = self.targets.lock();
         for target in targets.values_mut() {
-            let before = target.idle.len();
+            let idle_count = target.idle.len();
             target.idle.retain(|idle| {
                 let is_kept =
                     now.since(idle.since) < idle_max && !idle.connection.sender.is_closed();
@@ -186,7 +186,7 @@
                 }
                 is_kept
             });
-            target.open -= (before - target.idle.len()) as u32;
+            target.open -= (idle_count - target.idle.len()) as u32;
         }
         targets.retain(|_, target| target.open > 0);
     }
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -45,14 +45,14 @@
     /// Ignores answers of another target or to another request: they don't describe this target.
     pub(super) fn apply_statements(
         &mut self,
-        meaning: AnswerClass,
+        answer_class: AnswerClass,
         statements: TargetStatements,
         destination: &Destination,
     ) {
-        if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
+        if matches!(answer_class, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
             return;
         }
-        self.apply_rate_limit(meaning, statements.rate_limit, destination);
+        self.apply_rate_limit(answer_class, statements.rate_limit, destination);
         self.apply_backoff(statements.backoff, destination);
         if statements.is_leaving
             && let Some(mark) = self.grant().mark_leaving()
@@ -67,7 +67,7 @@
     /// of the target that does not know the limit.
     fn apply_rate_limit(
         &self,
-        meaning: AnswerClass,
+        answer_class: AnswerClass,
         stated: Result<Option<RequestRate>, RateLimitError>,
         destination: &Destination,
     ) {
@@ -80,7 +80,7 @@
                 return;
             }
         };
-        let may_end_limit = matches!(meaning, AnswerClass::Answered | AnswerClass::Failed);
+        let may_end_limit = matches!(answer_class, AnswerClass::Answered | AnswerClass::Failed);
         if stated.is_none() && !may_end_limit {
             return;
         }
--- a/crates/thymeshift_wire/src/counted.rs
+++ b/crates/thymeshift_wire/src/counted.rs
@@ -52,9 +52,9 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let count = (buffer.filled().len() - before) as u64;
+        let count = (buffer.filled().len() - filled_before) as u64;
         self.bytes.received.fetch_add(count, Ordering::Relaxed);
         read
     }
