--- a/crates/thymeshift_telemetry/src/format.rs
+++ b/crates/thymeshift_telemetry/src/format.rs
@@ -11,9 +11,9 @@
 
 /// Formats a log record as `time=… level=… event=… key=value …`.
 ///
-/// A value with spaces, control characters, quotes, `=`,
-/// backslashes or non-ASCII characters is quoted and escaped,
-/// so that a value from a caller can neither end the line nor add a key=value pair.
+/// Values with spaces, quotes, `=`, backslashes, control or non-ASCII characters are escaped
+/// and put in quotes.
+/// A value from a caller can therefore neither end the line nor add a key=value pair.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KeyValueFormatter;
 
--- a/crates/thymeshift_telemetry/src/lib.rs
+++ b/crates/thymeshift_telemetry/src/lib.rs
@@ -1,9 +1,8 @@
 //! Structured logging in key=value format, and the metrics of the entry process.
 //!
-//! * [`start_logging`] writes one line per event to standard output
-//!   and never blocks on the reader of the output.
-//! * [`metric`] defines the name of every metric,
-//!   and [`start_metrics`] collects the metrics for Prometheus.
+//! * [`start_logging`]: writes one line per event to standard output without ever blocking.
+//! * [`metric`]: names of all metrics.
+//! * [`start_metrics`]: collects the metrics for Prometheus.
 
 mod format;
 mod log_rate_limiter;
--- a/crates/thymeshift_telemetry/src/log_rate_limiter.rs
+++ b/crates/thymeshift_telemetry/src/log_rate_limiter.rs
@@ -3,8 +3,7 @@
 //! Up to a fixed number of lines per second is allowed.
 //! Further lines are suppressed and counted, so that the count can be logged.
 //!
-//! During an overload, thousands of requests fail
-//! while the process has no time to log each of them.
+//! During an overload, thousands of requests fail, and the process has no time to log each one.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -32,8 +31,9 @@
         }
     }
 
-    /// Returns whether a line may be written at `now_us`, the reading of a monotonic clock
-    /// in microseconds. A few lines above the limit may pass when a new window begins.
+    /// Returns whether a line may be written at `now_us`, a monotonic time in microseconds.
+    ///
+    /// A few lines above the limit may pass when a new window begins, as threads race to reset it.
     pub fn allows(&self, now_us: u64) -> bool {
         let window = now_us / WINDOW_US;
         if self.window.swap(window, Ordering::Relaxed) != window {
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -34,8 +34,7 @@
 pub const OVER_QUOTA: &str = "thymeshift_over_quota_total";
 /// Requests refused because they carried no known key.
 pub const UNKNOWN_KEYS: &str = "thymeshift_unknown_keys_total";
-/// Pipelined requests: requests that were started
-/// while an earlier one on the same connection was in flight.
+/// Pipelined requests that were started before the earlier answer on their connection.
 pub const PIPELINED_REQUESTS: &str = "thymeshift_requests_ahead_total";
 /// Probes sent to targets, by `service`.
 pub const PROBES: &str = "thymeshift_probes_total";
@@ -45,7 +44,7 @@
 pub const CONFIGURATION_REVISION: &str = "thymeshift_configuration_revision";
 /// Number of drained data halls, whose targets receive no new requests.
 pub const DRAINED_HALLS: &str = "thymeshift_drained_halls";
-/// Number of invalid entries in the list of discovered targets, which are skipped.
+/// Number of skipped entries in the list of discovered targets, which are invalid.
 pub const ENTRIES_LEFT_OUT: &str = "thymeshift_entries_left_out";
 /// Documents refused, by `offer` (`conflicting`, `rejected`).
 pub const DOCUMENTS_REFUSED: &str = "thymeshift_documents_refused_total";
@@ -53,18 +52,21 @@
 pub const PLATFORM_CALLS: &str = "thymeshift_platform_calls_total";
 /// Datagrams to other processes, by `result` (`sent`, `dropped`).
 pub const DATAGRAMS: &str = "thymeshift_datagrams_total";
-/// Grants that were returned unused because the allocator
-/// did not know the rate limit of the target.
+/// Grants returned unused because the allocator did not know the target's rate limit.
 pub const UNCOUNTED_GRANTS: &str = "thymeshift_uncounted_grants_total";
-/// Targets obtained for requests, by `by` (`allocator`, `here`, `alone`, `fallback`).
+/// Targets obtained for requests, by `by`.
+///
+/// * `allocator`: the allocator in another process.
+/// * `here`: the allocator in this process.
+/// * `alone`: the local dispatcher of a process without a datagram socket.
+/// * `fallback`: the local dispatcher, because no allocator provided a target.
 pub const TARGETS_OBTAINED: &str = "thymeshift_targets_obtained_total";
 /// State exchanges with peers, by `result` (`answered`, `failed`).
 pub const PEER_EXCHANGES: &str = "thymeshift_peer_exchanges_total";
-/// Bytes transferred over peer connections since
-/// the process started, by `way` (`received`, `sent`).
+/// Bytes transferred over peer connections since the start, by `way` (`received`, `sent`).
 pub const PEER_BYTES: &str = "thymeshift_peer_bytes";
-/// Maximum delay of a tick in the last second, in seconds:
-/// how long the threads of the process were busy or not scheduled.
+/// Maximum delay of a tick in the last second, in seconds.
+/// A delay shows that the threads of the process were busy or not scheduled.
 pub const TICK_LATE_SECONDS: &str = "thymeshift_tick_late_seconds";
 /// Detected pauses of this process.
 pub const PAUSES: &str = "thymeshift_pauses_total";
@@ -84,7 +86,7 @@
     }
 
     /// Merges recorded samples into the summaries.
-    /// Call it every few seconds to bound memory while no client scrapes the metrics.
+    /// Must run every few seconds to bound memory while no client scrapes the metrics.
     pub fn run_upkeep(&self) {
         self.0.run_upkeep();
     }
--- a/crates/thymeshift_telemetry/src/non_blocking_sink.rs
+++ b/crates/thymeshift_telemetry/src/non_blocking_sink.rs
@@ -3,8 +3,8 @@
 //! Before a line is written, the sink polls whether standard output is writable.
 //! A line is dropped and counted if standard output is not writable.
 //!
-//! A program that reads the log through a pipe may stop reading. A line is shorter
-//! than the free space of a pipe that polls as writable, so that writing the line does not block.
+//! A program that reads the log through a pipe may stop reading.
+//! A line is shorter than the free space of a writable pipe, so writing the line cannot block.
 
 use std::io::stdout;
 use std::sync::atomic::AtomicU64;
@@ -27,8 +27,7 @@
 /// One counter per process, because a process has one standard output.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the number of lines dropped since the last call
-/// because standard output was not writable, and resets it.
+/// Returns and resets the number of lines dropped because standard output was not writable.
 pub fn take_dropped_lines() -> u64 {
     DROPPED_LINES.swap(0, Ordering::Relaxed)
 }
--- a/crates/thymeshift_wire/src/answer_headers.rs
+++ b/crates/thymeshift_wire/src/answer_headers.rs
@@ -1,5 +1,4 @@
-//! Intended recipients of the standard HTTP headers
-//! of an answer (RFC 9110, 9111, 9112 and related documents).
+//! Intended recipients of the standard HTTP headers of an answer (RFC 9110, 9111, 9112 and others).
 
 use http::HeaderName;
 use http::header;
@@ -64,8 +63,9 @@
     header::X_XSS_PROTECTION,
 ];
 
-/// Returns the intended recipient of a standard HTTP header. A header that is meant for proxies
-/// but not read by this process counts as unknown, so that it is reported.
+/// Returns the intended recipient of a standard HTTP header.
+///
+/// A header that is meant for proxies but not read by this process is unknown, so it is reported.
 pub fn standard_audience(name: &HeaderName) -> HeaderAudience {
     if HOP_BY_HOP.contains(name) {
         HeaderAudience::Proxy
--- a/crates/thymeshift_wire/src/call_context.rs
+++ b/crates/thymeshift_wire/src/call_context.rs
@@ -24,8 +24,7 @@
 /// Deadline, remaining attempts and depth of a call, as the caller sent them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallContext {
-    /// Time left until the deadline.
-    /// A duration is used instead of a point in time, because clocks differ.
+    /// Time left until the deadline; a duration, because the clocks of two machines differ.
     pub timeout: Option<Duration>,
     /// Number of attempts that the call may still use.
     pub attempts_left: Option<u64>,
--- a/crates/thymeshift_wire/src/codec.rs
+++ b/crates/thymeshift_wire/src/codec.rs
@@ -1,5 +1,6 @@
-//! `postcard` codec for the transport of `tarpc`. Long messages are compressed,
-//! because documents are repetitive and many processes fetch them over the same link.
+//! `postcard` codec for the transport of `tarpc`.
+//!
+//! Long messages are compressed: documents are repetitive, and many processes share one link.
 
 use std::io::Read;
 use std::io::Write;
@@ -19,7 +20,7 @@
 use tokio_serde::Serializer;
 
 /// Maximum size of a message before compression, in bytes.
-/// The limit leaves room for a document of one MiB and the message around it.
+/// A message holds a document of up to one MiB and the fields around the document.
 pub(crate) const MESSAGE_BYTES_MAX: usize = 2 * 1_024 * 1_024;
 /// Size above which a message is compressed, in bytes.
 const COMPRESSED_FROM_BYTES: usize = 1_024;
--- a/crates/thymeshift_wire/src/counted.rs
+++ b/crates/thymeshift_wire/src/counted.rs
@@ -1,5 +1,4 @@
-//! Byte counters for the connections between entry processes,
-//! whose bandwidth has a documented limit.
+//! Byte counters for the connections between entry processes, whose bandwidth is limited.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/thymeshift_wire/src/datagram.rs
+++ b/crates/thymeshift_wire/src/datagram.rs
@@ -1,5 +1,4 @@
-//! Datagrams between entry processes: heartbeats
-//! of source readers, target leases and quota requests.
+//! Datagrams between entry processes: source heartbeats, target leases, quota requests and reports.
 //!
 //! A datagram may be lost, delayed or duplicated.
 //! Each message is self-contained, and no invariant depends on the delivery of a datagram.
@@ -36,7 +35,7 @@
 pub struct DatagramError(postcard::Error);
 
 /// Identifier of a lease.
-/// The process that requests leases numbers them consecutively from its start.
+/// A process numbers the leases that it requests consecutively from its start.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -66,11 +65,10 @@
     Granted(LeaseNumber, LeaseGrant),
     /// Refuses a lease, with the reason and the time after which to retry.
     Refused(LeaseNumber, Reason, Duration),
-    /// Reports that the sender does not allocate the group,
-    /// as it is stopping or does not know the service.
+    /// Reports that the sender does not allocate the group: it is not serving or lacks the service.
     Declined(LeaseNumber),
-    /// Reports that the requested group has no spare capacity,
-    /// and names another group that has spare capacity, together with its allocator.
+    /// Redirects a lease request to the allocator of another group, which has spare capacity.
+    /// The requested group has no spare capacity.
     Redirected(LeaseNumber, Group, AllocatorAddress),
     /// Names a member that ranks before the sender as the allocator of the group.
     AskInstead(LeaseNumber, Member),
@@ -82,20 +80,19 @@
     News(Heads),
     /// Announces that the sender has started, begins to serve or is stopping.
     Phase(Member),
-    /// Reports a request under which a target crashed,
-    /// or that a target answered a suspected request.
+    /// Reports that a target crashed while running a request, or answered a suspected request.
     Suspect(SuspectReport),
     /// Requests tokens of an organisation from the organisation's counter.
     QuotaAsk(QuotaAsk),
     /// Returns the tokens that the counter of an organisation grants.
     QuotaCounted(QuotaRequestNumber, QuotaGrant),
-    /// Reports that the sender is not the organisation's counter,
-    /// because the sender is stopping or another process ranks before it.
+    /// Reports that the sender is not the organisation's counter.
+    /// Possible reasons: the sender is not serving or knows no limit, or another process ranks first.
     QuotaElsewhere(QuotaRequestNumber),
 }
 
 /// Identifier of a quota request.
-/// The requesting process numbers its quota requests consecutively from its start.
+/// A process numbers its quota requests consecutively from its start.
 #[derive(
     Debug,
     Clone,
@@ -121,8 +118,7 @@
     pub organisation: OrganisationName,
     /// Number of tokens requested.
     pub wanted: u32,
-    /// Number of requests of the organisation that arrived
-    /// at the sender since its last quota request.
+    /// Requests of the organisation that arrived at the sender since its last quota request.
     pub arrived: u32,
 }
 
@@ -133,14 +129,15 @@
     pub tokens: u32,
     /// Time until tokens are available again if none was granted, in milliseconds.
     pub retry_after_ms: u32,
-    /// Share of the organisation's rate limit that the requesting process may admit
-    /// without asking the counter, in requests per second.
+    /// Rate that the requesting process may admit without the counter, in requests per second.
+    /// The rate is a share of the organisation's rate limit.
     pub own_rate_per_s: Option<f64>,
 }
 
 /// Result of a reader's last call to the configuration source.
-/// The reader sends it to the processes of its own data hall
-/// and to some processes of every other data hall, which relay it within their data hall.
+///
+/// The reader sends the result to its own data hall and to some processes of every other data hall.
+/// Those processes relay the result within their data hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceHeartbeat {
     /// VM of the process that called the source.
@@ -167,10 +164,9 @@
 /// Revisions and digests of the documents that are in force at a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heads {
-    /// Revision and digest of the configuration; `None` before the first one is adopted.
+    /// Revision and digest of the configuration; `None` before the first adoption.
     pub configuration: Option<Head>,
-    /// Revision and digest of the list of discovered targets;
-    /// `None` before the first one is adopted.
+    /// Revision and digest of the list of discovered targets; `None` before the first adoption.
     pub targets: Option<Head>,
 }
 
@@ -183,8 +179,7 @@
     pub group: Group,
     /// Allocator that sends the report.
     pub allocator: AllocatorAddress,
-    /// Number of further requests that the targets
-    /// of the group would serve at nearly their usual speed.
+    /// Number of further requests that the group's targets would serve at nearly their usual speed.
     pub room: u32,
 }
 
@@ -200,19 +195,17 @@
     /// Whether the allocator may redirect the request to another group.
     pub may_redirect: bool,
     /// Whether the sender ranks the receiver first and skipped no other allocator.
-    /// Only then may the receiver name an allocator that ranks before itself.
+    /// The receiver names an allocator that ranks before itself only if this field is set.
     pub is_first_choice: bool,
     /// Data hall of the process that requests the lease.
     pub data_hall: DataHallName,
-    /// Priority of the request, derived from its organisation
-    /// and kind; lower values are served first.
+    /// Priority of the request, from its organisation and kind; lower values are served first.
     pub priority: u8,
     /// Time left until the answer of the target must have begun.
     pub deadline: Duration,
     /// Maximum time to wait for a target.
     pub wait: Duration,
-    /// Time left until the request misses its latency objective;
-    /// zero if the objective is missed already.
+    /// Time left until the request misses its latency objective; zero if it has already missed it.
     pub objective: Duration,
     /// Maximum number of queued requests of the same priority.
     pub queue_max: u32,
@@ -222,7 +215,7 @@
     pub tried: Vec<TargetName>,
     /// Targets that the sender must not use at present.
     pub excluded: Vec<TargetName>,
-    /// All leases of this group that the sender of the request holds or waits for.
+    /// Leases of the group that the sender holds or waits for; the allocator ends all others.
     pub held: Vec<LeaseNumber>,
 }
 
@@ -237,7 +230,7 @@
     pub group: Group,
     /// Observations of the lease holder about the target.
     pub report: LeaseReport,
-    /// All leases of this group that the sender of the release still holds or waits for.
+    /// Leases of the group that the sender still holds or waits for; the allocator ends all others.
     pub held: Vec<LeaseNumber>,
 }
 
--- a/crates/thymeshift_wire/src/dead_peer.rs
+++ b/crates/thymeshift_wire/src/dead_peer.rs
@@ -1,10 +1,11 @@
 //! TCP options that detect an unreachable peer.
 //!
-//! A VM that has lost power or network connectivity does not reset its connections: data sent
-//! to it is neither acknowledged nor refused, and an open connection looks healthy for minutes.
-//! HTTP cannot distinguish an unreachable target from a target that works
-//! on a request for a long time. The kernel detects an unreachable peer: it sends keepalive probes
-//! on idle connections and closes connections whose data stays unacknowledged.
+//! A VM that has lost power or network connectivity does not reset its connections.
+//! Data sent to such a VM is neither acknowledged nor refused, and an open connection looks healthy
+//! for minutes.
+//! HTTP cannot distinguish an unreachable target from a target that runs a long request.
+//! The kernel can: it sends keepalive probes on idle connections,
+//! and it closes connections whose data stays unacknowledged.
 
 use std::io;
 use std::time::Duration;
@@ -21,8 +22,8 @@
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered keepalive probes after which the kernel closes the connection.
 pub const KEEPALIVE_PROBES_MAX: u32 = 2;
-/// Time after which unacknowledged data closes the connection. This time allows for three
-/// retransmissions of a lost packet, which the kernel sends 0.2, 0.6 and 1.4 s after the original.
+/// Time after which unacknowledged data closes the connection.
+/// The time allows for three retransmissions of a lost packet, 0.2, 0.6 and 1.4 s after the first.
 pub const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Makes the kernel close the connection when the peer becomes unreachable.
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -1,7 +1,7 @@
 //! Wire format of calls, attempts, answers and failures.
 //!
-//! [`Native`] uses the headers that Thymeshift defines.
-//! For clients and targets with other headers, another implementation of [`Dialect`] translates.
+//! [`Native`] implements [`Dialect`] for the headers that Thymeshift defines.
+//! Clients and targets with other headers need another implementation of [`Dialect`].
 //! An implementation only maps names and formats; the proxy decides how a call is handled.
 
 use std::time::Duration;
@@ -47,10 +47,9 @@
     /// The target ran the request and reports that it failed; the answer may be forwarded.
     Failed,
     /// The target rejected the request for lack of capacity.
-    /// Whether this proves that the request did not run depends on the service's configuration.
+    /// `shed_means_not_run` of the service defines whether this proves that the request did not run.
     Shed,
-    /// A deeper layer rejected the request and already
-    /// used attempts of its own; the answer is forwarded.
+    /// A deeper layer rejected the request after attempts of its own; the answer is forwarded.
     ShedByDeeperLayer,
     /// The target states that it did not run the request.
     NotRun,
@@ -58,8 +57,8 @@
     WrongTarget,
     /// The answer belongs to another request or attempt.
     WrongAttempt,
-    /// The answer must not be forwarded: a part that makes it valid is missing,
-    /// or its status claims something that the target did not state.
+    /// The answer must not be forwarded: a required part is missing,
+    /// or the status claims something that the target did not state.
     Invalid,
 }
 
@@ -68,9 +67,10 @@
     /// Reads deadline, attempts and depth from a client's request.
     fn read_call(map: &HeaderMap) -> Result<CallContext, HeaderError>;
 
-    /// Removes the key from a client's request, together with any organisation
-    /// that the caller claims; targets must receive neither from the caller.
-    /// Returns the digest of the key, or `None` if there is no key that could be known.
+    /// Removes the API key and any claimed organisation from a client's request.
+    ///
+    /// Targets must receive neither of them from the client.
+    /// Returns the digest of the key, or `None` if the request carries no well-formed key.
     fn take_key(map: &mut HeaderMap) -> Option<KeyDigest>;
 
     /// Writes the headers of an attempt and replaces those that the client sent.
@@ -86,18 +86,18 @@
     /// Reads the load report of an answer; `None` if it is missing or malformed.
     fn report(map: &HeaderMap) -> Option<LoadReport>;
 
-    /// Reads the rate limit that a target states for all entry processes together,
-    /// in requests per second; `None` if the answer states no limit.
+    /// Reads the rate limit that a target states for all entry processes together.
+    /// `None` if the answer states no limit.
     fn rate_limit(map: &HeaderMap) -> Result<Option<RequestRate>, RateLimitError>;
 
     /// Reads the load report of a probe's answer, which does not count the probe itself.
-    /// The report in the answer to a request counts that request.
+    /// In contrast, the report in the answer to a request counts that request.
     fn probe_report(status: StatusCode, map: &HeaderMap) -> Option<LoadReport>;
 
     /// Returns whether a target announces that it is leaving by other means than its load report.
     fn is_leaving(map: &HeaderMap) -> bool;
 
-    /// Reads for how long a target asks this process to send it no requests;
+    /// Reads the duration for which a target asks this process to send no requests.
     /// `None` if the answer asks for no backoff.
     fn backoff(status: StatusCode, map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError>;
 
--- a/crates/thymeshift_wire/src/dump.rs
+++ b/crates/thymeshift_wire/src/dump.rs
@@ -30,7 +30,7 @@
     pub in_force: Option<Head>,
     /// Time since the configuration in force was adopted, in milliseconds.
     pub in_force_for_ms: u64,
-    /// Two different configurations that were published under the same revision, if seen.
+    /// Two different configurations received under the same revision, if any.
     pub conflict: Option<Conflict>,
     /// Last revision that failed validation.
     pub rejection: Option<Rejection>,
@@ -91,15 +91,14 @@
     pub tokens: u32,
     /// Requests of the organisation per second that arrive at this process.
     pub demand_per_s: f64,
-    /// Requests of the organisation per second at all processes;
-    /// `None` unless this process is the organisation's counter.
+    /// Requests of the organisation per second at all processes; `None` unless counted here.
     pub counted_per_s: Option<f64>,
 }
 
 /// Invalid entry in the list of discovered targets, which is skipped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeftOutDump {
-    /// Name that the skipped entry gives for itself.
+    /// Name in the skipped entry.
     pub name: String,
     /// First mistake found in the skipped entry.
     pub mistake: String,
--- a/crates/thymeshift_wire/src/headers.rs
+++ b/crates/thymeshift_wire/src/headers.rs
@@ -11,7 +11,7 @@
 /// Number of proxies that have already forwarded the call.
 pub const DEPTH: HeaderName = HeaderName::from_static("thymeshift-depth");
 /// Identifier of one attempt.
-/// A target may echo it; an answer with another value belongs to another attempt.
+/// A target may echo the identifier; an answer with another value belongs to another attempt.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("thymeshift-attempt");
 /// Identifier of the request in logs; copied from the caller or generated if the caller sent none.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -30,8 +30,7 @@
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("thymeshift-retry-after-ms");
 /// Load report of a target in the text format of the ORCA specification.
 pub const LOAD: HeaderName = HeaderName::from_static("endpoint-load-metrics");
-/// Rate limit that a target states in an answer:
-/// requests per second from all entry processes together.
+/// Rate limit that a target states: requests per second from all entry processes together.
 pub const RATE_LIMIT: HeaderName = HeaderName::from_static("thymeshift-rate-limit");
 /// Revision of the document in an answer of the platform.
 pub const REVISION: HeaderName = HeaderName::from_static("thymeshift-revision");
--- a/crates/thymeshift_wire/src/key_header.rs
+++ b/crates/thymeshift_wire/src/key_header.rs
@@ -8,9 +8,9 @@
 /// Authentication scheme of an `Authorization` header that carries a key, in lower case.
 const SCHEME: &str = "bearer";
 
-/// Removes the caller's key from a request and returns its digest.
-/// Also removes every header that a target could read
-/// as the organisation header, so that a caller cannot claim an organisation.
+/// Removes the caller's key from a request and returns the digest of the key.
+///
+/// Also removes every spelling of the organisation header, so callers cannot claim an organisation.
 /// Returns `None` if the request carries no key or more than one `Authorization` header.
 pub fn take_bearer_key(map: &mut HeaderMap, organisation: &HeaderName) -> Option<KeyDigest> {
     remove_spellings(map, organisation);
--- a/crates/thymeshift_wire/src/lib.rs
+++ b/crates/thymeshift_wire/src/lib.rs
@@ -3,11 +3,11 @@
 //! * [`headers`]: names of the HTTP headers that Thymeshift defines.
 //! * [`CallContext`]: deadline, remaining attempts and depth that are propagated with a call.
 //! * [`load_header`]: load reports in response headers.
-//! * [`Dialect`]: wire format of calls, attempts and answers;
-//!   [`Native`] is the implementation for Thymeshift's own headers.
-//! * [`PeerLink`] and [`Control`]: `tarpc` services;
-//!   [`connect_peer`], [`connect_control`], [`peer_channel`] and [`control_channel`] carry them
-//!   over TCP with the `postcard` codec and a size limit for every frame.
+//! * [`Dialect`]: wire format of calls, attempts and answers.
+//! * [`Native`]: implementation of [`Dialect`] for Thymeshift's own headers.
+//! * [`PeerLink`] and [`Control`]: `tarpc` services over TCP, encoded with `postcard`.
+//! * [`connect_peer`] and [`connect_control`]: client side of these services.
+//! * [`peer_channel`] and [`control_channel`]: server side, with a size limit for every frame.
 //! * [`StateDump`]: snapshot of the state of an entry process.
 
 mod answer_headers;
--- a/crates/thymeshift_wire/src/load_header.rs
+++ b/crates/thymeshift_wire/src/load_header.rs
@@ -1,10 +1,14 @@
-//! Load reports that targets attach to answers, in the text format
-//! of the ORCA specification: `TEXT named_metrics.running=2, named_metrics.queued=0`.
+//! Load reports that targets attach to answers, in the text format of the ORCA specification.
 //!
-//! Fields: `running`, `queued`, `incarnation`, `draining` (0 or 1),
-//! `pace_percent` (current duration of work, in percent of the usual duration)
-//! and `cold_for_ms` (remaining time for which the target is cold, in milliseconds).
-//! A report without both `running` and `queued` is ignored, and so are unknown fields.
+//! Example: `TEXT named_metrics.running=2, named_metrics.queued=0`
+//!
+//! * `running` and `queued`: number of requests; a report with neither field is ignored.
+//! * `incarnation`: incarnation of the target.
+//! * `draining`: 1 if the target is leaving, else 0.
+//! * `pace_percent`: current duration of work, in percent of the usual duration.
+//! * `cold_for_ms`: remaining time for which the target is cold, in milliseconds.
+//!
+//! Unknown fields are ignored.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -18,8 +22,9 @@
 const FORMAT: &str = "TEXT ";
 const NAMED: &str = "named_metrics.";
 
-/// Reads the load report of an answer. A malformed report counts as missing,
-/// because a target with a faulty report must not cost the caller its answer.
+/// Reads the load report of an answer.
+///
+/// A malformed report counts as missing, so that the caller still receives the answer.
 pub fn read(map: &HeaderMap) -> Option<LoadReport> {
     let text = map.get(&headers::LOAD)?.to_str().ok()?;
     let fields = text.strip_prefix(FORMAT)?;
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -98,7 +98,7 @@
     }
 
     fn is_leaving(_map: &HeaderMap) -> bool {
-        // Native targets announce this in the load report.
+        // Native targets announce that they are leaving in the load report.
         false
     }
 
@@ -114,8 +114,8 @@
         let is_own = name.as_str().starts_with(headers::OWN_PREFIX)
             || *name == headers::LOAD
             || *name == headers::REQUEST_ID;
-        // `Retry-After` is read from 503 answers.
-        // In other answers it is meant for the caller, but it is not an unknown header.
+        // `Retry-After` counts as known in all answers: the proxy reads the header from 503 answers,
+        // and in other answers the header is meant for the caller.
         if is_own || *name == RETRY_AFTER { HeaderAudience::Proxy } else { standard_audience(name) }
     }
 
@@ -154,7 +154,7 @@
 }
 
 /// Converts a name or address to a header value.
-/// Both are plain text; any other text is a bug in this process and becomes an empty value.
+/// Names and addresses are plain ASCII; any other text is a bug and becomes an empty value.
 fn text_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -28,11 +28,10 @@
 }
 
 /// Bounded summary of the state that a process knows.
-/// In an exchange, both processes send a summary and merge the one they receive.
+/// In an exchange, each process sends a summary and merges the summary that it receives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Whether the sender has received little state since its start
-    /// and asks for information about many members.
+    /// Whether the sender knows few members since its start and asks for many.
     pub is_new: bool,
     /// Known members; the first one is the sender.
     pub members: Vec<GossipMember>,
@@ -50,7 +49,7 @@
     pub leaving: Vec<LeavingMark>,
     /// Orders of operators.
     pub orders: Vec<Order>,
-    /// Page of the requests under which targets crashed.
+    /// Page of the reports on requests that targets crashed under.
     pub suspects: Vec<SuspectReport>,
     /// Page of the limits that rate-limited targets have stated.
     pub rate_limits: Vec<TargetRateLimit>,
--- a/crates/thymeshift_wire/src/rate_header.rs
+++ b/crates/thymeshift_wire/src/rate_header.rs
@@ -1,5 +1,4 @@
-//! Rate limits that targets state in answers:
-//! requests per second as a decimal number, such as `3.4`.
+//! Rate limits that targets state in answers: requests per second as a decimal such as `3.4`.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -34,6 +33,6 @@
         };
         lowest = Some(lowest.map_or(number, |lowest| lowest.min(number)));
     }
-    // Rounded up, because a positive limit must not become a limit of zero.
+    // Rounded up, so that a small positive limit does not become a limit of zero.
     Ok(lowest.map(|per_s| RequestRate::per_1000_s((per_s * 1_000.0).ceil() as u64)))
 }
--- a/crates/thymeshift_wire/src/retry_after.rs
+++ b/crates/thymeshift_wire/src/retry_after.rs
@@ -1,5 +1,4 @@
-//! Parser for the `Retry-After` header of a target (RFC 9110,
-//! section 10.2.3), which holds a number of seconds or a date.
+//! Parser for the `Retry-After` header (RFC 9110, section 10.2.3): a number of seconds or a date.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -22,7 +21,7 @@
 
 /// Returns the time to wait; if the header occurs several times, the longest one.
 pub fn read_retry_after(map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
-    // A date is relative to the `Date` header of the same answer,
+    // A date is compared with the `Date` header of the same answer instead of the local clock,
     // because the clocks of target and entry process may differ by seconds.
     let sent_at = map.get(DATE).and_then(parse_date);
     let mut longest = None;
--- a/crates/thymeshift_wire/src/transport.rs
+++ b/crates/thymeshift_wire/src/transport.rs
@@ -34,7 +34,7 @@
 use crate::peer::PeerLinkRequest;
 use crate::peer::PeerLinkResponse;
 
-/// Maximum length of a frame, in bytes. Checked before memory is allocated for the frame.
+/// Maximum length of a frame, in bytes; checked before memory is allocated for the frame.
 const FRAME_BYTES_MAX: usize = MESSAGE_BYTES_MAX;
 
 /// Error of opening a connection to another process.
@@ -108,14 +108,14 @@
     Config { pending_response_buffer: CALLS_PER_CONNECTION_MAX }
 }
 
-/// Server side of a peer connection; serve it with an implementation of [`crate::PeerLink`].
+/// Returns the server side of a peer connection, to be served by a [`crate::PeerLink`].
 /// The bytes transferred are added to `bytes`.
 pub fn peer_channel(stream: TcpStream, bytes: &Arc<LinkBytes>) -> PeerChannel {
     let stream = ByteCountingStream::new(stream, bytes.clone());
     BaseChannel::new(server_config(), transport(stream))
 }
 
-/// Server side of an operator's connection; serve it with an implementation of [`crate::Control`].
+/// Returns the server side of an operator's connection, to be served by a [`crate::Control`].
 pub fn control_channel(stream: TcpStream) -> ControlChannel {
     BaseChannel::new(server_config(), transport(stream))
 }
--- a/crates/thymeshift_wire/tests/codec.rs
+++ b/crates/thymeshift_wire/tests/codec.rs
@@ -1,5 +1,4 @@
-//! Tests of the frame codec: long messages are compressed,
-//! and invalid frames from untrusted peers are refused.
+//! Tests of the frame codec: compression of long messages and refusal of invalid frames.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use quickcheck::quickcheck;
--- a/crates/thymeshift_wire/tests/dead_peer.rs
+++ b/crates/thymeshift_wire/tests/dead_peer.rs
@@ -1,5 +1,6 @@
-//! Tests of the TCP options that detect an unreachable peer. Loopback connections
-//! cannot lose their peer silently, so the tests check the options and not their effect.
+//! Tests of the TCP options that detect an unreachable peer.
+//!
+//! A loopback connection cannot lose its peer silently, so the tests check only the options.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/thymeshift_wire/tests/headers.rs
+++ b/crates/thymeshift_wire/tests/headers.rs
@@ -1,5 +1,4 @@
-//! Tests of context and load headers: values are read back
-//! as written, and malformed values are refused or ignored.
+//! Tests of context and load headers: encoding, decoding and malformed values.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use std::time::Duration;
