--- a/crates/thymeshift_entry/src/caller/connection.rs
+++ b/crates/thymeshift_entry/src/caller/connection.rs
@@ -114,7 +114,7 @@
     Closing,
 }
 
-/// Returns the response unless the caller disconnects before it is available.
+/// Returns the response unless the caller disconnects before the response is available.
 /// On a disconnect, notifies `disconnect` and never returns; the connection task drops this future.
 async fn unless_disconnected<T>(
     stream: &TcpStream,
--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -68,7 +68,7 @@
     pub(crate) answer_buffer_bytes: u64,
     pub(crate) head: Parts,
     pub(crate) deadline: Timestamp,
-    /// Deadline of the latency objective; a later response is worth less to the caller.
+    /// Deadline of the latency objective; later responses have less value for the caller.
     pub(crate) objective: Timestamp,
     pub(crate) attempts_max: u64,
     pub(crate) depth: u64,
@@ -256,12 +256,12 @@
         self.kind.metrics.retries.add_one();
         let second = Box::pin(self.send(grant, copy, *attempts));
         // The first successful response wins; dropping the other attempt cancels it.
-        let (failed, left) = match select(first, second).await {
+        let (failed, other_attempt) = match select(first, second).await {
             Either::Left((Err(failed), second)) => (failed, second),
             Either::Right((Err(failed), first)) => (failed, first),
             Either::Left((answered, _)) | Either::Right((answered, _)) => return answered,
         };
-        left.await.map_err(|last| if may_have_run(&last) { last } else { failed })
+        other_attempt.await.map_err(|last| if may_have_run(&last) { last } else { failed })
     }
 
     /// Obtains a target for a hedged attempt, without waiting in the queue.
@@ -303,8 +303,9 @@
 
     /// Returns whether another attempt is permitted.
     ///
-    /// The request must not have run, or its kind must be safe to repeat. Attempts, retry budget
-    /// and time must remain, the request must not be quarantined, and the key must still be valid.
+    /// The request must not have run, or its kind must be safe to repeat.
+    /// Attempts, retry budget and time must remain.
+    /// The request must not be quarantined, and its key must still be valid.
     fn may_retry(&self, failure: &Failure, attempts: u64) -> bool {
         let is_repeatable =
             failure.outcome == Outcome::NotRun || self.kind.kind.repeat == Repeat::Safe;
--- a/crates/thymeshift_entry/src/caller/pipelining.rs
+++ b/crates/thymeshift_entry/src/caller/pipelining.rs
@@ -1,8 +1,8 @@
 //! Starts pipelined requests while an earlier request of the same connection is still in progress.
 //!
 //! hyper serves the requests of an HTTP/1.1 connection one after the other.
-//! Without this module, the last of eight pipelined 100 ms requests was answered after 806 ms,
-//! although targets were idle. With all eight started together, the last answer came within 300 ms.
+//! The last of eight pipelined 100 ms requests was then answered after 806 ms, with idle targets.
+//! With all eight requests started together, the last answer came within 300 ms.
 
 use std::collections::VecDeque;
 use std::io;
@@ -43,7 +43,7 @@
 const READ_BYTES: usize = 4 * 1_024;
 /// Maximum number of pipelined requests in progress in the whole process.
 ///
-/// Their responses stay in memory until earlier responses of the connection are sent.
+/// Responses to pipelined requests stay in memory until the earlier responses are sent.
 /// At 256 KiB each, 128 responses need 32 MiB, on a VM that has at least 112 MiB.
 const PIPELINED_REQUESTS_MAX: u64 = 128;
 
--- a/crates/thymeshift_entry/src/caller/write_timeout.rs
+++ b/crates/thymeshift_entry/src/caller/write_timeout.rs
@@ -1,7 +1,6 @@
 //! Socket whose writes fail when the caller accepts no bytes for too long.
 //!
-//! Without the timeout, a caller that does not read its response would occupy a target's slot
-//! indefinitely.
+//! Without this timeout, a caller that reads no response bytes would hold a target's slot forever.
 
 use std::io;
 use std::io::IoSlice;
--- a/crates/thymeshift_entry/src/control_plane/accept.rs
+++ b/crates/thymeshift_entry/src/control_plane/accept.rs
@@ -18,8 +18,9 @@
 
 /// Accepts connections in an endless loop and serves each one in its own task.
 ///
-/// At most `connections_max` connections are open at a time. A failed accept is logged as
-/// `failed_event`. Returns an error only if the connection limit's semaphore is closed.
+/// At most `connections_max` connections are open at a time.
+/// A failed accept is logged as `failed_event`.
+/// Returns an error only if the semaphore that limits the connections is closed.
 pub(crate) async fn accept<F>(
     listener: &TcpListener,
     connections_max: usize,
--- a/crates/thymeshift_entry/src/control_plane/bootstrap.rs
+++ b/crates/thymeshift_entry/src/control_plane/bootstrap.rs
@@ -3,8 +3,8 @@
 //! The process queries the platform and some peers at the same time.
 //! Bootstrap adopts the largest revision, because the platform and each peer may be stale.
 //! Bootstrap ends once platform and peers have answered or have had enough rounds to answer.
-//! If only the platform or only peers are reachable, bootstrap adopts the revision found there,
-//! because a stale configuration serves callers better than none.
+//! If only the platform or only peers are reachable, bootstrap adopts their revision:
+//! a stale configuration serves callers better than no configuration.
 //! The next exchange with a peer that has a newer revision replaces a stale configuration.
 //!
 //! In environments whose source is never stale, bootstrap adopts the first answer it gets.
@@ -117,8 +117,8 @@
 
 /// Probes the targets that this process allocates and waits for the first answers.
 ///
-/// Other processes may have started at the same time and send requests to the same targets,
-/// and no peer has reported the targets' load.
+/// No peer has reported the load of the targets.
+/// Other processes may have started at the same time and send requests to the same targets.
 async fn probe_initial_loads(shared: &Shared) {
     let Some(routing) = shared.routing() else {
         return;
@@ -196,8 +196,9 @@
     }
 }
 
-/// At the first start of the fleet, leaves reading the source to the named peers for up to
-/// [`FIRST_START_WAIT_ROUNDS`] rounds, or until no peer is known to run.
+/// At the first start of the fleet, waits while the peers named in the settings read the source.
+///
+/// Waits up to [`FIRST_START_WAIT_ROUNDS`] rounds, or until no peer is known to run.
 ///
 /// No caller is served yet at the first start, so waiting only delays the start.
 async fn wait_for_peers(shared: &Shared) {
--- a/crates/thymeshift_entry/src/control_plane/datagrams.rs
+++ b/crates/thymeshift_entry/src/control_plane/datagrams.rs
@@ -31,7 +31,7 @@
     };
     let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
     loop {
-        // A receive error reports the failure of an earlier send, which no task waits for.
+        // A receive error reports the failure of an earlier send, whose sender does not need it.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
--- a/crates/thymeshift_entry/src/control_plane/dump.rs
+++ b/crates/thymeshift_entry/src/control_plane/dump.rs
@@ -19,7 +19,7 @@
 /// Maximum number of leaving marks listed in a state dump.
 const MARKS_MAX: usize = 1_000;
 /// Maximum number of skipped target list entries listed in a state dump.
-const LEFT_OUT_MAX: usize = 1_000;
+const SKIPPED_ENTRIES_MAX: usize = 1_000;
 
 /// Returns the current state of this process.
 ///
@@ -79,7 +79,7 @@
 fn left_out(fleet: &Fleet) -> Vec<LeftOutDump> {
     let entries = fleet.discovery.iter().flat_map(|discovery| &discovery.left_out);
     let dump = entries
-        .take(LEFT_OUT_MAX)
+        .take(SKIPPED_ENTRIES_MAX)
         .map(|entry| LeftOutDump { name: entry.name.clone(), mistake: entry.mistake.clone() });
     dump.collect()
 }
--- a/crates/thymeshift_entry/src/control_plane/explain.rs
+++ b/crates/thymeshift_entry/src/control_plane/explain.rs
@@ -71,7 +71,7 @@
 fn verdict(kind: &KindRuntime, targets: &[TargetDump]) -> String {
     let strategy = kind.service.settings().strategy;
     let open = targets.iter().filter(|target| target.usability == Usability::Open).count();
-    let may_open = |target: &&TargetDump| {
+    let may_become_open = |target: &&TargetDump| {
         matches!(
             target.usability,
             Usability::AtLimit
@@ -84,7 +84,7 @@
     };
     if open > 0 {
         format!("sent at once: {open} of {} targets are open, chosen by {strategy}", targets.len())
-    } else if targets.iter().any(|target| may_open(&target)) {
+    } else if targets.iter().any(|target| may_become_open(&target)) {
         format!("waits up to {} ms: no target is open now", kind.kind.wait_max_ms)
     } else {
         "refused: every target is leaving or stopped".to_owned()
--- a/crates/thymeshift_entry/src/control_plane/observe.rs
+++ b/crates/thymeshift_entry/src/control_plane/observe.rs
@@ -28,7 +28,7 @@
 /// Maximum number of concurrent connections to the observe port.
 const CONNECTIONS_MAX: usize = 64;
 /// Maximum time for a client to send a request head; also closes idle connections.
-const HEAD_LIMIT: Duration = Duration::from_secs(30);
+const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves the observe port in an endless loop.
 pub(crate) async fn run_observe(
@@ -43,7 +43,7 @@
                 async { Ok::<_, Infallible>(answer) }
             });
             let mut builder = http1::Builder::new();
-            let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEAD_LIMIT);
+            let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEAD_READ_TIMEOUT);
             // A connection error concerns only the collector and needs no handling here.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         }
--- a/crates/thymeshift_entry/src/control_plane/peer_link.rs
+++ b/crates/thymeshift_entry/src/control_plane/peer_link.rs
@@ -1,5 +1,7 @@
-//! State exchanges with peers: periodic ones with a random peer, and immediate ones to announce
-//! new state to a few peers.
+//! State exchanges with peers.
+//!
+//! A process periodically exchanges state with one random peer.
+//! To announce new state, it immediately exchanges state with a few peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -42,11 +44,11 @@
 ///
 /// Processes that work together also exchange datagrams, so large fleets need fewer exchanges.
 const MEMBERS_PER_EXCHANGE_INTERVAL: u32 = 144;
-/// Interval between two exchanges during [`STARTUP_PERIOD`], while a process knows few peers.
+/// Interval between two exchanges during [`STARTUP_PERIOD`].
 const STARTUP_EXCHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time after its start during which a process exchanges state more often.
 const STARTUP_PERIOD: Duration = Duration::from_secs(4);
-/// Interval between two exchanges while a starting process knows hardly any peer.
+/// Interval between two exchanges while a starting process has received few peer answers.
 ///
 /// A process finds the allocators of a service only among the members that it knows.
 const FIRST_CONTACTS_EXCHANGE_INTERVAL: Duration = Duration::from_millis(50);
@@ -66,8 +68,8 @@
 /// Maximum number of whole documents that a process sends to peers within [`TRANSFER_WINDOW`].
 ///
 /// A refused peer fetches the document from a peer that was served.
-/// Documents therefore spread through a starting fleet as along a tree,
-/// which spares the network links of the few processes that all others know.
+/// Documents therefore spread through a starting fleet as along a tree.
+/// The few processes that all others know would otherwise send every document over their links.
 const TRANSFERS_PER_WINDOW_MAX: u32 = 8;
 /// Length of the window in which sent documents are counted.
 const TRANSFER_WINDOW: Duration = Duration::from_millis(50);
@@ -116,8 +118,7 @@
 
     /// Returns whether a document may be fetched now, and records the fetch if so.
     ///
-    /// Refuses the fetch if an unfinished fetch of the same document started less than
-    /// [`FETCH_RETRY_DELAY`] ago.
+    /// Refuses the fetch if another fetch of the document is pending, up to [`FETCH_RETRY_DELAY`].
     fn begin_fetch(&self, document: Document, now: Timestamp) -> bool {
         let mut fetching = self.fetching.lock();
         let is_pending =
@@ -133,7 +134,7 @@
         self.fetching.lock().remove(&document);
     }
 
-    /// Returns whether a whole document may be sent to a peer now, and counts the request.
+    /// Returns whether a whole document may be sent to a peer now, and counts the transfer.
     pub(crate) fn try_begin_transfer(&self, now: Timestamp) -> bool {
         let mut transfers = self.transfers.lock();
         if now.since(transfers.since) >= TRANSFER_WINDOW {
@@ -204,8 +205,8 @@
 
 /// Exchanges state with the peer at `address` once, and fetches the documents that are newer there.
 ///
-/// Counts the result. After a failure, logs it, records it in the member list, and drops the
-/// connection to the peer.
+/// Counts the result of the exchange.
+/// A failure is also logged and recorded in the member list, and closes the connection.
 pub(crate) async fn exchange_once(
     shared: &Arc<Shared>,
     address: SocketAddr,
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -1,8 +1,8 @@
 //! Watcher of the platform. Only the processes elected as watchers call the platform.
 //!
 //! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`.
-//! Its answer is `200` with the document, and the revision in the `thymeshift-revision` header,
-//! or `204` if nothing newer than revision `R` is published within `W` milliseconds.
+//! Status `200` comes with the document, and its revision in the `thymeshift-revision` header.
+//! Status `204` means that nothing newer than revision `R` was published within `W` milliseconds.
 //! Each call counts against the fleet's budget of calls to the platform.
 
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 const LONG_POLL_LIMIT: Duration = Duration::from_secs(5);
 /// Interval between two checks whether this process is an elected watcher.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between two calls for the VM list, which lags behind the actual VMs anyway.
+/// Interval between two calls for the VM list, which lags behind the actual VMs by itself.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(10);
 /// Delay after a failed call to the platform; the next watcher calls in the meantime.
 const FAILURE_DELAY: Duration = Duration::from_secs(1);
@@ -38,8 +38,8 @@
 /// Watches the platform in an endless loop, whenever this process is an elected watcher.
 pub(crate) async fn run_platform(shared: Arc<Shared>) -> Result<(), TaskError> {
     let mut listed_at: Option<Timestamp> = None;
-    // After a failure, the next call is not a long poll. A platform that accepts calls without
-    // answering, and its recovery, are then detected within the time limit of an answer.
+    // After a failure, the next call is not a long poll. The process then detects within the time
+    // limit of an answer that the platform accepts calls without answering, or has recovered.
     let mut wait = LONG_POLL_LIMIT;
     loop {
         let should_watch = {
--- a/crates/thymeshift_entry/src/control_plane/relay.rs
+++ b/crates/thymeshift_entry/src/control_plane/relay.rs
@@ -1,6 +1,6 @@
 //! Distribution of new documents within the data hall along a relay tree.
 //!
-//! [`thymeshift_fleet::relay_position`] defines which process fetches from which one.
+//! [`thymeshift_fleet::relay_position`] defines the parent and children of each process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::shared::Shared;
 
 /// Maximum jitter added to the wait for the parent in the relay tree, as a fraction of the wait.
-const WAIT_JITTER: f64 = 0.5;
+const WAIT_JITTER_FRACTION_MAX: f64 = 0.5;
 
 /// Sends the revisions in force here to this process's children in the relay tree.
 pub(crate) fn notify_relay_children(shared: &Shared) {
@@ -61,8 +61,8 @@
 /// Handles the revisions announced by a reader of the source.
 ///
 /// The root of the data hall's relay tree fetches from the sender at once.
-/// Other processes wait for their parent in the tree, and fetch from the sender only if the parent
-/// has not delivered the documents in time.
+/// Other processes wait for their parent in the tree.
+/// They fetch from the sender only if the parent has not delivered the documents in time.
 pub(crate) fn receive_reader_heads(shared: &Arc<Shared>, heartbeat: &SourceHeartbeat) {
     let theirs = heartbeat.heads;
     if !has_newer(shared, theirs) {
@@ -78,7 +78,7 @@
     }
     let (shared, address) = (shared.clone(), heartbeat.peer_address);
     tokio::spawn(async move {
-        let jitter = rand::rng().random_range(1.0..1.0 + WAIT_JITTER);
+        let jitter = rand::rng().random_range(1.0..1.0 + WAIT_JITTER_FRACTION_MAX);
         sleep(wait_limit.mul_f64(jitter)).await;
         shared.is_awaiting_relay.store(false, Ordering::Relaxed);
         if has_newer(&shared, theirs) {
@@ -104,7 +104,7 @@
     });
 }
 
-/// Returns whether the sender has a newer document than the ones in force here.
+/// Returns whether `theirs` includes a newer revision than those in force here.
 fn has_newer(shared: &Shared, theirs: Heads) -> bool {
     let ours = heads(&shared.fleet.lock());
     is_newer(theirs.configuration, ours.configuration) || is_newer(theirs.targets, ours.targets)
--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -75,8 +75,8 @@
 
 /// Handles a report of another group's spare capacity.
 ///
-/// A report that comes directly from the other group's allocator is forwarded to the allocator of
-/// this data hall's group, unless this process is that allocator.
+/// A report that comes directly from the other group's allocator is forwarded once:
+/// to the allocator of this data hall's group, unless this process is that allocator.
 pub(crate) fn receive_spare_capacity(
     shared: &Shared,
     sender: &VmName,
@@ -113,7 +113,7 @@
 
 /// Returns the address of a group's first allocator that is considered reachable.
 ///
-/// Returns `None` if that allocator is this process, or if no allocator is considered reachable.
+/// Returns `None` if the first such allocator is this process, or if none is reachable.
 fn address_for(
     shared: &Shared,
     service: &ServiceRuntime,
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns the summary that answers a peer's summary `theirs`.
+    /// Returns the summary to send in reply to the peer's summary `theirs`.
     pub(crate) fn answer(
         &mut self,
         theirs: &Exchange,
@@ -299,8 +299,7 @@
 
     /// Returns whether a peer's leaving mark is about a target that this process knows.
     ///
-    /// Without this check, the mark of a removed discovered target would count as new again
-    /// each time that the mark had expired here.
+    /// Otherwise, the mark of a removed target would count as new each time that it had expired.
     fn concerns_known_target(&self, mark: &LeavingMark) -> bool {
         if self.leaving.is_leaving(&mark.service, &mark.target, mark.incarnation) {
             // Marks that are already recorded skip the search through the long list of targets.
--- a/crates/thymeshift_entry/src/native.rs
+++ b/crates/thymeshift_entry/src/native.rs
@@ -1,8 +1,8 @@
-//! Native environment: thymeshift's own headers and its configuration service.
+//! Native environment: Thymeshift's own headers and the platform's configuration service.
 //!
 //! The platform serves `GET /v1/configuration?after=R&wait_ms=W`, and likewise `/v1/targets`.
-//! The answer is `200` with the document and its revision in `thymeshift-revision`,
-//! or `204` if no revision newer than `R` is published within `W` milliseconds.
+//! Status `200` comes with the document, and its revision in the `thymeshift-revision` header.
+//! Status `204` means that no revision newer than `R` was published within `W` milliseconds.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/thymeshift_entry/src/organisations/mod.rs
+++ b/crates/thymeshift_entry/src/organisations/mod.rs
@@ -1,7 +1,7 @@
 //! Identifies the organisation of each request and enforces its rate limit.
 //!
 //! * [`identity`]: resolves a request's key to its organisation.
-//! * [`quota`]: enforces an organisation's rate limit over all processes; one process counts.
+//! * [`quota`]: enforces an organisation's rate limit over all processes through one counter.
 //! * [`pending_asks`]: matches the replies of the counting process to quota requests.
 
 mod identity;
--- a/crates/thymeshift_entry/src/organisations/quota.rs
+++ b/crates/thymeshift_entry/src/organisations/quota.rs
@@ -42,7 +42,7 @@
 /// The sum of the timeouts covers two one-way trips between regions and a busy VM.
 const REPLY_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(25), Duration::from_millis(25), Duration::from_millis(55)];
-/// Maximum time that a caller's request waits for a quota request sent for another one.
+/// Maximum time that a caller's request waits for another request's pending quota request.
 const PENDING_ASK_WAIT_MAX: Duration = Duration::from_millis(200);
 /// Maximum number of counters that receive a quota request for one caller's request.
 const COUNTERS_PER_REQUEST_MAX: usize = 2;
@@ -101,8 +101,8 @@
                     return Err(after);
                 }
                 Admission::AnswerPending => {
-                    // If the caller's request that sent the quota request is cancelled,
-                    // this one sends another quota request after the timeout.
+                    // The request that sent the pending quota request may have been cancelled.
+                    // This request therefore sends a quota request itself after the timeout.
                     let _ = timeout(PENDING_ASK_WAIT_MAX, ask_finished).await;
                 }
                 Admission::Ask { wanted, arrived } => {
--- a/crates/thymeshift_entry/src/pauses.rs
+++ b/crates/thymeshift_entry/src/pauses.rs
@@ -1,8 +1,8 @@
 //! Timeouts that follow the boot clock, which also runs while the VM is suspended.
 //!
 //! The timers of the async runtime stop while the VM is suspended.
-//! Without a check after the resume, a request would be held for its full remaining time although
-//! its deadline has passed.
+//! Without a check after the resume, a request in progress would be held past its deadline,
+//! for as much time as it had left before the suspension.
 
 use std::pin::pin;
 
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -48,8 +48,8 @@
 const LOAD_REPORT_AGE_MAX: Duration = Duration::from_millis(10);
 /// Maximum number of targets that are probed before one of them is granted.
 ///
-/// In a replayed day without faults, probing three targets reduced late answers from 460 to 218 of
-/// 14,119 and sent 5% more probes.
+/// In a replayed day without faults, three probes reduced late answers from 460 to 218 of 14,119.
+/// They cost 5% more probes in total.
 /// Values from five to sixteen showed no consistent difference on two replayed days with high load.
 const PROBES_BEFORE_GRANT: usize = 5;
 
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -89,8 +89,8 @@
 
 /// Dispatcher for the requests of this process alone, with the channels of its queued requests.
 ///
-/// One lock guards both, so that the dispatcher cannot decide on a queued request before the
-/// request's channel is registered.
+/// One lock guards dispatcher and channels.
+/// The dispatcher therefore cannot decide on a queued request before its channel is registered.
 struct LocalDispatch {
     dispatcher: Dispatcher<AnyStrategy>,
     waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
@@ -393,8 +393,8 @@
 
     /// Returns the state dump of the service.
     ///
-    /// Shows the allocator's view of targets whose group received an acquire request within
-    /// [`RECENT_ACQUIRE_WINDOW`], and the local dispatcher's view of all other targets.
+    /// The allocator's view is dumped for groups acquired from within [`RECENT_ACQUIRE_WINDOW`].
+    /// All other targets are dumped as the local dispatcher sees them.
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
         let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
--- a/crates/thymeshift_entry/src/shared/rate_limits.rs
+++ b/crates/thymeshift_entry/src/shared/rate_limits.rs
@@ -1,8 +1,8 @@
 //! Exchange of the rate limits that targets state, between processes.
 //!
-//! Without this exchange, a process that received no answer of a rate-limited target would not know
-//! the limit. While no allocator replies, it would send requests to the target without a limit.
-//! After becoming the target's allocator, it would grant the target without a limit.
+//! A process learns a limit from answers of the target, or from peers through this exchange.
+//! A process that does not know the limit would send requests without a limit while no allocator
+//! replies, and would grant the target without a limit after becoming its allocator.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -120,8 +120,8 @@
             Ok(connection) => connection,
             Err(error) => return Err(self.connect_failed(plan.body, &destination, &error).into()),
         };
-        // Checked again directly before the first byte: since the grant, the target may have
-        // started to leave, or this process may have been paused.
+        // Last check before the first byte is sent. Since the grant, the target may have started
+        // to leave, or this process may have been paused.
         if !self.grant.may_send(plan.deadline) {
             connection.put_back();
             return Err(self.not_sent(plan.body).into());
--- a/crates/thymeshift_entry/src/target_client/body.rs
+++ b/crates/thymeshift_entry/src/target_client/body.rs
@@ -89,8 +89,8 @@
             Some(Ok(frame)) => frame,
         };
         if frame.is_trailers() {
-            // Trailers are dropped, because they could carry headers that are removed from a
-            // request's head, such as the name of an organisation.
+            // Trailers are dropped: they could carry headers that must not reach targets,
+            // such as the name of an organisation.
             return Poll::Ready(None);
         }
         let length = frame.data_ref().map_or(0, |data| data.len() as u64);
--- a/crates/thymeshift_entry/src/target_client/pace_probe.rs
+++ b/crates/thymeshift_entry/src/target_client/pace_probe.rs
@@ -8,8 +8,7 @@
 //! The service time of a target may change many times a second, and older reports become useless.
 //! Only the allocator probes, for the whole fleet, so the cost does not grow with the fleet.
 //! The service's measuring budget bounds the probes of one target.
-//! Each allocator uses only part of the budget, because several processes may briefly act as the
-//! allocator at once.
+//! Each allocator uses only part of the budget, as several processes may briefly act as allocator.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/thymeshift_entry/src/target_client/pool.rs
+++ b/crates/thymeshift_entry/src/target_client/pool.rs
@@ -1,8 +1,8 @@
 //! Pool of connections to the targets of one service, within this VM's share of connections.
 //!
 //! A connection is in the pool only while it is idle and its last answer was complete.
-//! A connection is closed after an error, a cancelled request or an incomplete answer, so that late
-//! bytes cannot become another request's answer.
+//! A connection is closed after an error, a cancelled request or an incomplete answer.
+//! Otherwise, late bytes on the connection could become another request's answer.
 
 use std::collections::HashMap;
 use std::io;
--- a/crates/thymeshift_telemetry/src/format.rs
+++ b/crates/thymeshift_telemetry/src/format.rs
@@ -11,8 +11,8 @@
 
 /// Formats a log record as `time=… level=… event=… key=value …`.
 ///
-/// Values with spaces, quotes, `=`, backslashes, control or non-ASCII characters are escaped
-/// and put in quotes.
+/// Values with other than printable ASCII characters are quoted and escaped.
+/// So are values with spaces, quotes, `=` or backslashes.
 /// A value from a caller can therefore neither end the line nor add a key=value pair.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KeyValueFormatter;
--- a/crates/thymeshift_wire/src/codec.rs
+++ b/crates/thymeshift_wire/src/codec.rs
@@ -25,9 +25,9 @@
 /// Size above which a message is compressed, in bytes.
 const COMPRESSED_FROM_BYTES: usize = 1_024;
 /// First byte of a frame with an uncompressed message.
-const PLAIN: u8 = 0;
+const PLAIN_FRAME: u8 = 0;
 /// First byte of a frame with a compressed message.
-const COMPRESSED: u8 = 1;
+const COMPRESSED_FRAME: u8 = 1;
 
 /// Error of encoding a message or decoding a frame.
 #[derive(Debug, Display, Error, From)]
@@ -61,11 +61,11 @@
 impl Postcard {
     /// Encodes a message as a frame, compressed if it is long.
     pub fn encode<T: Serialize>(item: &T) -> Result<Bytes, CodecError> {
-        let plain = postcard::to_extend(item, vec![PLAIN])?;
+        let plain = postcard::to_extend(item, vec![PLAIN_FRAME])?;
         if plain.len() <= COMPRESSED_FROM_BYTES {
             return Ok(plain.into());
         }
-        let mut encoder = DeflateEncoder::new(vec![COMPRESSED], Compression::fast());
+        let mut encoder = DeflateEncoder::new(vec![COMPRESSED_FRAME], Compression::fast());
         encoder.write_all(&plain[1..])?;
         Ok(encoder.finish()?.into())
     }
@@ -73,8 +73,8 @@
     /// Decodes the message in a frame.
     pub fn decode<T: for<'de> Deserialize<'de>>(frame: &[u8]) -> Result<T, CodecError> {
         match frame.split_first() {
-            Some((&PLAIN, message)) => Ok(postcard::from_bytes(message)?),
-            Some((&COMPRESSED, packed)) => Ok(postcard::from_bytes(&decompressed(packed)?)?),
+            Some((&PLAIN_FRAME, message)) => Ok(postcard::from_bytes(message)?),
+            Some((&COMPRESSED_FRAME, packed)) => Ok(postcard::from_bytes(&decompressed(packed)?)?),
             Some(_) | None => Err(CodecError::UnknownForm),
         }
     }
--- a/crates/thymeshift_wire/src/dead_peer.rs
+++ b/crates/thymeshift_wire/src/dead_peer.rs
@@ -1,11 +1,11 @@
 //! TCP options that detect an unreachable peer.
 //!
 //! A VM that has lost power or network connectivity does not reset its connections.
-//! Data sent to such a VM is neither acknowledged nor refused, and an open connection looks healthy
-//! for minutes.
+//! Data sent to such a VM is neither acknowledged nor refused.
+//! An open connection therefore looks healthy for minutes.
 //! HTTP cannot distinguish an unreachable target from a target that runs a long request.
-//! The kernel can: it sends keepalive probes on idle connections,
-//! and it closes connections whose data stays unacknowledged.
+//! The kernel can distinguish them: it sends keepalive probes on idle connections.
+//! The kernel also closes connections whose data stays unacknowledged.
 
 use std::io;
 use std::time::Duration;
--- a/crates/thymeshift_wire/src/dialect.rs
+++ b/crates/thymeshift_wire/src/dialect.rs
@@ -57,8 +57,8 @@
     WrongTarget,
     /// The answer belongs to another request or attempt.
     WrongAttempt,
-    /// The answer must not be forwarded: a required part is missing,
-    /// or the status claims something that the target did not state.
+    /// The answer must not be forwarded.
+    /// A required part is missing, or the status claims something that the target did not state.
     Invalid,
 }
 
--- a/crates/thymeshift_wire/src/dump.rs
+++ b/crates/thymeshift_wire/src/dump.rs
@@ -39,7 +39,7 @@
 /// State of the connection to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformDump {
-    /// Whether this process watches the platform.
+    /// Whether this process is an elected watcher of the platform.
     pub is_watching: bool,
     /// Number of calls to the platform since the process started.
     pub calls: u64,
--- a/crates/thymeshift_wire/src/key_header.rs
+++ b/crates/thymeshift_wire/src/key_header.rs
@@ -6,7 +6,7 @@
 use thymeshift_types::KeyDigest;
 
 /// Authentication scheme of an `Authorization` header that carries a key, in lower case.
-const SCHEME: &str = "bearer";
+const BEARER_SCHEME: &str = "bearer";
 
 /// Removes the caller's key from a request and returns the digest of the key.
 ///
@@ -26,7 +26,7 @@
 fn digest_of(value: &[u8]) -> Option<KeyDigest> {
     let text = std::str::from_utf8(value).ok()?;
     let (scheme, key) = text.trim().split_once(' ')?;
-    if !scheme.eq_ignore_ascii_case(SCHEME) {
+    if !scheme.eq_ignore_ascii_case(BEARER_SCHEME) {
         return None;
     }
     KeyDigest::of(key.trim().as_bytes())
--- a/crates/thymeshift_wire/src/load_header.rs
+++ b/crates/thymeshift_wire/src/load_header.rs
@@ -19,7 +19,9 @@
 
 use crate::headers;
 
+/// Prefix of a load report in the text format of the ORCA specification.
 const FORMAT: &str = "TEXT ";
+/// Prefix of the names of custom fields in a load report.
 const NAMED: &str = "named_metrics.";
 
 /// Reads the load report of an answer.
--- a/crates/thymeshift_wire/src/native.rs
+++ b/crates/thymeshift_wire/src/native.rs
@@ -114,8 +114,8 @@
         let is_own = name.as_str().starts_with(headers::OWN_PREFIX)
             || *name == headers::LOAD
             || *name == headers::REQUEST_ID;
-        // `Retry-After` counts as known in all answers: the proxy reads it from 503 answers,
-        // and in other answers the header is meant for the caller.
+        // `Retry-After` counts as known: the proxy reads the header from 503 answers.
+        // In other answers, `Retry-After` is meant for the caller.
         if is_own || *name == RETRY_AFTER { HeaderAudience::Proxy } else { standard_audience(name) }
     }
 
--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -49,7 +49,7 @@
     pub leaving: Vec<LeavingMark>,
     /// Orders of operators.
     pub orders: Vec<Order>,
-    /// Page of the reports on requests that targets crashed under.
+    /// Page of the reports on requests under which targets crashed.
     pub suspects: Vec<SuspectReport>,
     /// Page of the limits that rate-limited targets have stated.
     pub rate_limits: Vec<TargetRateLimit>,
--- a/crates/thymeshift_wire/src/retry_after.rs
+++ b/crates/thymeshift_wire/src/retry_after.rs
@@ -21,8 +21,8 @@
 
 /// Returns the time to wait; if the header occurs several times, the longest one.
 pub fn read_retry_after(map: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
-    // A date is compared with the `Date` header of the same answer instead of the local clock,
-    // because the clocks of target and entry process may differ by seconds.
+    // A date is compared with the `Date` header of the same answer instead of the local clock.
+    // The clocks of target and entry process may differ by seconds.
     let sent_at = map.get(DATE).and_then(parse_date);
     let mut longest = None;
     for value in map.get_all(RETRY_AFTER) {
--- a/crates/thymeshift_wire/tests/retry_after.rs
+++ b/crates/thymeshift_wire/tests/retry_after.rs
@@ -20,8 +20,8 @@
         /// Time in milliseconds; `Err` if the header cannot be parsed.
         read: Result<Option<u64>, ()>,
     }
-    const SENT: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
-    const LATER: &str = "Sun, 06 Nov 1994 08:49:40 GMT";
+    const SENT_AT: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
+    const THREE_SECONDS_LATER: &str = "Sun, 06 Nov 1994 08:49:40 GMT";
     let long = Box::leak("9".repeat(400).into_boxed_str());
     let undated = |values, read| Case { values, date: None, read };
     let cases = [
@@ -41,10 +41,10 @@
         undated(&["1e300"], Err(())),
         undated(&["soon"], Err(())),
         undated(Box::leak(Box::new([&*long])), Err(())),
-        undated(&[LATER], Err(())),
-        Case { values: &[LATER], date: Some(SENT), read: Ok(Some(3_000)) },
-        Case { values: &[SENT], date: Some(LATER), read: Ok(Some(0)) },
-        Case { values: &[LATER], date: Some("today"), read: Err(()) },
+        undated(&[THREE_SECONDS_LATER], Err(())),
+        Case { values: &[THREE_SECONDS_LATER], date: Some(SENT_AT), read: Ok(Some(3_000)) },
+        Case { values: &[SENT_AT], date: Some(THREE_SECONDS_LATER), read: Ok(Some(0)) },
+        Case { values: &[THREE_SECONDS_LATER], date: Some("today"), read: Err(()) },
     ];
     for Case { values, date, read } in cases {
         let mut map = HeaderMap::new();
