--- a/crates/thymeshift_entry/src/control_plane/http_get.rs
+++ b/crates/thymeshift_entry/src/control_plane/http_get.rs
@@ -79,11 +79,11 @@
         Ok(Response::from_parts(parts, body))
     };
     // The connection is driven in this future, so dropping the future closes the connection.
-    let both = async {
+    let driven_exchange = async {
         tokio::select! {
             answer = exchange => answer,
             Err(error) = connection => Err(GetError::Http(error)),
         }
     };
-    timeout(limit, both).await.unwrap_or(Err(GetError::TimedOut { limit }))
+    timeout(limit, driven_exchange).await.unwrap_or(Err(GetError::TimedOut { limit }))
 }
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -199,7 +199,8 @@
         if acquire.may_redirect
             && !allocator.contains(key)
             && dispatcher.spare_capacity(now) == 0
-            && let Some((other, by)) = self.group_reports.lock().reserve_elsewhere(&self.group, now)
+            && let Some((other, by)) =
+                self.group_reports.lock().reserve_in_other_group(&self.group, now)
         {
             return AcquireReply::Redirected(other, by);
         }
--- a/crates/thymeshift_entry/src/service/guards.rs
+++ b/crates/thymeshift_entry/src/service/guards.rs
@@ -138,7 +138,7 @@
 
 impl WaitGuard {
     /// Waits for the dispatcher's decision. Returns `None` if the service was removed meanwhile.
-    pub(crate) async fn decided(mut self) -> Option<Result<GrantGuard, Refusal>> {
+    pub(crate) async fn decision(mut self) -> Option<Result<GrantGuard, Refusal>> {
         let woken = (&mut self.receiver).await.ok()?;
         Some(woken.map(|grant| GrantGuard::new(&self.service, grant)))
     }
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -76,7 +76,7 @@
 impl GroupReports {
     /// Reserves capacity for one request in a group other than `own`.
     /// Returns the other group with the address of its allocator.
-    fn reserve_elsewhere(
+    fn reserve_in_other_group(
         &mut self,
         own: &Group,
         now: Timestamp,
--- a/crates/thymeshift_entry/src/service/obtain.rs
+++ b/crates/thymeshift_entry/src/service/obtain.rs
@@ -152,8 +152,8 @@
             LocalDecision::Refused(refusal) => Err(Some(refusal)),
             LocalDecision::Wait(waiting) => {
                 let left = BootClock.now().until(request.deadline);
-                match timeout(left, waiting.decided()).await {
-                    Ok(Some(decided)) => decided.map_err(Some),
+                match timeout(left, waiting.decision()).await {
+                    Ok(Some(decision)) => decision.map_err(Some),
                     Ok(None) | Err(_) => Err(None),
                 }
             }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -61,7 +61,7 @@
 #[derive(Default)]
 pub(crate) struct ProcessMetrics {
     pub(crate) requests_in_flight: AtomicU64,
-    /// Pipelined requests in progress, started before the earlier answer on their connection.
+    /// Pipelined requests in progress, started while an earlier request of the connection runs.
     pub(crate) pipelined_requests: AtomicU64,
     pub(crate) caller_connections: AtomicU64,
     pub(crate) platform_calls: AtomicU64,
@@ -289,9 +289,9 @@
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
             fleet.members.advance_heartbeat(self.phase(), revision);
-            let neighbours = fleet.members.hall_peers(BootClock.now());
+            let hall_peers = fleet.members.hall_peers(BootClock.now());
             let addresses: Vec<_> =
-                neighbours.filter_map(|member| member.datagram_address).collect();
+                hall_peers.filter_map(|member| member.datagram_address).collect();
             (fleet.members.own().clone(), addresses)
         };
         for address in addresses {
--- a/crates/thymeshift_entry/src/shared/rate_limits.rs
+++ b/crates/thymeshift_entry/src/shared/rate_limits.rs
@@ -1,8 +1,8 @@
 //! Exchange of the rate limits that targets state, between processes.
 //!
-//! A process learns a limit from answers of the target, or from peers through this exchange.
-//! A process that does not know the limit would send requests without a limit while no allocator
-//! replies, and would grant the target without a limit after becoming its allocator.
+//! A process learns a rate limit from answers of the target, or from peers through this exchange.
+//! Without the limit, a process would send any number of requests while no allocator replies.
+//! As the target's new allocator, it would grant the target any number of times.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/thymeshift_telemetry/src/metric.rs
+++ b/crates/thymeshift_telemetry/src/metric.rs
@@ -34,7 +34,7 @@
 pub const OVER_QUOTA: &str = "thymeshift_over_quota_total";
 /// Requests refused because they carried no known key.
 pub const UNKNOWN_KEYS: &str = "thymeshift_unknown_keys_total";
-/// Pipelined requests that were started before the earlier answer on their connection.
+/// Pipelined requests, started while an earlier request on their connection was in flight.
 pub const PIPELINED_REQUESTS: &str = "thymeshift_requests_ahead_total";
 /// Probes sent to targets, by `service`.
 pub const PROBES: &str = "thymeshift_probes_total";
@@ -44,7 +44,7 @@
 pub const CONFIGURATION_REVISION: &str = "thymeshift_configuration_revision";
 /// Number of drained data halls, whose targets receive no new requests.
 pub const DRAINED_HALLS: &str = "thymeshift_drained_halls";
-/// Number of skipped entries in the list of discovered targets, which are invalid.
+/// Number of invalid entries in the list of discovered targets; such entries are skipped.
 pub const ENTRIES_LEFT_OUT: &str = "thymeshift_entries_left_out";
 /// Documents refused, by `offer` (`conflicting`, `rejected`).
 pub const DOCUMENTS_REFUSED: &str = "thymeshift_documents_refused_total";
--- a/crates/thymeshift_wire/src/answer_headers.rs
+++ b/crates/thymeshift_wire/src/answer_headers.rs
@@ -65,7 +65,8 @@
 
 /// Returns the intended recipient of a standard HTTP header.
 ///
-/// A header that is meant for proxies but not read by this process is unknown, so it is reported.
+/// A header that is meant for proxies but not read by this process counts as unknown.
+/// Unknown headers are reported.
 pub fn standard_audience(name: &HeaderName) -> HeaderAudience {
     if HOP_BY_HOP.contains(name) {
         HeaderAudience::Proxy
--- a/crates/thymeshift_wire/src/call_context.rs
+++ b/crates/thymeshift_wire/src/call_context.rs
@@ -10,7 +10,7 @@
 
 use crate::headers;
 
-/// Largest number accepted in a context header; as a timeout in milliseconds, one day.
+/// Maximum number accepted in a context header; as a timeout in milliseconds, one day.
 const NUMBER_MAX: u64 = 86_400_000;
 
 /// Error of a malformed context header.
