--- a/crates/thymeshift_entry/src/caller/forward.rs
+++ b/crates/thymeshift_entry/src/caller/forward.rs
@@ -48,7 +48,7 @@
 const UNSENT_GRANTS_MAX: u32 = 8;
 
 /// Divisor of a kind's latency objective that gives the mean retry delay of a refused request.
-/// An eighth of the objective leaves time for another target to answer within the objective.
+/// After an eighth of the objective, another target can still answer within the objective.
 const RETRY_AFTERS_PER_OBJECTIVE: u32 = 8;
 
 /// Minimum time to obtain a target after which a request counts as having waited.
@@ -68,7 +68,7 @@
     pub(crate) answer_buffer_bytes: u64,
     pub(crate) head: Parts,
     pub(crate) deadline: Timestamp,
-    /// Deadline of the latency objective; a later response is worth less to the caller.
+    /// Deadline of the latency objective; later responses have less value for the caller.
     pub(crate) objective: Timestamp,
     pub(crate) attempts_max: u64,
     pub(crate) depth: u64,
@@ -178,8 +178,9 @@
         let Some(identity) = &self.identity else {
             return Ok(());
         };
-        let is_held = self.shared.routing().is_some_and(|routing| identity.is_valid(&routing.keys));
-        if is_held {
+        let is_key_valid =
+            self.shared.routing().is_some_and(|routing| identity.is_valid(&routing.keys));
+        if is_key_valid {
             return Ok(());
         }
         let peer = Peer::Service(self.service.name().clone());
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Waits for a target, in the queue if none has a free slot.
+    /// Obtains a target; waits in the queue if no target has a free slot.
     async fn grant(&self, tried: Tried) -> Result<GrantGuard, Failure> {
         let started_at = BootClock.now();
         let obtained = self.service.obtain(&self.shared, self.request(tried)).await;
@@ -255,12 +256,12 @@
         self.kind.metrics.retries.add_one();
         let second = Box::pin(self.send(grant, copy, *attempts));
         // The first successful response wins; dropping the other attempt cancels it.
-        let (failed, left) = match select(first, second).await {
+        let (failed, other_attempt) = match select(first, second).await {
             Either::Left((Err(failed), second)) => (failed, second),
             Either::Right((Err(failed), first)) => (failed, first),
             Either::Left((answered, _)) | Either::Right((answered, _)) => return answered,
         };
-        left.await.map_err(|last| if may_have_run(&last) { last } else { failed })
+        other_attempt.await.map_err(|last| if may_have_run(&last) { last } else { failed })
     }
 
     /// Obtains a target for a hedged attempt, without waiting in the queue.
@@ -302,8 +303,9 @@
 
     /// Returns whether another attempt is permitted.
     ///
-    /// The request must not have run, or its kind must be safe to repeat. Attempts, retry budget
-    /// and time must remain, the request must not be quarantined, and the key must still be valid.
+    /// The request must not have run, or its kind must be safe to repeat.
+    /// Attempts, retry budget and time must remain.
+    /// The request must not be quarantined, and its key must still be valid.
     fn may_retry(&self, failure: &Failure, attempts: u64) -> bool {
         let is_repeatable =
             failure.outcome == Outcome::NotRun || self.kind.kind.repeat == Repeat::Safe;
--- a/crates/thymeshift_entry/src/caller/write_timeout.rs
+++ b/crates/thymeshift_entry/src/caller/write_timeout.rs
@@ -1,5 +1,6 @@
-//! Socket whose writes fail when the caller accepts no bytes for too long, so that a caller that
-//! does not read its response does not occupy a slot of a target indefinitely.
+//! Socket whose writes fail when the caller accepts no bytes for too long.
+//!
+//! Without this timeout, a caller that reads no response bytes would hold a target's slot forever.
 
 use std::io;
 use std::io::IoSlice;
--- a/crates/thymeshift_entry/src/control_plane/dump.rs
+++ b/crates/thymeshift_entry/src/control_plane/dump.rs
@@ -16,15 +16,15 @@
 use crate::fleet::Fleet;
 use crate::shared::Shared;
 
-/// Most leaving marks listed in a state dump.
+/// Maximum number of leaving marks listed in a state dump.
 const MARKS_MAX: usize = 1_000;
-/// Most discovery entries listed in a state dump as left out of the target list.
-const LEFT_OUT_MAX: usize = 1_000;
+/// Maximum number of skipped target list entries listed in a state dump.
+const SKIPPED_ENTRIES_MAX: usize = 1_000;
 
 /// Returns the current state of this process.
 ///
-/// The fleet state is read under one lock and is consistent in itself, and so is the state of each
-/// service; the parts may stem from slightly different times.
+/// The fleet state is read under one lock, and so is the state of each service.
+/// Each part is consistent, but different parts may stem from slightly different times.
 pub(crate) fn dump(shared: &Shared) -> StateDump {
     let now = BootClock.now();
     let routing = shared.routing();
@@ -58,10 +58,10 @@
             rejection: adoption.rejection().cloned(),
         },
         platform: PlatformDump {
-            is_watching: fleet.election.is_watching(),
+            is_watching: fleet.watcher_selection.is_watching(),
             calls: shared.metrics.platform_calls.load(Ordering::Relaxed),
             last_answer_ms: answered_at.map(|at| now.since(at).as_millis() as u64),
-            watchers: fleet.election.watchers(now),
+            watchers: fleet.watcher_selection.watchers(now),
         },
         halls,
         services,
@@ -79,7 +79,7 @@
 fn left_out(fleet: &Fleet) -> Vec<LeftOutDump> {
     let entries = fleet.discovery.iter().flat_map(|discovery| &discovery.left_out);
     let dump = entries
-        .take(LEFT_OUT_MAX)
+        .take(SKIPPED_ENTRIES_MAX)
         .map(|entry| LeftOutDump { name: entry.name.clone(), mistake: entry.mistake.clone() });
     dump.collect()
 }
--- a/crates/thymeshift_entry/src/control_plane/http_get.rs
+++ b/crates/thymeshift_entry/src/control_plane/http_get.rs
@@ -21,7 +21,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time to open the connection of a GET.
+/// Maximum time to open the connection of a GET.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
 /// Error of a GET that returned no complete answer.
@@ -50,15 +50,16 @@
     #[from(ignore)]
     /// The answer body is incomplete or longer than the limit.
     Body {
-        /// Largest accepted body, in bytes.
+        /// Maximum size of an accepted body, in bytes.
         bytes_max: usize,
     },
 }
 
 /// Sends `GET path` to `address` and returns the answer with its whole body.
 ///
-/// Opening the connection is limited separately; `limit` bounds the request and its answer, and
-/// `bytes_max` the body. Returns a [`GetError`] if no complete answer arrives within the limits.
+/// `limit` bounds the time of request and answer, and `bytes_max` the size of the body.
+/// Opening the connection has a separate time limit.
+/// Returns a [`GetError`] if no complete answer arrives within the limits.
 pub async fn http_get(
     address: SocketAddr,
     path: &str,
@@ -68,21 +69,21 @@
     let Ok(connected) = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await else {
         return Err(GetError::ConnectTimedOut);
     };
-    let (mut sender, driving) = http1::handshake(TokioIo::new(connected?)).await?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(connected?)).await?;
     let request = Request::get(path).header(HOST, address.to_string());
     let request = request.body(Empty::<Bytes>::new())?;
-    let asking = async {
+    let exchange = async {
         let (parts, body) = sender.send_request(request).await?.into_parts();
         let body = Limited::new(body, bytes_max).collect().await;
         let body = body.map_err(|_| GetError::Body { bytes_max })?.to_bytes();
         Ok(Response::from_parts(parts, body))
     };
     // The connection is driven in this future, so dropping the future closes the connection.
-    let both = async {
+    let driven_exchange = async {
         tokio::select! {
-            answer = asking => answer,
-            Err(error) = driving => Err(GetError::Http(error)),
+            answer = exchange => answer,
+            Err(error) = connection => Err(GetError::Http(error)),
         }
     };
-    timeout(limit, both).await.unwrap_or(Err(GetError::TimedOut { limit }))
+    timeout(limit, driven_exchange).await.unwrap_or(Err(GetError::TimedOut { limit }))
 }
--- a/crates/thymeshift_entry/src/control_plane/observe.rs
+++ b/crates/thymeshift_entry/src/control_plane/observe.rs
@@ -1,7 +1,8 @@
 //! HTTP server for the platform's load balancer and for metric collectors.
 //!
-//! `/live` succeeds while the process runs. `/ready` succeeds while the process has a configuration
-//! and is not stopping. `/metrics` returns the process's metrics.
+//! * `/live` succeeds while the process runs.
+//! * `/ready` succeeds while the process has a configuration and is not stopping.
+//! * `/metrics` returns the process's metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -24,10 +25,10 @@
 use crate::control_plane::accept::accept;
 use crate::shared::Shared;
 
-/// Most connections to the observe port served at the same time.
+/// Maximum number of concurrent connections to the observe port.
 const CONNECTIONS_MAX: usize = 64;
-/// Longest time for a client to send a request head. The same timeout closes idle connections.
-const HEAD_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time for a client to send a request head; also closes idle connections.
+const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves the observe port in an endless loop.
 pub(crate) async fn run_observe(
@@ -42,7 +43,7 @@
                 async { Ok::<_, Infallible>(answer) }
             });
             let mut builder = http1::Builder::new();
-            let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEAD_LIMIT);
+            let builder = builder.timer(TokioTimer::new()).header_read_timeout(HEAD_READ_TIMEOUT);
             // A connection error concerns only the collector and needs no handling here.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         }
--- a/crates/thymeshift_entry/src/control_plane/platform.rs
+++ b/crates/thymeshift_entry/src/control_plane/platform.rs
@@ -1,8 +1,8 @@
 //! Watcher of the platform. Only the processes elected as watchers call the platform.
 //!
 //! The platform serves `GET /v1/configuration?after=R&wait_ms=W` and the same for `/v1/vms`.
-//! Its answer is `200` with the document, and the revision in the `thymeshift-revision` header,
-//! or `204` if nothing newer than revision `R` is published within `W` milliseconds.
+//! Status `200` comes with the document, and its revision in the `thymeshift-revision` header.
+//! Status `204` means that nothing newer than revision `R` was published within `W` milliseconds.
 //! Each call counts against the fleet's budget of calls to the platform.
 
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 const LONG_POLL_LIMIT: Duration = Duration::from_secs(5);
 /// Interval between two checks whether this process is an elected watcher.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between two calls for the VM list, which lags behind the actual VMs anyway.
+/// Interval between two calls for the VM list, which lags behind the actual VMs by itself.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(10);
 /// Delay after a failed call to the platform; the next watcher calls in the meantime.
 const FAILURE_DELAY: Duration = Duration::from_secs(1);
@@ -38,15 +38,15 @@
 /// Watches the platform in an endless loop, whenever this process is an elected watcher.
 pub(crate) async fn run_platform(shared: Arc<Shared>) -> Result<(), TaskError> {
     let mut listed_at: Option<Timestamp> = None;
-    // After a failure, the next call is not a long poll. A platform that accepts calls but does not
-    // answer, and its recovery, are then detected within the time limit of an answer.
+    // After a failure, the next call is not a long poll. The process then detects within the time
+    // limit of an answer that the platform accepts calls without answering, or has recovered.
     let mut wait = LONG_POLL_LIMIT;
     loop {
         let should_watch = {
             let now = BootClock.now();
             let mut fleet = shared.fleet.lock();
             let count = fleet.members.count_alive(now);
-            fleet.election.should_watch(count, now)
+            fleet.watcher_selection.should_watch(count, now)
         };
         if !should_watch {
             sleep(ELECTION_CHECK_INTERVAL).await;
@@ -57,7 +57,7 @@
         wait = if watched.is_ok() { LONG_POLL_LIMIT } else { Duration::ZERO };
         if let Err(error) = watched {
             warn!("platform_call_failed", kv: { error: = error });
-            shared.fleet.lock().election.failed(BootClock.now());
+            shared.fleet.lock().watcher_selection.failed(BootClock.now());
             sleep(FAILURE_DELAY).await;
         }
     }
@@ -82,7 +82,7 @@
             sleep(LONG_POLL_LIMIT).await;
         }
     }
-    shared.fleet.lock().election.succeeded();
+    shared.fleet.lock().watcher_selection.succeeded();
     Ok(())
 }
 
@@ -128,8 +128,8 @@
     }
 }
 
-/// Offers a VM list for adoption. The list has one peer address per line, and one invalid line
-/// makes the whole list invalid.
+/// Offers a VM list for adoption.
+/// The list has one peer address per line, and one invalid line makes the whole list invalid.
 fn offer_vm_list(shared: &Shared, published: &Published) -> OfferOutcome {
     let mut fleet = shared.fleet.lock();
     let parse = |text: &str| -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
--- a/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
+++ b/crates/thymeshift_entry/src/control_plane/spare_capacity.rs
@@ -1,8 +1,7 @@
-//! Reports of the spare capacity of the target groups that this process allocates, sent to the
-//! other allocators of the same service.
+//! Reports of spare capacity, which the allocators of a service's target groups exchange.
 //!
-//! A process knows only a few contacts of each other data hall. The contacts know the allocators of
-//! their data hall and forward the report to them.
+//! A process knows only a few contacts of each other data hall.
+//! The contacts know the allocators of their data hall and forward the reports to these allocators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,7 +58,7 @@
             allocator: allocator.clone(),
             room: service.group(group).spare_capacity(now),
         };
-        service.record_group_room(&report);
+        service.record_group_headroom(&report);
         for other in groups.iter().filter(|other| *other != group) {
             if let Some(address) = address_for(shared, service, other, now) {
                 shared.allocation.send(address, Message::Room(report.clone()));
@@ -76,8 +75,8 @@
 
 /// Handles a report of another group's spare capacity.
 ///
-/// A report that the other group's allocator sent itself is forwarded to the allocator of this data
-/// hall's group, unless that allocator is this process.
+/// A report that comes directly from the other group's allocator is forwarded once:
+/// to the allocator of this data hall's group, unless this process is that allocator.
 pub(crate) fn receive_spare_capacity(
     shared: &Shared,
     sender: &VmName,
@@ -88,9 +87,9 @@
     else {
         return;
     };
-    service.record_group_room(report);
-    let is_first_hand = *sender == report.allocator.vm;
-    if !is_first_hand {
+    service.record_group_headroom(report);
+    let is_from_allocator = *sender == report.allocator.vm;
+    if !is_from_allocator {
         return;
     }
     let own_hall = shared.settings().data_hall.clone();
@@ -114,7 +113,7 @@
 
 /// Returns the address of a group's first allocator that is considered reachable.
 ///
-/// Returns `None` if that allocator is this process, or if no allocator is considered reachable.
+/// Returns `None` if the first such allocator is this process, or if none is reachable.
 fn address_for(
     shared: &Shared,
     service: &ServiceRuntime,
--- a/crates/thymeshift_entry/src/control_plane/ticker.rs
+++ b/crates/thymeshift_entry/src/control_plane/ticker.rs
@@ -31,7 +31,7 @@
     let mut late_max = Duration::ZERO;
     loop {
         let wait = if has_waiting(&shared) { TICK_INTERVAL } else { IDLE_TICK_INTERVAL };
-        // The first request that starts to wait cuts the idle interval short.
+        // A request that starts to wait ends the interval early.
         let is_early = timeout(wait, shared.request_queued.notified()).await.is_ok();
         let now = BootClock.now();
         if !is_early {
@@ -53,8 +53,8 @@
     routing.is_some_and(|routing| routing.services.iter().any(|service| service.has_waiting()))
 }
 
-/// Copies the counts kept in atomics to the gauges. The request path does not set gauges,
-/// because each update costs a metric look-up.
+/// Copies the counts kept in atomics to the gauges.
+/// The request path does not set gauges, because each update costs a metric look-up.
 fn set_gauges(shared: &Shared, late_max: Duration) {
     let metrics = &shared.metrics;
     gauge!(metric::TICK_LATE_SECONDS).set(late_max.as_secs_f64());
@@ -75,18 +75,18 @@
         counter!(metric::PAUSES).increment(1);
         warn!("process_was_paused", kv: { gap_ms = gap.as_millis() as u64 });
         shared.fleet.lock().paused(gap);
-        shared.gaps.notify();
+        shared.pause_notifier.notify();
     }
 }
 
 fn run_housekeeping(shared: &Shared, now: Timestamp) {
-    let left_out = shared.request_log_budget.take_suppressed();
-    if left_out > 0 {
-        warn!("request_lines_left_out", kv: { count = left_out });
+    let suppressed_lines = shared.request_log_limiter.take_suppressed();
+    if suppressed_lines > 0 {
+        warn!("request_lines_left_out", kv: { count = suppressed_lines });
     }
-    let unwritten = take_dropped_lines();
-    if unwritten > 0 {
-        warn!("log_lines_unwritten", kv: { count = unwritten });
+    let dropped_lines = take_dropped_lines();
+    if dropped_lines > 0 {
+        warn!("log_lines_unwritten", kv: { count = dropped_lines });
     }
     shared.metrics_text.run_upkeep();
     shared.drop_kept_targets(now);
--- a/crates/thymeshift_entry/src/fleet.rs
+++ b/crates/thymeshift_entry/src/fleet.rs
@@ -37,15 +37,16 @@
 use thymeshift_wire::Exchange;
 use thymeshift_wire::Heads;
 
-/// Number of leaving marks in one message that are repeated for processes that missed them. Successive
-/// messages rotate through all marks.
+/// Number of leaving marks per message that are repeated for processes that missed them.
+/// Successive messages rotate through all leaving marks.
 const REPEATED_MARKS_MAX: usize = 4;
-/// Number of newest leaving marks, which are part of every message.
+/// Number of newest leaving marks that every message includes.
 const RECENT_MARKS_MAX: usize = 4;
-/// Maximum number of suspects in one message, about 300 bytes each. Successive messages rotate through
-/// all suspects, for processes that missed the datagram that is sent when a suspect changes.
+/// Maximum number of suspects in one message, about 300 bytes each.
+/// Successive messages rotate through all suspects.
+/// The repetition reaches processes that missed the datagram sent when a suspect changed.
 const REPEATED_SUSPECTS_MAX: usize = 4;
-/// Maximum number of suspects in an answer to a process that knows hardly any other process yet.
+/// Maximum number of suspects in an answer to a newly started process.
 const NEWCOMER_SUSPECTS_MAX: usize = 64;
 
 /// State that is synchronised with other processes by messages.
@@ -56,29 +57,29 @@
     pub(crate) targets: Adoption,
     discovery_reader: DiscoveryReader,
     pub(crate) readers: Readers,
-    /// Tracks which readers' reports were already forwarded within the data hall.
+    /// Filter for readers' reports that were already forwarded within the data hall.
     pub(crate) news_forwarding: ForwardingFilter<Heads>,
     /// Configuration in force, without discovered targets.
     pub(crate) base_configuration: Option<Configuration>,
-    /// Discovered targets in force: the listed ones and, after an outage of the source, the kept ones.
+    /// Discovered targets in force, including unlisted targets kept after an outage of the source.
     pub(crate) discovery: Option<Discovery>,
-    /// Latest list of discovered targets while unlisted targets are kept in addition; `None` otherwise.
+    /// Latest list of discovered targets; `None` unless unlisted targets are kept in addition.
     listed_targets: Option<Discovery>,
-    pub(crate) election: WatcherSelection,
+    pub(crate) watcher_selection: WatcherSelection,
     pub(crate) members: Members,
     pub(crate) leaving: LeavingRegister,
     pub(crate) orders: Orders,
     /// Requests that are known or suspected to crash targets.
     pub(crate) quarantine: Quarantine,
-    /// Last suspect in the previous message; the next message continues after it.
+    /// Last suspect in the previous message; the next message starts with the following suspect.
     suspects_cursor: Option<Fingerprint>,
-    /// Last repeated leaving mark in the previous message; the next message continues after it.
+    /// Last repeated leaving mark in the previous message; the next message starts after that mark.
     marks_cursor: Option<LeavingMark>,
-    /// Newest leaving marks first, at most [`RECENT_MARKS_MAX`].
+    /// Up to [`RECENT_MARKS_MAX`] most recently added leaving marks, newest first.
     recent_marks: VecDeque<LeavingMark>,
 }
 
-/// Follow-up work after a peer's summary was applied.
+/// Changes from a peer's summary that require follow-up work.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ExchangeOutcome {
     /// Documents of which the sender has a newer revision.
@@ -89,8 +90,8 @@
     pub(crate) has_new_orders: bool,
     /// Suspects that are new or have changed.
     pub(crate) new_suspects: Vec<Fingerprint>,
-    /// Head of the sender's configuration if it newly shows different content under the revision in force
-    /// here.
+    /// Head of the sender's configuration, if its content differs under the revision in force here.
+    /// Set only the first time that the conflict is seen.
     pub(crate) conflicting_head: Option<Head>,
 }
 
@@ -118,7 +119,7 @@
             base_configuration: None,
             discovery: None,
             listed_targets: None,
-            election: WatcherSelection::new(settings.vm.clone(), boot),
+            watcher_selection: WatcherSelection::new(settings.vm.clone(), boot),
             members: Members::new(own, settings.peers.clone()),
             leaving: LeavingRegister::default(),
             orders: Orders::default(),
@@ -132,18 +133,18 @@
     /// Returns the summary of this process's fleet state to send to a peer.
     pub(crate) fn summary(
         &mut self,
-        breadth: GossipScope<'_>,
+        scope: GossipScope<'_>,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
         Exchange {
             is_new: self.members.is_new(),
-            members: self.members.members_to_send(breadth, now, rng),
+            members: self.members.members_to_send(scope, now, rng),
             digest: self.members.digest(now),
             configuration: self.configuration.head(),
             vm_list: self.vm_list.head(),
             targets: self.targets.head(),
-            watchers: self.election.watchers(now),
+            watchers: self.watcher_selection.watchers(now),
             leaving: self.marks_to_send(),
             orders: self.orders.list(now),
             suspects: self.suspects_to_send(REPEATED_SUSPECTS_MAX, now),
@@ -151,30 +152,31 @@
         }
     }
 
-    /// Returns the summary that answers a peer's summary `theirs`.
+    /// Returns the summary to send in reply to the peer's summary `theirs`.
     pub(crate) fn answer(
         &mut self,
         theirs: &Exchange,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Exchange {
-        let breadth = theirs.members.first().map_or(GossipScope::SenderOnly, |sender| {
-            let asked = ReceivedSummary {
+        let scope = theirs.members.first().map_or(GossipScope::SenderOnly, |sender| {
+            let received = ReceivedSummary {
                 sender: &sender.member,
                 digest: theirs.digest,
                 is_new: theirs.is_new,
                 is_regular: theirs.members.len() > 1,
             };
-            self.members.answer_scope(&asked, now)
+            self.members.answer_scope(&received, now)
         });
-        let mut answer = self.summary(breadth, now, rng);
+        let mut answer = self.summary(scope, now, rng);
         if theirs.is_new {
             answer.suspects = self.quarantine.page(None, NEWCOMER_SUSPECTS_MAX, now);
         }
         answer
     }
 
-    /// Returns whether a request may be sent to a target. An operator's order overrides the quarantine.
+    /// Returns whether a request may be sent to a target.
+    /// An operator's order overrides the quarantine.
     pub(crate) fn verdict(&self, fingerprint: Fingerprint, now: Timestamp) -> Verdict {
         match self.orders.in_effect(&OrderSubject::Request(fingerprint), now) {
             Some((OrderChange::Stop, left)) => Verdict::Refused(left),
@@ -193,7 +195,7 @@
         page
     }
 
-    /// Returns the newest leaving marks and the next few of all marks in rotation.
+    /// Returns the newest leaving marks and [`REPEATED_MARKS_MAX`] further marks in rotation.
     fn marks_to_send(&mut self) -> Vec<LeavingMark> {
         let mut repeated = self.leaving.page(self.marks_cursor.as_ref(), REPEATED_MARKS_MAX);
         if repeated.is_empty() {
@@ -216,22 +218,22 @@
 
     /// Puts a list of discovered targets in force and returns how many unlisted targets are kept.
     ///
-    /// Shortly after an outage of the source, targets that are missing from its list stay in force: the
-    /// source may have lost its state, and targets that still run are listed again soon.
+    /// Shortly after an outage of the source, targets that are missing from its list stay in force.
+    /// The source may have lost its state, and targets that still run are listed again soon.
     pub(crate) fn adopt_discovery(&mut self, listed: Discovery, now: Timestamp) -> usize {
-        let before = self.discovery.take().filter(|_| self.readers.has_just_recovered(now));
-        let Some(before) = before else {
+        let previous = self.discovery.take().filter(|_| self.readers.has_just_recovered(now));
+        let Some(previous) = previous else {
             self.listed_targets = None;
             self.discovery = Some(listed);
             return 0;
         };
-        let (kept, count) = listed.retaining_missing(&before);
-        self.discovery = Some(kept);
-        self.listed_targets = (count > 0).then_some(listed);
-        count
+        let (merged, kept_count) = listed.retaining_missing(&previous);
+        self.discovery = Some(merged);
+        self.listed_targets = (kept_count > 0).then_some(listed);
+        kept_count
     }
 
-    /// Drops the kept targets that the source has not listed again, once its recovery period is over.
+    /// Drops the kept, unlisted targets once the recovery period of the source is over.
     /// Returns whether any targets had been kept.
     pub(crate) fn drop_kept_targets(&mut self, now: Timestamp) -> bool {
         if self.readers.has_just_recovered(now) {
@@ -269,7 +271,7 @@
             }
         }
         for watcher in &exchange.watchers {
-            self.election.merge(watcher, now);
+            self.watcher_selection.merge(watcher, now);
         }
         let marks = exchange.leaving.iter();
         let marks = marks.filter(|mark| self.concerns_known_target(mark) && self.add_mark(mark));
@@ -295,8 +297,9 @@
         }
     }
 
-    /// Returns whether a peer's leaving mark is about a target that this process knows. Otherwise the
-    /// mark of a removed discovered target would count as new again each time it had expired here.
+    /// Returns whether a peer's leaving mark is about a target that this process knows.
+    ///
+    /// Otherwise, the mark of a removed target would count as new each time that it had expired.
     fn concerns_known_target(&self, mark: &LeavingMark) -> bool {
         if self.leaving.is_leaving(&mark.service, &mark.target, mark.incarnation) {
             // Marks that are already recorded skip the search through the long list of targets.
@@ -336,13 +339,13 @@
 
     /// Adjusts time-based state after this process was paused for `gap`.
     pub(crate) fn paused(&mut self, gap: Duration) {
-        self.election.paused();
+        self.watcher_selection.paused();
         self.readers.paused(gap);
         self.members.paused(gap);
     }
 }
 
-/// Returns whether the peer's revision is larger than the own one.
+/// Returns whether the peer's revision is larger than this process's revision.
 fn is_newer(theirs: Option<Head>, ours: Option<Head>) -> bool {
     match (theirs, ours) {
         (None, _) => false,
--- a/crates/thymeshift_entry/src/service/group.rs
+++ b/crates/thymeshift_entry/src/service/group.rs
@@ -1,5 +1,4 @@
-//! Allocator of one target group: grants the group's targets to all entry processes, including this
-//! one.
+//! Allocator of one target group, which grants the group's targets to all entry processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,15 +41,16 @@
 /// Time without an acquire request after which a group counts as idle.
 const IDLE_AFTER: Duration = Duration::from_millis(100);
 
-/// Age from which a target's last load report is too old to grant the target without a probe: the
-/// service time of a target changes several times per second, and a request keeps for its whole
-/// duration the pace at which it starts.
+/// Age from which a target's last load report is too old to grant the target without a probe.
+///
+/// The service time of a target changes several times per second.
+/// A request keeps the pace at which it starts for its whole duration.
 const LOAD_REPORT_AGE_MAX: Duration = Duration::from_millis(10);
 /// Maximum number of targets that are probed before one of them is granted.
 ///
-/// In a replayed day without faults, probing three targets reduced late answers from 460 to 218 of
-/// 14,119 and sent 5% more probes. Values from five to sixteen showed no consistent difference on
-/// two replayed days with high load.
+/// In a replayed day without faults, three probes reduced late answers from 460 to 218 of 14,119.
+/// They cost 5% more probes in total.
+/// Values from five to sixteen showed no consistent difference on two replayed days with high load.
 const PROBES_BEFORE_GRANT: usize = 5;
 
 /// Acquire request whose decision waits until the best targets have been probed.
@@ -69,8 +69,7 @@
     }
 }
 
-/// Allocator of one target group: a dispatcher for the requests of the whole fleet and the lease
-/// table.
+/// Allocator of one target group: lease table, and dispatcher for the requests of the whole fleet.
 pub(crate) struct GroupRuntime {
     group: Group,
     state: Mutex<GroupState>,
@@ -128,8 +127,8 @@
         self.wake_waiting(now);
     }
 
-    /// Records an acquire request that arrived or is imminent, and starts probing if the group was idle,
-    /// so that the loads of its targets are known.
+    /// Records an acquire request that arrived or is imminent.
+    /// Starts probing if the group was idle, so that the loads of its targets are known.
     pub(crate) fn expect_requests(&self, now: Timestamp) {
         let previous_acquire_at = {
             let mut state = self.state.lock();
@@ -141,8 +140,8 @@
         }
     }
 
-    /// Handles an acquire request of an entry process; queues it for probing first if the load reports of
-    /// the best targets are too old.
+    /// Handles an acquire request of an entry process.
+    /// If the load reports of the best targets are too old, these targets are probed first.
     pub(crate) fn acquire(self: &Arc<Self>, holder: LeaseHolder, acquire: Acquire) {
         let now = BootClock.now();
         let targets = self.targets_to_probe(&acquire, now);
@@ -194,13 +193,14 @@
         self.expect_requests(now);
         let GroupState { dispatcher, allocator, .. } = &mut *self.state.lock();
         dispatcher.set_can_overflow(
-            self.group_reports.lock().rooms.is_available_outside(&self.group, now),
+            self.group_reports.lock().headroom.is_available_outside(&self.group, now),
         );
         allocator.release_unlisted(&key.holder, &lease_numbers(&acquire.held), dispatcher, now);
         if acquire.may_redirect
             && !allocator.contains(key)
             && dispatcher.spare_capacity(now) == 0
-            && let Some((other, by)) = self.group_reports.lock().reserve_elsewhere(&self.group, now)
+            && let Some((other, by)) =
+                self.group_reports.lock().reserve_in_other_group(&self.group, now)
         {
             return AcquireReply::Redirected(other, by);
         }
@@ -264,8 +264,8 @@
 
     /// Merges a target's rate limit that a peer sent.
     pub(super) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
-        let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.state.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
+        let TargetRateLimit { target, incarnation, update, .. } = limit;
+        self.state.lock().dispatcher.merge_target_rate_limit(target, *incarnation, update, now);
     }
 
     /// Sets the share of the targets' rate limits that this process may grant.
@@ -292,7 +292,7 @@
     ) -> Option<LeavingMark> {
         let now = BootClock.now();
         let mark = self.state.lock().dispatcher.record_probe(name, report, now);
-        // The report may end a target's slow spell, so that the target can take queued requests.
+        // The report may end a slow spell, after which the target serves queued requests again.
         self.wake_waiting(now);
         mark
     }
@@ -307,8 +307,8 @@
         self.state.lock().dispatcher.probe_targets(BootClock.now()).count()
     }
 
-    /// Returns names and addresses of targets whose last load report is at least `age` old, limited by
-    /// the probe budget.
+    /// Returns names and addresses of targets whose last load report is at least `age` old.
+    /// The probe budget limits the number of targets.
     pub(crate) fn stale_targets(
         &self,
         age: Duration,
--- a/crates/thymeshift_entry/src/service/mod.rs
+++ b/crates/thymeshift_entry/src/service/mod.rs
@@ -1,5 +1,4 @@
-//! Runtime state of one service: the local dispatcher, the target groups that this process
-//! allocates, and the connection pool.
+//! Runtime state of one service: local dispatcher, allocated target groups, connection pool.
 //!
 //! * [`guards`]: RAII guards for a granted target and for a queued request.
 //! * [`group`]: allocator of one target group, which grants its targets to all entry processes.
@@ -58,8 +57,8 @@
 pub(crate) use guards::GrantGuard;
 pub(crate) use guards::WaitGuard;
 
-/// Time since the last acquire request for a group during which state dumps show the allocator's
-/// view of the group's targets instead of the local dispatcher's.
+/// Time after an acquire request during which state dumps show the allocator's view of the group.
+/// Later dumps show the local dispatcher's view.
 const RECENT_ACQUIRE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Result that ends the wait of a queued request.
@@ -70,19 +69,19 @@
 /// Spare capacity and allocator address of each group of a service, as last reported.
 #[derive(Default)]
 struct GroupReports {
-    rooms: GroupHeadroom,
+    headroom: GroupHeadroom,
     allocators: BTreeMap<Group, AllocatorAddress>,
 }
 
 impl GroupReports {
-    /// Reserves one request's capacity in a group other than `own` and returns that group with the
-    /// address of its allocator.
-    fn reserve_elsewhere(
+    /// Reserves capacity for one request in a group other than `own`.
+    /// Returns the other group with the address of its allocator.
+    fn reserve_in_other_group(
         &mut self,
         own: &Group,
         now: Timestamp,
     ) -> Option<(Group, AllocatorAddress)> {
-        let other = self.rooms.reserve(own, now, &mut rand::rng())?;
+        let other = self.headroom.reserve(own, now, &mut rand::rng())?;
         let allocator = self.allocators.get(&other)?.clone();
         Some((other, allocator))
     }
@@ -90,8 +89,8 @@
 
 /// Dispatcher for the requests of this process alone, with the channels of its queued requests.
 ///
-/// One lock guards both, so that the dispatcher cannot decide on a queued request before its channel
-/// is registered.
+/// One lock guards dispatcher and channels.
+/// The dispatcher therefore cannot decide on a queued request before its channel is registered.
 struct LocalDispatch {
     dispatcher: Dispatcher<AnyStrategy>,
     waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
@@ -226,7 +225,7 @@
 
     /// Returns the allocator of `group` in this process, which is created if needed.
     ///
-    /// A new one starts with the target concurrency that the previous allocator reported.
+    /// A new allocator starts with the target concurrency that the previous allocator reported.
     pub(crate) fn group(&self, group: &Group) -> Arc<GroupRuntime> {
         // Read before `groups` is locked: ranking the allocators takes further locks.
         let concurrency = self.allocators.lock().known_concurrency(group);
@@ -256,9 +255,9 @@
     }
 
     /// Records the spare capacity that a group reported, with the address of its allocator.
-    pub(crate) fn record_group_room(&self, report: &GroupHeadroomReport) {
+    pub(crate) fn record_group_headroom(&self, report: &GroupHeadroomReport) {
         let mut groups = self.group_reports.lock();
-        groups.rooms.record(report.group.clone(), report.room, BootClock.now());
+        groups.headroom.record(report.group.clone(), report.room, BootClock.now());
         groups.allocators.insert(report.group.clone(), report.allocator.clone());
     }
 
@@ -302,7 +301,7 @@
             || self.groups().iter().any(|group| group.has_waiting())
     }
 
-    /// Ends expired waits and leases; must run every few tens of milliseconds while requests are queued.
+    /// Ends expired waits and leases; runs every few tens of milliseconds while requests wait.
     ///
     /// Returns the longest pause of this process that the dispatchers detected.
     pub(crate) fn tick(&self, now: Timestamp) -> Option<Duration> {
@@ -353,19 +352,19 @@
     pub(crate) fn rate_limits(&self, now: Timestamp) -> Vec<TargetRateLimit> {
         let known = self.local.lock().dispatcher.rate_limits(now);
         let service = &self.name;
-        let limit = |(target, incarnation, told)| TargetRateLimit {
+        let limit = |(target, incarnation, update)| TargetRateLimit {
             service: service.clone(),
             target,
             incarnation,
-            told,
+            update,
         };
         known.into_iter().map(limit).collect()
     }
 
     /// Merges a target's rate limit that a peer sent.
     pub(crate) fn merge_rate_limit(&self, limit: &TargetRateLimit, now: Timestamp) {
-        let TargetRateLimit { target, incarnation, told, .. } = limit;
-        self.local.lock().dispatcher.merge_target_rate_limit(target, *incarnation, told, now);
+        let TargetRateLimit { target, incarnation, update, .. } = limit;
+        self.local.lock().dispatcher.merge_target_rate_limit(target, *incarnation, update, now);
         for group in self.groups() {
             group.merge_rate_limit(limit, now);
         }
@@ -392,8 +391,10 @@
         Destination { service: self.name.clone(), index: None, name, address }
     }
 
-    /// Dumps the service's state: the allocator's view of targets whose group received an acquire
-    /// request within [`RECENT_ACQUIRE_WINDOW`], and the local dispatcher's view of all others.
+    /// Returns the state dump of the service.
+    ///
+    /// The allocator's view is dumped for groups acquired from within [`RECENT_ACQUIRE_WINDOW`].
+    /// All other targets are dumped as the local dispatcher sees them.
     pub(crate) fn dump(&self, now: Timestamp) -> ServiceDump {
         let mut dump = self.local.lock().dispatcher.dump(now);
         for group in self.groups() {
@@ -405,9 +406,9 @@
             dump.queues.extend(known.queues);
             dump.expected_wait_us = dump.expected_wait_us.max(known.expected_wait_us);
             for target in known.targets {
-                let place = dump.targets.iter_mut().find(|own| own.name == target.name);
-                if let Some(place) = place {
-                    *place = target;
+                let local_view = dump.targets.iter_mut().find(|own| own.name == target.name);
+                if let Some(local_view) = local_view {
+                    *local_view = target;
                 }
             }
         }
--- a/crates/thymeshift_entry/src/shared.rs
+++ b/crates/thymeshift_entry/src/shared.rs
@@ -61,7 +61,7 @@
 #[derive(Default)]
 pub(crate) struct ProcessMetrics {
     pub(crate) requests_in_flight: AtomicU64,
-    /// Pipelined requests in progress: started while an earlier request of the same connection runs.
+    /// Pipelined requests in progress, started while an earlier request of the connection runs.
     pub(crate) pipelined_requests: AtomicU64,
     pub(crate) caller_connections: AtomicU64,
     pub(crate) platform_calls: AtomicU64,
@@ -76,7 +76,7 @@
     pub(crate) started_at: Timestamp,
     pub(crate) metrics: ProcessMetrics,
     /// Ends waits whose deadline passed while the VM was suspended.
-    pub(crate) gaps: PauseNotifier,
+    pub(crate) pause_notifier: PauseNotifier,
     pub(crate) fleet: Mutex<Fleet>,
     /// Whether a configuration is in force.
     pub(crate) has_configuration: watch::Sender<bool>,
@@ -97,10 +97,10 @@
     pub(crate) pending_acquires_receiver: AsyncMutex<mpsc::UnboundedReceiver<PendingAcquire>>,
     pub(crate) unknown_headers: UnknownHeaders,
     /// Rate limit of log lines about single requests.
-    pub(crate) request_log_budget: LogRateLimiter,
+    pub(crate) request_log_limiter: LogRateLimiter,
     /// Whether this process waits for a document from its parent in the data hall's relay tree.
     pub(crate) is_awaiting_relay: AtomicBool,
-    /// Whether this process waits for [`Shared::list_fetch_delay`] before it fetches a list of targets.
+    /// Whether a fetch of target lists is pending until [`Shared::list_fetch_delay`] ends.
     pub(crate) is_list_fetch_delayed: AtomicBool,
     pub(crate) list_pace: Mutex<ListPace>,
     crashes_reported: AtomicU64,
@@ -138,7 +138,7 @@
             unknown_headers: UnknownHeaders::default(),
             request_queued: Arc::default(),
             group_activated: Arc::default(),
-            request_log_budget: LogRateLimiter::new(REQUEST_LOG_LINES_PER_S),
+            request_log_limiter: LogRateLimiter::new(REQUEST_LOG_LINES_PER_S),
             is_awaiting_relay: AtomicBool::new(false),
             is_list_fetch_delayed: AtomicBool::new(false),
             list_pace: Mutex::default(),
@@ -150,7 +150,7 @@
             boot,
             started_at: BootClock.now(),
             metrics: ProcessMetrics::default(),
-            gaps: PauseNotifier::default(),
+            pause_notifier: PauseNotifier::default(),
             has_configuration: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Starting),
             peer_exchange_due: Notify::new(),
@@ -174,7 +174,7 @@
 
     /// Returns whether a log line about a single request may be written now, and counts it.
     pub(crate) fn allows_request_log_line(&self) -> bool {
-        self.request_log_budget.allows(BootClock.now().as_micros())
+        self.request_log_limiter.allows(BootClock.now().as_micros())
     }
 
     /// Returns how long this process waits before it applies another list of targets.
@@ -198,10 +198,11 @@
         *self.settings.write() = Arc::new(settings);
     }
 
-    /// Returns the ranked allocators of a group of `service`'s targets; `None` stands for this process.
+    /// Returns the ranked allocators of a target group; `None` stands for this process.
     ///
-    /// A data hall's group is allocated by the serving processes of that hall. If there are none, and for
-    /// the group of all targets, the contacts of all data halls are ranked.
+    /// A data hall's group is allocated by the serving processes of that hall.
+    /// If a hall has no serving process, the contacts of all data halls are ranked.
+    /// The contacts also allocate the group of all targets.
     pub(crate) fn allocator_order(
         &self,
         service: &ServiceName,
@@ -219,7 +220,7 @@
         ranked_addresses(&fleet, &allocator_task(service, group), eligible)
     }
 
-    /// Returns the rank of this process among the possible allocators of a group of `service`'s targets.
+    /// Returns the rank of this process among the possible allocators of a target group.
     pub(crate) fn allocator_rank(
         &self,
         service: &ServiceName,
@@ -227,18 +228,18 @@
         now: Timestamp,
     ) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let hall_reach = match group {
+        let hall_candidates = match group {
             Group::All => None,
             Group::Hall(hall) => Some(fleet.members.visible_in(hall, now)),
         };
-        // Unreachable processes of a hall may still allocate the hall's group, so they count as one
-        // process that ranks before this one.
-        let is_hall_unreachable = hall_reach
+        // Unreachable processes of a hall may still allocate the hall's group.
+        // They count as one process that ranks before this process.
+        let is_hall_unreachable = hall_candidates
             .as_ref()
-            .is_some_and(|reach| reach.visible.is_empty() && reach.known_count > 0);
-        let reach = hall_reach.filter(|reach| !reach.visible.is_empty());
-        let reach = reach.unwrap_or_else(|| fleet.members.visible_contacts(now));
-        let rank = rank_in(&fleet, &allocator_task(service, group), &reach);
+            .is_some_and(|candidates| candidates.visible.is_empty() && candidates.known_count > 0);
+        let candidates = hall_candidates.filter(|candidates| !candidates.visible.is_empty());
+        let candidates = candidates.unwrap_or_else(|| fleet.members.visible_contacts(now));
+        let rank = rank_in(&fleet, &allocator_task(service, group), &candidates);
         AllocatorRank {
             better_ranked: rank.better_ranked + usize::from(is_hall_unreachable),
             ..rank
@@ -248,12 +249,12 @@
     /// Returns the rank of this process among all processes for a fleet-wide task.
     pub(crate) fn rank_for(&self, task: &str, now: Timestamp) -> AllocatorRank {
         let fleet = self.fleet.lock();
-        let reach = fleet.members.visible_contacts(now);
-        rank_in(&fleet, task, &reach)
+        let candidates = fleet.members.visible_contacts(now);
+        rank_in(&fleet, task, &candidates)
     }
 
-    /// Returns the contacts of all data halls ranked for a fleet-wide task; `None` stands for this
-    /// process.
+    /// Returns the contacts of all data halls ranked for a fleet-wide task.
+    /// `None` stands for this process.
     pub(crate) fn ranked_contacts(
         &self,
         task: &str,
@@ -280,16 +281,17 @@
         self.phase() == Phase::Stopping
     }
 
-    /// Announces the current phase to all processes of the own data hall. Until all of them know of a
-    /// start or a stop, two processes may allocate the same targets.
+    /// Announces the current phase to all processes of this process's data hall.
+    ///
+    /// Until all processes know of a start or a stop, two processes may allocate the same targets.
     pub(crate) fn announce_phase(&self) {
         let (member, addresses) = {
             let mut fleet = self.fleet.lock();
             let revision = fleet.configuration.head().map(|head| head.revision);
             fleet.members.advance_heartbeat(self.phase(), revision);
-            let neighbours = fleet.members.hall_peers(BootClock.now());
+            let hall_peers = fleet.members.hall_peers(BootClock.now());
             let addresses: Vec<_> =
-                neighbours.filter_map(|member| member.datagram_address).collect();
+                hall_peers.filter_map(|member| member.datagram_address).collect();
             (fleet.members.own().clone(), addresses)
         };
         for address in addresses {
@@ -298,14 +300,14 @@
     }
 }
 
-fn rank_in(fleet: &Fleet, task: &str, reach: &VisibleMembers<'_>) -> AllocatorRank {
+fn rank_in(fleet: &Fleet, task: &str, candidates: &VisibleMembers<'_>) -> AllocatorRank {
     let own = &fleet.members.own().vm;
-    let order = ranked(task, reach.visible.iter().map(|member| member.candidate()));
-    let before = order.iter().take_while(|vm| **vm != own).count();
+    let order = ranked(task, candidates.visible.iter().map(|member| member.candidate()));
+    let better_ranked_count = order.iter().take_while(|vm| **vm != own).count();
     AllocatorRank {
-        better_ranked: before,
-        reachable: reach.visible.len(),
-        known: reach.known_count,
+        better_ranked: better_ranked_count,
+        reachable: candidates.visible.len(),
+        known: candidates.known_count,
     }
 }
 
@@ -314,7 +316,8 @@
     format!("allocate {service}/{group}")
 }
 
-/// Returns the datagram addresses of `eligible` members ranked for a task; `None` stands for this process.
+/// Returns the datagram addresses of `eligible` members ranked for a task.
+/// `None` stands for this process.
 fn ranked_addresses(
     fleet: &Fleet,
     task: &str,
--- a/crates/thymeshift_entry/src/shared/rate_limits.rs
+++ b/crates/thymeshift_entry/src/shared/rate_limits.rs
@@ -1,8 +1,8 @@
-//! Exchange of rate-limited targets' stated limits between processes.
+//! Exchange of the rate limits that targets state, between processes.
 //!
-//! Without this exchange, a process that never received an answer of a rate-limited target would send
-//! to it without a limit while no allocator replies, and would grant it without a limit after becoming
-//! its allocator.
+//! A process learns a rate limit from answers of the target, or from peers through this exchange.
+//! Without the limit, a process would send any number of requests while no allocator replies.
+//! As the target's new allocator, it would grant the target any number of times.
 
 use std::sync::atomic::Ordering;
 
@@ -12,12 +12,12 @@
 
 use crate::shared::Shared;
 
-/// Maximum number of rate limits in one message, about 50 bytes each. Successive messages rotate through
-/// all known limits.
+/// Maximum number of rate limits in one message, about 50 bytes each.
+/// Successive messages rotate through all known rate limits.
 const RATE_LIMITS_PER_MESSAGE: usize = 8;
 
 impl Shared {
-    /// Returns the next few of the targets' rate limits that this process knows, to be sent to a peer.
+    /// Returns the next few known rate limits of targets in rotation, to be sent to a peer.
     pub(crate) fn rate_limit_updates(&self) -> Vec<TargetRateLimit> {
         let Some(routing) = self.routing() else {
             return Vec::new();
--- a/crates/thymeshift_entry/src/target_client/attempt.rs
+++ b/crates/thymeshift_entry/src/target_client/attempt.rs
@@ -47,8 +47,8 @@
 pub(crate) enum Freshness {
     /// An idle connection may be reused.
     Any,
-    /// The connection must be new. A target may close an idle connection just as the request is
-    /// sent, and it is then unknown whether the request ran.
+    /// The connection must be new.
+    /// If a target closes an idle connection just as a request is sent, the request may have run.
     New,
 }
 
@@ -71,7 +71,7 @@
     pub(crate) answer_buffer_bytes: u64,
 }
 
-/// Failure of an attempt: no answer of the target is to be forwarded, or only as the last resort.
+/// Failure of an attempt, with the target's failure answer if there is one.
 pub(crate) struct AttemptFailure {
     pub(crate) failure: Failure,
     /// Target that was tried; `None` if the target may not be used any more.
@@ -120,8 +120,8 @@
             Ok(connection) => connection,
             Err(error) => return Err(self.connect_failed(plan.body, &destination, &error).into()),
         };
-        // Last check before the first byte: since the grant, the target may have started to leave
-        // or the process may have been paused.
+        // Last check before the first byte is sent. Since the grant, the target may have started
+        // to leave, or this process may have been paused.
         if !self.grant.may_send(plan.deadline) {
             connection.put_back();
             return Err(self.not_sent(plan.body).into());
@@ -174,7 +174,7 @@
             return Err(self.not_sent(request.into_body()).into());
         };
         let sending = sender.try_send_request(request);
-        let sent = self.shared.gaps.timeout_at(&BootClock, deadline, sending).await;
+        let sent = self.shared.pause_notifier.timeout_at(&BootClock, deadline, sending).await;
         let response = match sent {
             None => return Err(self.timed_out(&destination).into()),
             Some(Err(mut error)) => {
@@ -186,13 +186,13 @@
             }
             Some(Ok(response)) => response,
         };
-        let meaning = D::classify_answer(response.status(), response.headers(), &attempt);
+        let answer_class = D::classify_answer(response.status(), response.headers(), &attempt);
         self.shared.unknown_headers.record::<D>(response.headers(), &destination);
         let statements = TargetStatements::read::<D>(response.status(), response.headers());
-        let observed = observation(meaning, &statements, D::report(response.headers()));
-        self.apply_statements(meaning, statements, &destination);
+        let observed = observation(answer_class, &statements, D::report(response.headers()));
+        self.apply_statements(answer_class, statements, &destination);
         self.apply_observation(observed);
-        if let Some(failed) = self.failure_of(meaning, &destination) {
+        if let Some(failed) = self.failure_of(answer_class, &destination) {
             // Returning drops the connection: its remaining bytes belong to no request.
             return Err(failed.into());
         }
@@ -206,11 +206,11 @@
             return Ok(answer.streamed());
         }
         let buffering = answer.buffered(plan.answer_buffer_bytes);
-        let buffered = self.shared.gaps.timeout_at(&BootClock, deadline, buffering).await;
+        let buffered = self.shared.pause_notifier.timeout_at(&BootClock, deadline, buffering).await;
         let peer = Peer::Target(destination.service.clone(), destination.name.clone());
         let mut crash = None;
         let failure = match buffered {
-            Some(Ok(response)) if meaning == AnswerClass::Failed => {
+            Some(Ok(response)) if answer_class == AnswerClass::Failed => {
                 let failure = Failure::new(Outcome::Failed, Reason::TargetFailed, Step::Wait, peer);
                 return Err(Box::new(AttemptFailure {
                     failure,
@@ -242,15 +242,15 @@
     /// Returns the failure that an answer means, or `None` if the answer may be forwarded.
     fn failure_of(
         &self,
-        meaning: AnswerClass,
+        answer_class: AnswerClass,
         destination: &Destination,
     ) -> Option<AttemptFailure> {
-        let is_proof = self.grant.service().settings().shed_means_not_run;
-        let (outcome, reason) = match meaning {
+        let proves_not_run = self.grant.service().settings().shed_means_not_run;
+        let (outcome, reason) = match answer_class {
             AnswerClass::Answered | AnswerClass::Failed | AnswerClass::ShedByDeeperLayer => {
                 return None;
             }
-            AnswerClass::Shed if !is_proof => return None,
+            AnswerClass::Shed if !proves_not_run => return None,
             AnswerClass::Shed | AnswerClass::NotRun | AnswerClass::WrongTarget => {
                 (Outcome::NotRun, Reason::Shed)
             }
@@ -294,8 +294,8 @@
 
     /// Returns the failure of an attempt that sent nothing because no connection could be opened.
     ///
-    /// The target counts as unreachable, unless this process's own share of connections is in use,
-    /// which states nothing about the target.
+    /// The target counts as unreachable, unless this process's own share of connections is in use.
+    /// A share in use proves nothing about the target.
     fn connect_failed(
         mut self,
         body: RequestBody,
@@ -319,8 +319,8 @@
 
     /// Returns the failure of a broken attempt, and checks whether the target has crashed.
     ///
-    /// If hyper returns the request in `unsent`, no byte was written, which proves that the request
-    /// did not run. After any other error it is unknown whether the request ran.
+    /// If hyper returns the body in `unsent`, no byte was written, so the request did not run.
+    /// After any other error it is unknown whether the request ran.
     async fn connection_broken(
         mut self,
         destination: &Destination,
@@ -354,11 +354,11 @@
 }
 
 fn observation(
-    meaning: AnswerClass,
+    answer_class: AnswerClass,
     statements: &TargetStatements,
     report: Option<LoadReport>,
 ) -> Observation {
-    match meaning {
+    match answer_class {
         AnswerClass::Shed | AnswerClass::NotRun if statements.asks_for_backoff() => {
             Observation::ShedWithBackoff(report)
         }
--- a/crates/thymeshift_entry/src/target_client/statements.rs
+++ b/crates/thymeshift_entry/src/target_client/statements.rs
@@ -42,17 +42,17 @@
 impl<D: Dialect> Attempt<D> {
     /// Records the statements of an answer in the target's state.
     ///
-    /// Ignores answers of another target or to another request: they don't describe this target.
+    /// Ignores answers of another target or to another request, which don't describe this target.
     pub(super) fn apply_statements(
         &mut self,
-        meaning: AnswerClass,
+        answer_class: AnswerClass,
         statements: TargetStatements,
         destination: &Destination,
     ) {
-        if matches!(meaning, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
+        if matches!(answer_class, AnswerClass::WrongTarget | AnswerClass::WrongAttempt) {
             return;
         }
-        self.apply_rate_limit(meaning, statements.rate_limit, destination);
+        self.apply_rate_limit(answer_class, statements.rate_limit, destination);
         self.apply_backoff(statements.backoff, destination);
         if statements.is_leaving
             && let Some(mark) = self.grant().mark_leaving()
@@ -63,11 +63,11 @@
 
     /// Records the rate limit that the answer states, or its end.
     ///
-    /// Only answers to requests that ran can end a rate limit: other answers may come from a part
-    /// of the target that does not know the limit.
+    /// Only answers to requests that ran can end a rate limit.
+    /// Other answers may come from a part of the target that does not know the limit.
     fn apply_rate_limit(
         &self,
-        meaning: AnswerClass,
+        answer_class: AnswerClass,
         stated: Result<Option<RequestRate>, RateLimitError>,
         destination: &Destination,
     ) {
@@ -80,7 +80,7 @@
                 return;
             }
         };
-        let may_end_limit = matches!(meaning, AnswerClass::Answered | AnswerClass::Failed);
+        let may_end_limit = matches!(answer_class, AnswerClass::Answered | AnswerClass::Failed);
         if stated.is_none() && !may_end_limit {
             return;
         }
--- a/crates/thymeshift_wire/src/answer_headers.rs
+++ b/crates/thymeshift_wire/src/answer_headers.rs
@@ -1,5 +1,4 @@
-//! Intended recipients of the standard HTTP headers
-//! of an answer (RFC 9110, 9111, 9112 and related documents).
+//! Intended recipients of the standard HTTP headers of an answer (RFC 9110, 9111, 9112 and others).
 
 use http::HeaderName;
 use http::header;
@@ -64,8 +63,10 @@
     header::X_XSS_PROTECTION,
 ];
 
-/// Returns the intended recipient of a standard HTTP header. A header that is meant for proxies
-/// but not read by this process counts as unknown, so that it is reported.
+/// Returns the intended recipient of a standard HTTP header.
+///
+/// A header that is meant for proxies but not read by this process counts as unknown.
+/// Unknown headers are reported.
 pub fn standard_audience(name: &HeaderName) -> HeaderAudience {
     if HOP_BY_HOP.contains(name) {
         HeaderAudience::Proxy
--- a/crates/thymeshift_wire/src/counted.rs
+++ b/crates/thymeshift_wire/src/counted.rs
@@ -1,5 +1,4 @@
-//! Byte counters for the connections between entry processes,
-//! whose bandwidth has a documented limit.
+//! Byte counters for the connections between entry processes, whose bandwidth is limited.
 
 use std::io;
 use std::pin::Pin;
@@ -52,9 +51,9 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let count = (buffer.filled().len() - before) as u64;
+        let count = (buffer.filled().len() - filled_before) as u64;
         self.bytes.received.fetch_add(count, Ordering::Relaxed);
         read
     }
--- a/crates/thymeshift_wire/src/key_header.rs
+++ b/crates/thymeshift_wire/src/key_header.rs
@@ -6,11 +6,11 @@
 use thymeshift_types::KeyDigest;
 
 /// Authentication scheme of an `Authorization` header that carries a key, in lower case.
-const SCHEME: &str = "bearer";
+const BEARER_SCHEME: &str = "bearer";
 
-/// Removes the caller's key from a request and returns its digest.
-/// Also removes every header that a target could read
-/// as the organisation header, so that a caller cannot claim an organisation.
+/// Removes the caller's key from a request and returns the digest of the key.
+///
+/// Also removes every spelling of the organisation header, so callers cannot claim an organisation.
 /// Returns `None` if the request carries no key or more than one `Authorization` header.
 pub fn take_bearer_key(map: &mut HeaderMap, organisation: &HeaderName) -> Option<KeyDigest> {
     remove_spellings(map, organisation);
@@ -26,7 +26,7 @@
 fn digest_of(value: &[u8]) -> Option<KeyDigest> {
     let text = std::str::from_utf8(value).ok()?;
     let (scheme, key) = text.trim().split_once(' ')?;
-    if !scheme.eq_ignore_ascii_case(SCHEME) {
+    if !scheme.eq_ignore_ascii_case(BEARER_SCHEME) {
         return None;
     }
     KeyDigest::of(key.trim().as_bytes())
--- a/crates/thymeshift_wire/src/peer.rs
+++ b/crates/thymeshift_wire/src/peer.rs
@@ -28,11 +28,10 @@
 }
 
 /// Bounded summary of the state that a process knows.
-/// In an exchange, both processes send a summary and merge the one they receive.
+/// In an exchange, each process sends a summary and merges the summary that it receives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Whether the sender has received little state since its start
-    /// and asks for information about many members.
+    /// Whether the sender has received few answers since its start and asks for many members.
     pub is_new: bool,
     /// Known members; the first one is the sender.
     pub members: Vec<GossipMember>,
@@ -50,7 +49,7 @@
     pub leaving: Vec<LeavingMark>,
     /// Orders of operators.
     pub orders: Vec<Order>,
-    /// Page of the requests under which targets crashed.
+    /// Page of the reports on requests under which targets crashed.
     pub suspects: Vec<SuspectReport>,
     /// Page of the limits that rate-limited targets have stated.
     pub rate_limits: Vec<TargetRateLimit>,
@@ -66,7 +65,8 @@
     /// Incarnation of the target that stated the limit.
     pub incarnation: Incarnation,
     /// Rate limit that the target stated, with its age.
-    pub told: RateLimitUpdate,
+    #[serde(rename = "told")]
+    pub update: RateLimitUpdate,
 }
 
 /// Remote calls between entry processes.
