--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -29,7 +29,7 @@
 use crate::tree::Node;
 
 /// Maximum length of the name and of the mistake that are kept of a skipped entry, in characters.
-const LEFT_OUT_CHARS_MAX: usize = 200;
+const SKIPPED_ENTRY_CHARS_MAX: usize = 200;
 
 /// Target from the list of discovered targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -44,7 +44,7 @@
 
 /// Invalid entry of the list, which is skipped, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct LeftOut {
+pub struct SkippedEntry {
     /// Name that the entry gives for itself; empty if it gives none.
     pub name: String,
     /// First mistake in the entry, with the name of the field.
@@ -59,7 +59,7 @@
     /// Drained data halls, whose targets receive no new requests.
     pub drained_halls: Vec<DataHallName>,
     /// Invalid entries of the list, which are skipped.
-    pub left_out: Vec<LeftOut>,
+    pub left_out: Vec<SkippedEntry>,
 }
 
 /// Entry of the list of discovered targets.
@@ -67,7 +67,7 @@
 enum Item {
     Target(DiscoveredTarget),
     DrainedHall(DataHallName),
-    LeftOut(LeftOut),
+    Skipped(SkippedEntry),
 }
 
 /// Entries of the list of discovered targets, each decoded on its own.
@@ -109,7 +109,7 @@
             match item {
                 Item::Target(target) => discovery.targets.push(target),
                 Item::DrainedHall(hall) => discovery.drained_halls.push(hall),
-                Item::LeftOut(left_out) => discovery.left_out.push(left_out),
+                Item::Skipped(left_out) => discovery.left_out.push(left_out),
             }
         }
         discovery
@@ -118,7 +118,7 @@
 
 /// Truncates a text from an untrusted source.
 fn truncated(text: &str) -> String {
-    text.chars().take(LEFT_OUT_CHARS_MAX).collect()
+    text.chars().take(SKIPPED_ENTRY_CHARS_MAX).collect()
 }
 
 /// Parses successive revisions of the list.
@@ -191,7 +191,7 @@
             _ => {
                 let name = node.text_of("name").unwrap_or_default();
                 let mistake = mistakes.listed().first().map(Mistake::without_location);
-                Self::LeftOut(LeftOut {
+                Self::Skipped(SkippedEntry {
                     name: truncated(name),
                     mistake: truncated(&mistake.unwrap_or_default()),
                 })
@@ -206,7 +206,7 @@
         if let Some(name) = map.optional("left_out")? {
             let mistake = map.required("mistake");
             map.finish();
-            return Some(Self::LeftOut(LeftOut { name, mistake: mistake? }));
+            return Some(Self::Skipped(SkippedEntry { name, mistake: mistake? }));
         }
         if let Some(hall) = map.optional("drained_hall")? {
             map.finish();
--- a/crates/thymeshift_config/src/lib.rs
+++ b/crates/thymeshift_config/src/lib.rs
@@ -24,7 +24,7 @@
 pub use discovery::DiscoveredTarget;
 pub use discovery::Discovery;
 pub use discovery::DiscoveryReader;
-pub use discovery::LeftOut;
+pub use discovery::SkippedEntry;
 pub use kind::HeaderRule;
 pub use kind::Kind;
 pub use kind::KindMatch;
