--- a/crates/thymeshift_config/src/configuration.rs
+++ b/crates/thymeshift_config/src/configuration.rs
@@ -26,7 +26,7 @@
 use crate::tree::json_lines;
 
 /// Share of the platform's retry limit that the processes use together, in tenths.
-/// The share leaves a margin because each process counts only its own requests
+/// The remaining tenth is a margin, because each process counts only its own requests
 /// and the counting windows of processes differ.
 const RETRY_LIMIT_USED_TENTHS: u64 = 9;
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Configuration {
     /// Maximum number of entry VMs that run at one time, including VMs that are being replaced.
-    /// Budgets and connections are divided by this number and not by the number of live VMs,
+    /// Budgets and connections are divided by this maximum and not by the number of live VMs,
     /// because VMs may disagree about which VMs are alive.
     pub entry_vms_max: u64,
     /// Names of all data halls.
@@ -124,7 +124,7 @@
     }
 
     /// Sets the state of all targets for which `is_leaving` returns true
-    /// to leaving, whatever state the documents give.
+    /// to [`TargetState::Leaving`], and ignores the state in the documents.
     pub fn mark_leaving(
         &mut self,
         is_leaving: impl Fn(&ServiceName, &TargetName, Incarnation) -> bool,
--- a/crates/thymeshift_config/src/decode.rs
+++ b/crates/thymeshift_config/src/decode.rs
@@ -1,6 +1,6 @@
 //! Conversion of a YAML tree to typed values that collects all mistakes.
 //!
-//! A decoder records a mistake and returns `None`.
+//! A decoder that fails records a mistake and returns `None`.
 //! The caller of the decoder continues with the next field, so that one pass finds all mistakes.
 
 use std::net::SocketAddr;
--- a/crates/thymeshift_config/src/discovery.rs
+++ b/crates/thymeshift_config/src/discovery.rs
@@ -6,7 +6,7 @@
 //! a process never sees a target in a drained data hall without the drain.
 //!
 //! The list is composed of entries that the targets write themselves,
-//! and other writers may add entries too. Each entry is therefore accepted or skipped on its own:
+//! and other programs may add entries too. Each entry is therefore accepted or skipped on its own:
 //! an invalid entry must not block later changes of the other entries.
 
 use std::collections::HashMap;
@@ -42,10 +42,10 @@
     pub target: Target,
 }
 
-/// Invalid entry of the list, which is skipped, and the reason.
+/// Invalid entry of the list of discovered targets, which is skipped, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct SkippedEntry {
-    /// Name that the entry gives for itself; empty if it gives none.
+    /// Value of the entry's `name` field; empty if the entry has no name.
     pub name: String,
     /// First mistake in the entry, with the name of the field.
     pub mistake: String,
--- a/crates/thymeshift_config/src/kind.rs
+++ b/crates/thymeshift_config/src/kind.rs
@@ -120,7 +120,7 @@
     /// A caller may request a shorter deadline.
     pub deadline_ms: u64,
     /// Latency objective, in milliseconds; 0 if the kind has no objective.
-    /// An answer within the objective has the full value for the caller.
+    /// Only an answer within the objective has its full value for the caller.
     pub objective_ms: u64,
     /// Maximum time in the queue, in milliseconds.
     /// Defaults to a quarter of the objective, or to the deadline if the kind has no objective.
@@ -133,7 +133,7 @@
     /// A delay of 0 disables hedging.
     /// Defaults to half of the objective for a safe kind with an objective.
     pub hedge_after_ms: u64,
-    /// Whether a request of this kind may be run more than once.
+    /// Whether a request of this kind may be sent to a target more than once.
     pub repeat: Repeat,
     /// Whether requests of this kind need no API key even if organisations are configured.
     #[serde(rename = "public")]
@@ -141,19 +141,19 @@
 }
 
 impl Kind {
-    /// Selects a service by weight.
+    /// Selects the service for a request by the weights of the traffic split.
     /// `draw` is a uniformly distributed random number over all of `u64`.
     pub fn service_for(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.split.iter().map(|part| part.weight).sum();
         if total == 0 {
             return &self.service;
         }
-        let mut left = draw % total;
+        let mut remaining = draw % total;
         for part in &self.split {
-            if left < part.weight {
+            if remaining < part.weight {
                 return &part.service;
             }
-            left -= part.weight;
+            remaining -= part.weight;
         }
         &self.service
     }
--- a/crates/thymeshift_config/src/limits.rs
+++ b/crates/thymeshift_config/src/limits.rs
@@ -21,15 +21,15 @@
     pub body_bytes_max: u64,
     /// Maximum time without progress while a caller sends or receives a body, in milliseconds.
     pub body_stall_timeout_ms: u64,
-    /// Maximum length of an answer that is buffered completely before any
-    /// of it is sent to the caller, in bytes. A buffered answer that breaks off can be retried.
+    /// Maximum length of an answer that is buffered completely before it is sent to the caller,
+    /// in bytes. A request whose buffered answer breaks off can be retried.
     /// A limit of 0 streams all answers.
     pub answer_buffer_bytes: u64,
     /// Maximum number of concurrent connections from callers to one VM.
     pub caller_connections_max: u64,
     /// Maximum number of pipelined requests of one connection
     /// that are started while an earlier request is in flight.
-    /// A limit of 0 processes the requests of a connection one after the other.
+    /// A limit of 0 runs the requests of a connection one at a time.
     pub requests_ahead_max: u64,
     /// Maximum number of proxies that may forward a call before it is refused.
     pub depth_max: u64,
--- a/crates/thymeshift_config/src/mistake.rs
+++ b/crates/thymeshift_config/src/mistake.rs
@@ -24,7 +24,7 @@
 }
 
 impl Mistake {
-    /// Formats the mistake without line and column, for texts whose location is not known.
+    /// Formats the mistake without line and column, for text whose location is not known.
     pub(crate) fn without_location(&self) -> String {
         let Self { field, found, expected, .. } = self;
         format!("{field}: found {found}, expected {expected}")
--- a/crates/thymeshift_config/src/service.rs
+++ b/crates/thymeshift_config/src/service.rs
@@ -163,7 +163,7 @@
     /// Whether an answer by which a target sheds a request proves that the request did not run.
     pub shed_means_not_run: bool,
     /// Maximum backoff that a target can request, in milliseconds.
-    /// The limit keeps a target that requests an unlimited backoff from being lost forever.
+    /// Without this limit, a target that requests an endless backoff would never be used again.
     pub backoff_max_ms: u64,
     /// Target time that all VMs together may spend on measuring one target,
     /// in microseconds per second. A budget of 0 disables probes.
--- a/crates/thymeshift_config/src/settings.rs
+++ b/crates/thymeshift_config/src/settings.rs
@@ -21,7 +21,7 @@
 const STOP_GRACE_S_MAX: f64 = 3_600.0;
 /// Time between the end of the wait for requests in flight
 /// and the time at which the platform kills the process, in milliseconds.
-/// The process uses it to notify its peers; the margin also allows for a slow VM.
+/// The process notifies its peers during this time; the margin also allows for a slow VM.
 const STOP_MARGIN_MS: u64 = 700;
 /// Upper bound of the configured probe rate, in probes per second and target.
 const PROBES_PER_S_MAX: u64 = 10_000;
@@ -72,13 +72,13 @@
     /// Peer addresses of other entry processes, in addition to those in the platform's VM list.
     pub peers: Vec<SocketAddr>,
     /// Listen address for datagrams of other entry processes.
-    /// Without it, the process sends no datagrams and makes all decisions on its own.
+    /// Without a datagram address, the process sends no datagrams and decides without its peers.
     pub datagram_address: Option<SocketAddr>,
-    /// Whether the whole fleet starts for the first time. During a first start no callers
-    /// are served yet, and most processes can wait for the processes that read the platform.
+    /// Whether the whole fleet starts for the first time. During a first start no callers are
+    /// served yet, so most processes can wait for the few that read the platform's documents.
     pub is_first_start: bool,
     /// Number of CPUs that this VM may use.
-    /// Work for the whole fleet is assigned to VMs with a higher value.
+    /// Fleet-wide work is assigned to VMs with more CPUs.
     pub processor_share: Capacity,
     /// Number of worker threads; 0 uses one per CPU.
     pub worker_threads: u64,
--- a/crates/thymeshift_config/src/tree/json_lines.rs
+++ b/crates/thymeshift_config/src/tree/json_lines.rs
@@ -3,7 +3,7 @@
 //!
 //! The fast reader builds the same tree as the general YAML reader, except
 //! for the columns of the locations. Any unusual text (characters other than printable ASCII,
-//! escapes, a repeated key, a comment, deep nesting) is left to the general reader,
+//! escapes, a repeated key, a comment, deep nesting) is parsed by the general reader,
 //! so that both readers give the same result. A text with a mistake is also read again
 //! by the general reader, because the locations of mistakes must be exact.
 //!
@@ -26,7 +26,7 @@
 use crate::tree::Node;
 
 /// Maximum number of opening brackets in one line.
-/// A line with more is left to the general reader, which checks the nesting depth.
+/// A line with more brackets is parsed by the general reader, which checks the nesting depth.
 const OPENINGS_MAX: usize = 20;
 /// Maximum length of a key, in bytes. YAML does not allow a longer key before a colon.
 const KEY_BYTES_MAX: usize = 512;
@@ -142,7 +142,7 @@
     }
 
     fn visit_f64<E>(self, value: f64) -> Result<JsonContent, E> {
-        // Debug formatting keeps the fraction, so that 2.0 does not become a whole number.
+        // `Debug` formatting keeps the fraction, so that 2.0 does not become a whole number.
         Ok(unquoted(format_args!("{value:?}")))
     }
 
--- a/crates/thymeshift_config/tests/discovery.rs
+++ b/crates/thymeshift_config/tests/discovery.rs
@@ -121,11 +121,11 @@
 }
 
 /// After an outage of the source, the new list is compared with the previous one. The comparison
-/// must look at each entry only once; a quadratic comparison exceeds the time limit for long lists.
+/// must visit each entry only once; a quadratic comparison exceeds the time limit for long lists.
 #[test]
 fn a_long_list_is_compared_with_the_one_before_in_time() {
     const TARGETS: usize = 20_000;
-    const LIMIT: std::time::Duration = std::time::Duration::from_secs(2);
+    const TIME_LIMIT: std::time::Duration = std::time::Duration::from_secs(2);
     let list = |from: usize| {
         let line = |index: usize| {
             let (high, low) = (index / 250, index % 250);
@@ -141,7 +141,7 @@
     let started_at = std::time::Instant::now();
     let (kept, count) = after.retaining_missing(&previous);
     let elapsed = started_at.elapsed();
-    assert!(elapsed < LIMIT, "{elapsed:?}");
+    assert!(elapsed < TIME_LIMIT, "{elapsed:?}");
     assert_eq!(count, 10);
     assert_eq!(kept.targets.len(), TARGETS + 10);
 }
