--- a/crates/thymeshift_query/src/dump_tables.rs
+++ b/crates/thymeshift_query/src/dump_tables.rs
@@ -9,8 +9,8 @@
 use crate::Table;
 use crate::TableName;
 
-/// Returns the table called `name`, with the rows of all `dumps` below each other. The first column
-/// holds the VM of the process that a row comes from.
+/// Returns the table called `name` with the rows of all `dumps`, in the order of the dumps.
+/// The first column is the VM of the process that wrote the dump.
 pub fn build_table(name: TableName, dumps: &[StateDump]) -> Table {
     let rows = dumps.iter().flat_map(|dump| {
         let vm = Cell::text(&dump.vm);
--- a/crates/thymeshift_query/src/error.rs
+++ b/crates/thymeshift_query/src/error.rs
@@ -1,4 +1,4 @@
-//! Parse error of a command line, with its column and what was expected there.
+//! Parse error of a command line, with its column and the input that was expected.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
     pub column: usize,
     /// The unexpected text in quotes, or `the end` at the end of the line.
     pub found: String,
-    /// What the parser expected at this position, with a suggestion if there is a similar word.
+    /// Input expected at this position, with a suggestion if a known word is similar.
     pub expected: String,
 }
 
--- a/crates/thymeshift_query/src/parser.rs
+++ b/crates/thymeshift_query/src/parser.rs
@@ -123,8 +123,8 @@
     fn column(&mut self, table: TableName) -> ParseResult<&'static str> {
         let token = self.next_token("a column")?;
         let unknown_column = || {
-            let what = format!("a column of {table}");
-            ParseError::unknown_word(token.column, &token.text, &what, table.columns())
+            let expected = format!("a column of {table}");
+            ParseError::unknown_word(token.column, &token.text, &expected, table.columns())
         };
         table.find_column(&token.text).ok_or_else(unknown_column)
     }
@@ -323,7 +323,7 @@
         Err(ParseError::new(column, found, format!("'{keyword}'")))
     }
 
-    /// Returns an error if a token is left after the command.
+    /// Returns an error if a token follows the end of the command.
     fn expect_end(&self) -> ParseResult<()> {
         match self.tokens.get(self.position) {
             None => Ok(()),
--- a/crates/thymeshift_query/tests/mistakes.rs
+++ b/crates/thymeshift_query/tests/mistakes.rs
@@ -1,4 +1,4 @@
-//! Syntax errors of command lines: each is reported with its column and what was expected there.
+//! Syntax errors of command lines: each error states its column and the expected input.
 #![allow(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
 
 use thymeshift_query::parse;
