--- a/crates/thymeshiftctl/src/arguments.rs
+++ b/crates/thymeshiftctl/src/arguments.rs
@@ -55,7 +55,7 @@
 pub(crate) enum ProcessSelection {
     /// Only the processes given with `--at`.
     Listed,
-    /// The processes given with `--at`, and every process that these know.
+    /// The processes given with `--at`, and all processes in the member lists of those.
     AllKnown,
 }
 
--- a/crates/thymeshiftctl/src/client.rs
+++ b/crates/thymeshiftctl/src/client.rs
@@ -23,7 +23,7 @@
 /// Timeout for opening a connection, and for each call on it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Failure to reach an entry process or to get its answer, as a message with its address.
+/// Failed call to an entry process, as an error message that starts with the process's address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CallError(pub(crate) String);
 
