--- a/crates/thymeshiftd/src/main.rs
+++ b/crates/thymeshiftd/src/main.rs
@@ -105,7 +105,7 @@
 }
 
 /// Returns a builder for a runtime with `worker_threads` threads, or with one per processor for 0.
-/// A single thread runs without the work-stealing scheduler, which it does not need.
+/// A single thread uses the current-thread scheduler, because it needs no work stealing.
 fn runtime_builder(worker_threads: u64) -> Builder {
     if worker_threads == 1 {
         return Builder::new_current_thread();
