--- a/crates/thymeshift_lab/src/replay/backoffs/policy.rs
+++ b/crates/thymeshift_lab/src/replay/backoffs/policy.rs
@@ -12,7 +12,7 @@
     /// An acquire request excludes targets in backoff; the allocator does not space out requests.
     #[display("named")]
     Named,
-    /// Only the process that was asked for a backoff knows it, and returns grants of the target.
+    /// Only the process that was asked for a backoff applies it, by returning grants of the target.
     #[display("holder alone")]
     HolderOnly,
     /// The allocator applies a backoff that one process was asked for to all processes.
--- a/crates/thymeshift_lab/src/standin/statements.rs
+++ b/crates/thymeshift_lab/src/standin/statements.rs
@@ -19,8 +19,8 @@
 /// Numbers of requests that reached a target in violation of its statements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementViolations {
-    /// Number of requests from processes that were told that the target is leaving, counted from
-    /// the end of the drain time and of the grace time for requests in flight.
+    /// Number of requests from processes that had received a leaving statement. Requests within the
+    /// drain time and the grace time for requests in flight are not counted.
     pub after_leaving: usize,
     /// Maximum number of requests of one process within a backoff.
     pub in_backoff: usize,
@@ -40,7 +40,7 @@
 /// Statements that one process received, and its violations.
 #[derive(Default)]
 struct ProcessStatements {
-    /// Time at which the process was first told that the target is leaving.
+    /// Time at which the process first received the statement that the target is leaving.
     leaving_since: Option<Instant>,
     /// Start, end and number of violating requests of each backoff.
     backoffs: Vec<(Instant, Instant, usize)>,
