--- a/crates/thymeshift_lab/src/experiment/demo.rs
+++ b/crates/thymeshift_lab/src/experiment/demo.rs
@@ -1,4 +1,4 @@
-//! The whole path of the tariff example: platform, targets, entry processes, load.
+//! Demo of the tariff example: platform, targets, entry processes and load on one machine.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -11,33 +11,33 @@
 use crate::experiment::fleet::Fleet;
 use crate::experiment::fleet::FleetError;
 use crate::experiment::fleet::FleetPlan;
-use crate::experiment::judge::Judgement;
-use crate::experiment::judge::judge;
+use crate::experiment::violations::Violations;
+use crate::experiment::violations::count_violations;
 use crate::load;
-use crate::load::Entries;
+use crate::load::EntryAddresses;
 use crate::load::KindLoad;
 use crate::load::LoadPlan;
 use crate::load::LoadResult;
 use crate::load::Series;
 
-/// Quantiles of the plot.
+/// Quantiles of latency that the plot shows.
 const QUANTILES: [f64; 11] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.99, 0.999];
 
-/// What the demo shows.
-pub struct Demo {
-    /// What callers saw.
+/// Result of a demo run.
+pub struct DemoReport {
+    /// Results of the load as callers saw them.
     pub result: LoadResult,
-    /// What the judge says.
-    pub judgement: Judgement,
+    /// Broken promises, counted from the targets' ledgers.
+    pub violations: Violations,
 }
 
-/// The tariff example's configuration.
+/// Returns the configuration of the tariff example.
 pub fn tariff_configuration() -> Result<Configuration, FleetError> {
     let text = include_str!("../../../../examples/tariff/configuration.yaml");
     Ok(Configuration::parse(text)?)
 }
 
-/// The tariff example as a fleet, with one worker thread in each entry process.
+/// Returns the fleet plan of the tariff example, with one worker thread in each entry process.
 pub fn tariff_plan(folder: PathBuf, entries: usize) -> Result<FleetPlan, FleetError> {
     Ok(FleetPlan {
         configuration: tariff_configuration()?,
@@ -52,7 +52,7 @@
     })
 }
 
-/// Load of the tariff example, scaled by `factor`.
+/// Returns the load of the tariff example with all rates multiplied by `factor`.
 pub fn tariff_load(factor: f64) -> Vec<KindLoad> {
     let kind =
         |name: &str, method, path: &str, rate_per_s: f64, bytes, body, in_time_ms| KindLoad {
@@ -72,18 +72,22 @@
     ]
 }
 
-/// Mean service times of the tariff example, in microseconds.
+/// Mean service time of each service of the tariff example, in microseconds, by service name.
 fn tariff_service_us() -> BTreeMap<String, u64> {
     let times = [("calculator", 8_000), ("switching", 20_000), ("archive", 30_000)];
     times.into_iter().map(|(name, micros)| (name.to_owned(), micros)).collect()
 }
 
-/// Runs the demo.
-pub async fn demo(folder: &Path, entries: usize, duration: Duration) -> Result<Demo, FleetError> {
+/// Runs the demo and writes its logs, `demo.json` and `demo.svg` into `folder`.
+pub async fn demo(
+    folder: &Path,
+    entries: usize,
+    duration: Duration,
+) -> Result<DemoReport, FleetError> {
     let plan = FleetPlan { worker_threads: 2, ..tariff_plan(PathBuf::from(folder), entries)? };
     let fleet = Fleet::start(plan).await?;
     let load = LoadPlan {
-        entries: Entries::new(fleet.caller_addresses()?),
+        entries: EntryAddresses::new(fleet.caller_addresses()?),
         kinds: tariff_load(1.0),
         duration,
         seed: 1,
@@ -95,10 +99,10 @@
     for target in &fleet.targets {
         ledgers.push(target.ledger().await?);
     }
-    let judgement = judge(&result, &ledgers, &["contract-switch"]);
+    let violations = count_violations(&result, &ledgers, &["contract-switch"]);
     std::fs::write(folder.join("demo.json"), result.to_json().to_string())?;
     plot(&result, &folder.join("demo.svg"));
-    Ok(Demo { result, judgement })
+    Ok(DemoReport { result, violations })
 }
 
 fn plot(result: &LoadResult, path: &Path) {
--- a/crates/thymeshift_lab/src/experiment/scenario.rs
+++ b/crates/thymeshift_lab/src/experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! What is wrong with the targets during a run.
+//! Scenarios: faults and load conditions of the targets during a run.
 
 use std::fmt;
 
@@ -6,46 +6,48 @@
 use crate::standin::Fault;
 use crate::standin::ReportMode;
 
-/// What is wrong during a run.
+/// Fault or load condition of the targets during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
-    Even,
-    /// Half of the targets are half as fast.
+    /// All targets work normally.
+    NoFault,
+    /// Every other target takes twice as long for each request.
     TwoSpeeds,
     /// Each target stalls for 30 ms about every 400 ms.
     NoisyNeighbours,
-    /// Reports are so many milliseconds old.
+    /// Load reports of all targets are out of date by this many milliseconds.
     Stale(u64),
-    /// Noisy neighbours, and reports 100 ms old.
+    /// Each target stalls for 30 ms about every 400 ms, and its load reports are 100 ms old.
     NoisyAndStale,
-    /// One target says that it is idle and is three times slower.
-    Liar,
-    /// One target fails at once.
+    /// One target always reports that it is idle, and takes three times as long for each request.
+    MisreportingTarget,
+    /// One target answers every request with an error immediately.
     FastFailer,
-    /// One target gets slower and slower.
-    SlowDeath,
-    /// One target drains in the middle.
+    /// One target slows down steadily over the run, towards ten times its normal service time.
+    GradualSlowdown,
+    /// One target announces after 40 % of the run that it is leaving.
     Drain,
 }
 
 impl Scenario {
-    /// All scenarios. The drain is last: leaving is sticky, so the target stays out.
+    /// All scenarios in the order of a run. `Drain` is last, because a target that has announced
+    /// that it is leaving gets no more requests in later scenarios.
     pub const ALL: [Self; 11] = [
-        Self::Even,
+        Self::NoFault,
         Self::TwoSpeeds,
         Self::NoisyNeighbours,
         Self::Stale(20),
         Self::Stale(100),
         Self::Stale(500),
         Self::NoisyAndStale,
-        Self::Liar,
+        Self::MisreportingTarget,
         Self::FastFailer,
-        Self::SlowDeath,
+        Self::GradualSlowdown,
         Self::Drain,
     ];
 
-    /// Behaviour of target number `index` at `share` of the run.
+    /// Returns the behaviour of the target with this index when the given share of the run, from 0
+    /// to 1, has passed.
     pub(crate) fn behaviour(self, index: usize, share: f64) -> Behaviour {
         let good = Behaviour::default();
         let noisy = Behaviour { stall_every_ms: 400, stall_ms: 30, ..good.clone() };
@@ -54,44 +56,46 @@
             Self::NoisyNeighbours => noisy,
             Self::Stale(stale_ms) => Behaviour { reports: ReportMode::Stale, stale_ms, ..good },
             Self::NoisyAndStale => Behaviour { reports: ReportMode::Stale, stale_ms: 100, ..noisy },
-            Self::Liar if index == 0 => {
+            Self::MisreportingTarget if index == 0 => {
                 Behaviour { reports: ReportMode::Idle, slowness: 3.0, ..good }
             }
             Self::FastFailer if index == 0 => Behaviour { fault: Fault::Failing, ..good },
-            Self::SlowDeath if index == 0 => Behaviour { slowness: 1.0 + 9.0 * share, ..good },
+            Self::GradualSlowdown if index == 0 => {
+                Behaviour { slowness: 1.0 + 9.0 * share, ..good }
+            }
             Self::Drain if index == 0 => Behaviour { is_draining: share > 0.4, ..good },
             _ => good,
         }
     }
 
-    /// Share of the full capacity that is left.
+    /// Returns the share of the targets' full capacity that remains under this scenario.
     pub(crate) fn capacity(self) -> f64 {
         match self {
             Self::TwoSpeeds => 0.75,
             Self::NoisyNeighbours | Self::NoisyAndStale => 1.0 - 30.0 / 430.0,
-            Self::FastFailer | Self::Drain | Self::SlowDeath => 0.9,
-            Self::Liar => 0.9 + 0.1 / 3.0,
-            Self::Even | Self::Stale(_) => 1.0,
+            Self::FastFailer | Self::Drain | Self::GradualSlowdown => 0.9,
+            Self::MisreportingTarget => 0.9 + 0.1 / 3.0,
+            Self::NoFault | Self::Stale(_) => 1.0,
         }
     }
 
-    /// Whether it changes while the load runs.
-    pub(crate) fn changes(self) -> bool {
-        matches!(self, Self::SlowDeath | Self::Drain)
+    /// Returns whether the behaviour of a target changes while the load runs.
+    pub(crate) fn changes_during_run(self) -> bool {
+        matches!(self, Self::GradualSlowdown | Self::Drain)
     }
 }
 
 impl fmt::Display for Scenario {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Even => f.pad("even"),
+            Self::NoFault => f.pad("even"),
             Self::TwoSpeeds => f.pad("two speeds"),
             Self::NoisyNeighbours => f.pad("noisy neighbours"),
             Self::Stale(ms) => f.pad(&format!("stale {ms} ms")),
             Self::NoisyAndStale => f.pad("noisy and stale"),
-            Self::Liar => f.pad("liar"),
+            Self::MisreportingTarget => f.pad("liar"),
             Self::FastFailer => f.pad("fast failer"),
-            Self::SlowDeath => f.pad("slow death"),
+            Self::GradualSlowdown => f.pad("slow death"),
             Self::Drain => f.pad("drain"),
         }
     }
